--- a/src/bench/bench_steering.cc
+++ b/src/bench/bench_steering.cc
@@ -49,7 +49,7 @@
   void exchange() {
     pass();
     const std::uint32_t flow = count_ % kFlows;
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64400000 + flow, 4000}, kFrontend};
     packet.token = 101 + flow % targets_;
     packet.sequence = count_;
@@ -63,7 +63,7 @@
 
   void open() {
     pass();
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64500000 + count_ % 100000, 4000}, kFrontend};
     packet.opens = true;
     const SteeringDecision decision = steering_.on_packet(packet, now_);
--- a/src/bench/placement_bench.cc
+++ b/src/bench/placement_bench.cc
@@ -45,7 +45,7 @@
     delta.upserted_targets.push_back(make_target(id, kHourMs));
   }
   steering.apply(delta, now);
-  CallerPacket packet;
+  ClientPacket packet;
   packet.opens = true;
   std::uint32_t callers = 0;
   for (auto _ : state) {
--- a/src/core/link/link_scheduler.cc
+++ b/src/core/link/link_scheduler.cc
@@ -84,7 +84,7 @@
   return queue;
 }
 
-bool LinkScheduler::is_needless_copy(const CallerPacket& packet, Instant now) {
+bool LinkScheduler::is_needless_copy(const ClientPacket& packet, Instant now) {
   if (packet.data_size == 0) {
     return false;
   }
@@ -118,7 +118,7 @@
   *place = index;
 }
 
-std::span<std::uint8_t> LinkScheduler::enqueue(const CallerPacket& packet, const Endpoint& to,
+std::span<std::uint8_t> LinkScheduler::enqueue(const ClientPacket& packet, const Endpoint& to,
                                                std::size_t size, const PacketPatience& patience,
                                                Instant now) {
   const bool is_flow_new = by_flow_.size() >= kMaxFlows && queue_of(packet.flow) == nullptr;
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "core/link/link_model.h"
-#include "core/steering/caller_packet.h"
+#include "core/steering/client_packet.h"
 #include "model/bytes.h"
 #include "model/time.h"
 
@@ -72,10 +72,10 @@
   /// True for a copy of a packet that waits here, or that left so lately that its acknowledgement
   /// may be on its way. It is not needed: senders repeat each 200 ms and more until they are
   /// answered, so if the one that left is lost, a later copy follows and passes.
-  [[nodiscard]] bool is_needless_copy(const CallerPacket& packet, Instant now);
+  [[nodiscard]] bool is_needless_copy(const ClientPacket& packet, Instant now);
 
   /// Room for a datagram of `size` octets in place of a caller's packet; empty when it is dropped.
-  std::span<std::uint8_t> enqueue(const CallerPacket& packet, const Endpoint& to, std::size_t size,
+  std::span<std::uint8_t> enqueue(const ClientPacket& packet, const Endpoint& to, std::size_t size,
                                   const PacketPatience& patience, Instant now);
   /// The next datagram that may leave now; nothing when none waits or the link has no room yet.
   std::optional<DueDatagram> take_due(Instant now);
--- a/src/core/link/narrow_link.cc
+++ b/src/core/link/narrow_link.cc
@@ -23,7 +23,7 @@
   return {frontend->timeout, is_bulk ? frontend->latency_objective : Duration::zero()};
 }
 
-LinkVerdict NarrowLink::on_packet(const CallerPacket& packet, std::size_t size,
+LinkVerdict NarrowLink::on_packet(const ClientPacket& packet, std::size_t size,
                                   const FrontendView* frontend, Instant now) {
   if (!model_.is_known()) {
     return LinkVerdict::kPass;
--- a/src/core/link/narrow_link.h
+++ b/src/core/link/narrow_link.h
@@ -27,7 +27,7 @@
   NarrowLink& operator=(const NarrowLink&) = delete;
 
   /// A packet of a caller came; `frontend` may be nullptr.
-  LinkVerdict on_packet(const CallerPacket& packet, std::size_t size, const FrontendView* frontend,
+  LinkVerdict on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
                         Instant now);
   /// The caller was told that its flow has ended, by a datagram of `size` octets.
   void on_reset(const SteeredFlow& flow, std::size_t size, Instant now);
--- a/src/core/steering/held_packets.cc
+++ b/src/core/steering/buffered_packets.cc
@@ -1,4 +1,4 @@
-#include "core/steering/held_packets.h"
+#include "core/steering/buffered_packets.h"
 
 #include <algorithm>
 #include <utility>
@@ -7,18 +7,18 @@
 namespace {
 
 /// When a held packet is of no use any more.
-Instant given_up_at(const HeldPacket& held, const FrontendView* frontend, Duration longest) {
+Instant expires_at(const HeldPacket& held, const FrontendView* frontend, Duration longest) {
   const Duration wait = frontend == nullptr ? longest : std::min(longest, frontend->timeout);
   return held.sent_at + wait;
 }
 
 }  // namespace
 
-HeldPackets::HeldPackets(const SteeringPolicy& policy)
-    : longest_wait_(static_cast<std::int64_t>(policy.hold_ms * kMicrosecondsPerMillisecond)) {}
+BufferedPackets::BufferedPackets(const SteeringPolicy& policy)
+    : max_wait_(static_cast<std::int64_t>(policy.hold_ms * kMicrosecondsPerMillisecond)) {}
 
-void HeldPackets::hold(const CallerPacket& packet, ByteView bytes, Instant now) {
-  if (longest_wait_ <= Duration::zero()) {
+void BufferedPackets::hold(const ClientPacket& packet, ByteView bytes, Instant now) {
+  if (max_wait_ <= Duration::zero()) {
     return;
   }
   Bytes copied(bytes.begin(), bytes.end());
@@ -38,10 +38,10 @@
   packets_.push_back({packet, std::move(copied), now - packet.age});
 }
 
-void HeldPackets::release(const FlowSteering& steering, Instant now, const Visitor& take) {
+void BufferedPackets::release(const FlowSteering& steering, Instant now, const Visitor& take) {
   std::erase_if(packets_, [&](const HeldPacket& held) {
     const FrontendView* frontend = steering.frontend(held.packet.flow.frontend);
-    return given_up_at(held, frontend, longest_wait_) < now;
+    return expires_at(held, frontend, max_wait_) < now;
   });
   std::erase_if(packets_, take);
 }
--- a/src/core/steering/held_packets.h
+++ b/src/core/steering/buffered_packets.h
@@ -13,24 +13,24 @@
 namespace gorsevalve {
 
 struct HeldPacket {
-  CallerPacket packet;
+  ClientPacket packet;
   Bytes bytes;
   /// When the caller sent its first opening packet, or when this packet of an open flow came.
   Instant sent_at;
 };
 
-class HeldPackets {
+class BufferedPackets {
  public:
   static constexpr std::size_t kMaxPackets = 1024;
 
   /// Takes a packet for good, or tells that nothing can be decided about it yet.
   using Visitor = std::function<bool(const HeldPacket&)>;
 
-  explicit HeldPackets(const SteeringPolicy& policy);
+  explicit BufferedPackets(const SteeringPolicy& policy);
 
   /// A copy of an opening packet replaces the one that is held: given again together, copies would
   /// blame a target that was never asked.
-  void hold(const CallerPacket& packet, ByteView bytes, Instant now);
+  void hold(const ClientPacket& packet, ByteView bytes, Instant now);
   /// Drops packets whose callers have given up, and shows the others to `take` in the order in
   /// which they came.
   void release(const FlowSteering& steering, Instant now, const Visitor& take);
@@ -39,7 +39,7 @@
  private:
   static constexpr double kMicrosecondsPerMillisecond = 1000;
 
-  Duration longest_wait_;
+  Duration max_wait_;
   /// In the order in which they came.
   std::deque<HeldPacket> packets_;
 };
--- a/src/core/steering/caller_packet.h
+++ b/src/core/steering/client_packet.h
@@ -9,13 +9,13 @@
 namespace gorsevalve {
 
 /// What steering reads of a packet from a caller.
-struct CallerPacket {
+struct ClientPacket {
   SteeredFlow flow;
   bool opens = false;
   bool closes = false;
   bool resets = false;
   /// Copies of the opening packet that went before this one.
-  std::uint32_t copies_before = 0;
+  std::uint32_t retransmissions = 0;
   /// How long ago the caller sent the first copy of an opening packet.
   Duration age{0};
   /// Last octet that the caller has of the other end.
@@ -34,7 +34,7 @@
 };
 
 /// The reset that answers a packet.
-inline FlowReset reset_of(const CallerPacket& packet) {
+inline FlowReset reset_of(const ClientPacket& packet) {
   return {packet.flow, packet.opens ? 0 : packet.acknowledged};
 }
 
--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -9,21 +9,21 @@
 
 /// A request without an answer for this long has stalled: longer than a queue of a target that
 /// works, and than a lost packet takes.
-constexpr Duration kStalledAfter = std::chrono::milliseconds(400);
+constexpr Duration kStallTimeout = std::chrono::milliseconds(400);
 /// Data that comes again within this time came twice or out of order; callers send again after
 /// 200 ms and more.
-constexpr Duration kRepeatedAfter = std::chrono::milliseconds(150);
+constexpr Duration kMinRetransmissionInterval = std::chrono::milliseconds(150);
 /// A repetition that the own link may have caused is no sign, but the third one, 1.4 s after the
 /// request, is: silence of probes proves nothing on a busy link, a refusal still does.
-constexpr std::uint32_t kRepeatsOnBusyLink = 3;
+constexpr std::uint32_t kRetransmissionsOnCongestedLink = 3;
 
 }  // namespace
 
 void FlowSteering::end_request(FlowEntry& entry) {
-  if (!entry.request_since) {
+  if (!entry.request_started_at) {
     return;
   }
-  entry.request_since.reset();
+  entry.request_started_at.reset();
   TargetScore& score = scores_.at(entry.target);
   score.busy_flows -= std::min(score.busy_flows, 1U);
 }
@@ -35,31 +35,32 @@
   }
   TargetScore& score = scores_.at(entry.target);
   score.open_flows -= std::min(score.open_flows, 1U);
-  if (entry.request_since) {
+  if (entry.request_started_at) {
     score.busy_flows -= std::min(score.busy_flows, 1U);
   }
 }
 
-void FlowSteering::note_request(FlowEntry& entry, const CallerPacket& packet, Instant now) {
+void FlowSteering::observe_request(FlowEntry& entry, const ClientPacket& packet, Instant now) {
   const bool answered = packet.acknowledged != entry.acknowledged;
   if (answered) {
     reachability_.on_progress(entry.target, now);
     if (zone_paths_.is_looking()) {
-      zone_paths_.on_progress(entry.target, entry.request_since.value_or(entry.last_seen), now);
+      zone_paths_.on_progress(entry.target, entry.request_started_at.value_or(entry.last_seen),
+                              now);
     }
   }
-  if (entry.request_since && answered) {
-    on_answer(entry.target, now - *entry.request_since, now);
+  if (entry.request_started_at && answered) {
+    on_answer(entry.target, now - *entry.request_started_at, now);
     end_request(entry);
   }
-  if (packet.data_size > 0 && entry.request_since) {
-    note_repeat(entry, packet, now);
+  if (packet.data_size > 0 && entry.request_started_at) {
+    observe_retransmission(entry, packet, now);
   } else if (packet.data_size > 0) {
-    entry.request_since = now;
+    entry.request_started_at = now;
     entry.sequence = packet.sequence;
-    entry.data_at = now;
-    entry.new_data_at = now;
-    entry.repeats = 0;
+    entry.last_data_at = now;
+    entry.last_new_data_at = now;
+    entry.retransmissions = 0;
     scores_.on_request(entry.target);
     if (now >= observes_from_) {
       requests_.push_back({packet.flow, entry.target, now});
@@ -68,40 +69,41 @@
   entry.acknowledged = packet.acknowledged;
 }
 
-void FlowSteering::note_repeat(FlowEntry& entry, const CallerPacket& packet, Instant now) {
+void FlowSteering::observe_retransmission(FlowEntry& entry, const ClientPacket& packet,
+                                          Instant now) {
   // Differences of places that wrap around compare as signed numbers.
   if (static_cast<std::int32_t>(packet.sequence - entry.sequence) > 0) {
     // A transfer that goes on: its target acknowledges what went before.
     entry.sequence = packet.sequence;
-    entry.data_at = now;
-    entry.new_data_at = now;
-    entry.repeats = 0;
+    entry.last_data_at = now;
+    entry.last_new_data_at = now;
+    entry.retransmissions = 0;
     return;
   }
-  if (now - entry.data_at < kRepeatedAfter) {
+  if (now - entry.last_data_at < kMinRetransmissionInterval) {
     return;
   }
-  const Instant sent_at = entry.data_at;
-  const bool is_explained = may_be_own_link(sent_at);
-  entry.data_at = now;
-  ++entry.repeats;
-  if (is_explained && entry.repeats < kRepeatsOnBusyLink) {
+  const Instant sent_at = entry.last_data_at;
+  const bool is_explained = may_be_local_congestion(sent_at);
+  entry.last_data_at = now;
+  ++entry.retransmissions;
+  if (is_explained && entry.retransmissions < kRetransmissionsOnCongestedLink) {
     return;
   }
   const TargetScore& score = scores_.at(entry.target);
-  const bool answered_others = score.answer_at > *entry.request_since;
+  const bool answered_others = score.answer_at > *entry.request_started_at;
   // Where there is a queue, the first repetition tells of it, not of a dead target: targets
   // acknowledge a lone packet with its answer, or when it comes again.
-  const bool is_prompt = score.answer_us > 0 && score.answer_us < AnswerTimes::kPromptUs;
-  if (entry.repeats > 1 || (is_prompt && !answered_others)) {
-    suspect(entry.target, now);
+  const bool is_prompt = score.answer_us > 0 && score.answer_us < ResponseTimes::kLowLatencyUs;
+  if (entry.retransmissions > 1 || (is_prompt && !answered_others)) {
+    suspect_target(entry.target, now);
   }
-  if (entry.repeats > 1 && !is_explained) {
+  if (entry.retransmissions > 1 && !is_explained) {
     reachability_.on_silent_flow(entry.target, sent_at);
   }
 }
 
-void FlowSteering::note(const CallerPacket& packet, TargetId target, Instant now) {
+void FlowSteering::observe_packet(const ClientPacket& packet, TargetId target, Instant now) {
   FlowEntry* entry = flows_.find(packet.flow);
   // A flow that was open before it came here says nothing of its target.
   const bool opened_here = entry != nullptr && entry->phase == FlowPhase::kOpening;
@@ -110,8 +112,8 @@
     remove_load(*entry);
     entry->target = target;
     entry->phase = FlowPhase::kOpening;
-    entry->has_copy = false;
-    entry->request_since.reset();
+    entry->is_retransmitted = false;
+    entry->request_started_at.reset();
     ++scores_.at(target).open_flows;
   }
   if (entry == nullptr || (packet.opens && entry->phase == FlowPhase::kClosing)) {
@@ -137,35 +139,35 @@
       on_opened(*entry, opening_at, now);
     }
   }
-  note_request(*entry, packet, now);
+  observe_request(*entry, packet, now);
   if (packet.closes || packet.resets) {
     remove_load(*entry);
-    entry->request_since.reset();
+    entry->request_started_at.reset();
     entry->phase = FlowPhase::kClosing;
   }
 }
 
-void FlowSteering::check_requests(Instant now) {
-  while (!requests_.empty() && now - requests_.front().at >= kStalledAfter) {
-    const Expectation& request = requests_.front();
-    const FlowEntry* entry = request.is_met ? nullptr : flows_.find(request.flow);
+void FlowSteering::check_request_timeouts(Instant now) {
+  while (!requests_.empty() && now - requests_.front().sent_at >= kStallTimeout) {
+    const PendingReply& request = requests_.front();
+    const FlowEntry* entry = request.is_resolved ? nullptr : flows_.find(request.flow);
     const bool is_stalled =
         entry != nullptr && entry->target == request.target && entry->phase == FlowPhase::kOpen &&
-        entry->request_since == request.at && now - entry->new_data_at >= kStalledAfter &&
-        !may_be_own_link(request.at);
+        entry->request_started_at == request.sent_at &&
+        now - entry->last_new_data_at >= kStallTimeout && !may_be_local_congestion(request.sent_at);
     if (is_stalled) {
       scores_.on_stalled(request.target);
     }
     requests_.pop_front();
-    late_requests_ -= std::min<std::size_t>(late_requests_, 1);
+    zone_checked_requests_ -= std::min<std::size_t>(zone_checked_requests_, 1);
   }
 }
 
-void FlowSteering::check_expectations(Instant now) {
-  check_overdue(now);
-  check_late(now);
-  check_openings(now);
-  check_requests(now);
+void FlowSteering::check_reply_timeouts(Instant now) {
+  probe_overdue_openings(now);
+  check_zone_timeouts(now);
+  check_opening_timeouts(now);
+  check_request_timeouts(now);
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -10,15 +10,15 @@
 
 constexpr std::uint64_t kTieSalt = 0x7469650000ULL;
 constexpr std::uint64_t kSampleSalt = 0x73616d706c00ULL;
-constexpr std::uint64_t kReturnSalt = 0x7265740000ULL;
+constexpr std::uint64_t kRecoverySalt = 0x7265740000ULL;
 
 /// What speaks against a target, whatever its load is.
-enum class Doubt : std::uint8_t {
+enum class Impairment : std::uint8_t {
   kNone = 0,
   /// It may be cold: it was here before this balancer was.
   kUnknownAge = 1,
   /// Silent, or seen in trouble.
-  kTroubled = 2,
+  kSuspected = 2,
   /// It has just refused a probe.
   kRefusing = 3,
   /// It certainly cannot be reached from here.
@@ -27,11 +27,11 @@
 
 /// How good a target is for a new flow; the least one is chosen.
 struct Rank {
-  Doubt doubt = Doubt::kUnreachable;
+  Impairment impairment = Impairment::kUnreachable;
   /// As this balancer sees it.
   double load = 0;
   /// Decides between targets of the same load.
-  double race = 0;
+  double tie_break = 0;
 
   friend auto operator<=>(const Rank&, const Rank&) = default;
 };
@@ -39,44 +39,46 @@
 /// The target with the least time wins; each wins as often as its weight says (weighted rendezvous
 /// hashing, Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005). `score` is
 /// uniform over 64 bits.
-double race_time(std::uint64_t score, double weight) {
+double rendezvous_cost(std::uint64_t score, double weight) {
   constexpr double kScores = 18446744073709551616.0;
   const double uniform = (static_cast<double>(score) + 1) / kScores;
   return -std::log(uniform) / weight;
 }
 
 /// Decides whether a flow is among those that return to a zone first.
-std::uint64_t return_hash(std::uint64_t flow_key) {
-  return rendezvous_score(flow_key, 0, kReturnSalt);
+std::uint64_t recovery_hash(std::uint64_t flow_key) {
+  return rendezvous_score(flow_key, 0, kRecoverySalt);
 }
 
-Doubt doubt_of(const PlacementInputs& inputs, const RegisteredTarget& target,
-               WarmUpAdmission admission, std::uint64_t flow_key, Instant now) {
+Impairment impairment_of(const PlacementInputs& inputs, const RegisteredTarget& target,
+                         WarmUpAdmission admission, std::uint64_t flow_key, Instant now) {
   if (inputs.reachability.is_unreachable(target.id) || inputs.zone_paths.is_cut(target.id)) {
-    return Doubt::kUnreachable;
+    return Impairment::kUnreachable;
   }
   if (inputs.refusals.is_refusing(target.id, now)) {
-    return Doubt::kRefusing;
+    return Impairment::kRefusing;
   }
   const bool is_troubled = target.phase != TargetPhase::kReady ||
                            inputs.scores.is_suspected(target.id, now) ||
                            (inputs.zone_paths.is_returning() &&
-                            !inputs.zone_paths.admits(target.id, return_hash(flow_key), now));
+                            !inputs.zone_paths.admits(target.id, recovery_hash(flow_key), now));
   if (is_troubled) {
-    return Doubt::kTroubled;
+    return Impairment::kSuspected;
   }
-  return admission == WarmUpAdmission::kUnknownAge ? Doubt::kUnknownAge : Doubt::kNone;
+  return admission == WarmUpAdmission::kUnknownAge ? Impairment::kUnknownAge : Impairment::kNone;
 }
 
 /// What a look at some targets has found.
-struct Choice {
+struct ScanResult {
   const RegisteredTarget* best = nullptr;
   Rank rank;
   /// A cold target was passed over, since others have the turn.
-  bool passed_over = false;
+  bool skipped_cold = false;
 
   /// True when a look at more targets would hardly find a better one.
-  [[nodiscard]] bool is_fit() const { return best != nullptr && rank.doubt < Doubt::kTroubled; }
+  [[nodiscard]] bool is_healthy() const {
+    return best != nullptr && rank.impairment < Impairment::kSuspected;
+  }
 };
 
 /// Looks at targets for one opening, one after the other.
@@ -92,28 +94,28 @@
         now_(now),
         has_cold_(!inputs.warm_up.is_empty()),
         // Without figures of all balancers, the own view decides alone.
-        is_stepped_(policy.load_step > 0 && inputs.scores.has_figures()) {}
+        quantizes_load_(policy.load_step > 0 && inputs.scores.has_figures()) {}
 
   /// Where in a list of some length the sample of this opening begins.
-  [[nodiscard]] std::size_t position(std::size_t length) const {
+  [[nodiscard]] std::size_t sample_start(std::size_t length) const {
     return static_cast<std::size_t>(rendezvous_score(flow_key_, 0, kSampleSalt) % length);
   }
 
   /// Keeps the target when it is better than the best one so far.
-  void look_at(const RegisteredTarget& target, Choice& choice) const {
+  void examine(const RegisteredTarget& target, ScanResult& choice) const {
     if (target.id == avoided_) {
       return;
     }
     const WarmUpAdmission admission =
         has_cold_ ? inputs_.warm_up.admission(target.id, now_) : WarmUpAdmission::kFree;
     if (admission == WarmUpAdmission::kNoTurn) {
-      choice.passed_over = true;
+      choice.skipped_cold = true;
       return;
     }
-    const Rank rank{doubt_of(inputs_, target, admission, flow_key_, now_),
+    const Rank rank{impairment_of(inputs_, target, admission, flow_key_, now_),
                     load_of(target, admission),
-                    race_time(rendezvous_score(flow_key_, target.token, kTieSalt),
-                              weight_of(target, admission))};
+                    rendezvous_cost(rendezvous_score(flow_key_, target.token, kTieSalt),
+                                    weight_of(target, admission))};
     if (choice.best == nullptr || rank < choice.rank) {
       choice.best = &target;
       choice.rank = rank;
@@ -128,7 +130,7 @@
     if (admission == WarmUpAdmission::kTurn) {
       load /= policy_.cold_penalty;
     }
-    return is_stepped_ ? std::floor(load / policy_.load_step) : load;
+    return quantizes_load_ ? std::floor(load / policy_.load_step) : load;
   }
 
   [[nodiscard]] double weight_of(const RegisteredTarget& target, WarmUpAdmission admission) const {
@@ -144,7 +146,7 @@
   TargetId avoided_;
   Instant now_;
   bool has_cold_;
-  bool is_stepped_;
+  bool quantizes_load_;
 };
 
 }  // namespace
@@ -173,17 +175,17 @@
 
 const RegisteredTarget* FlowPlacement::place(const PlacementInputs& inputs,
                                              const FrontendView& frontend,
-                                             const CallerPacket& packet, TargetId avoided,
+                                             const ClientPacket& packet, TargetId avoided,
                                              Instant now) {
   if (frontend.shares.empty()) {
     return nullptr;
   }
   const std::uint32_t pool =
       frontend.shares.size() == 1 ? frontend.shares.front().pool : next_pool(frontend);
-  const RegisteredTarget* target = best_of(inputs, pool, packet, avoided, now);
+  const RegisteredTarget* target = best_target(inputs, pool, packet, avoided, now);
   for (const auto& share : frontend.shares) {
     if (target == nullptr && share.weight > 0 && share.pool != pool) {
-      target = best_of(inputs, share.pool, packet, avoided, now);
+      target = best_target(inputs, share.pool, packet, avoided, now);
     }
   }
   if (target != nullptr) {
@@ -229,38 +231,38 @@
   return *middle;
 }
 
-const RegisteredTarget* FlowPlacement::best_of(const PlacementInputs& inputs, std::uint32_t pool,
-                                               const CallerPacket& packet, TargetId avoided,
-                                               Instant now) {
+const RegisteredTarget* FlowPlacement::best_target(const PlacementInputs& inputs,
+                                                   std::uint32_t pool, const ClientPacket& packet,
+                                                   TargetId avoided, Instant now) {
   const std::vector<const RegisteredTarget*>& targets = inputs.view.pool_targets(pool);
   const CandidateScan scan(inputs, policy_, typical_answer_us(inputs, pool, now),
-                           packed(packet.flow.caller) ^ seed_, avoided, now);
+                           packed(packet.flow.client) ^ seed_, avoided, now);
   const auto sample = static_cast<std::size_t>(policy_.sample);
   const bool is_sampled = sample > 0 && targets.size() > sample;
-  Choice choice;
+  ScanResult choice;
   if (is_sampled) {
     // Spread over the list: neighbours came together, and may be cold or gone together.
     const std::size_t stride = targets.size() / sample;
-    const std::size_t first = scan.position(targets.size());
+    const std::size_t first = scan.sample_start(targets.size());
     for (std::size_t i = 0; i < sample; ++i) {
-      scan.look_at(*targets[(first + i * stride) % targets.size()], choice);
+      scan.examine(*targets[(first + i * stride) % targets.size()], choice);
     }
-    counters_.looked_at += sample;
+    counters_.targets_examined += sample;
   }
-  if (!is_sampled || !choice.is_fit()) {
-    counters_.whole_pools += is_sampled ? 1 : 0;
-    counters_.looked_at += targets.size();
+  if (!is_sampled || !choice.is_healthy()) {
+    counters_.full_scans += is_sampled ? 1 : 0;
+    counters_.targets_examined += targets.size();
     choice = {};
     for (const RegisteredTarget* target : targets) {
-      scan.look_at(*target, choice);
+      scan.examine(*target, choice);
     }
   }
-  if (!choice.passed_over) {
+  if (!choice.skipped_cold) {
     return choice.best;
   }
   // The bound is the operator's: a target beyond what it carries cold answers all of its callers
   // late, while a caller that is refused at once meets another balancer, which may have the turn.
-  if (choice.best == nullptr || choice.rank.doubt == Doubt::kUnreachable) {
+  if (choice.best == nullptr || choice.rank.impairment == Impairment::kUnreachable) {
     return nullptr;
   }
   inputs.warm_up.on_passed_over();
--- a/src/core/steering/flow_placement.h
+++ b/src/core/steering/flow_placement.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "core/steering/caller_packet.h"
+#include "core/steering/client_packet.h"
 #include "core/steering/steering_policy.h"
 #include "core/steering/steering_view.h"
 #include "core/steering/target_reachability.h"
@@ -20,9 +20,9 @@
 
 struct PlacementCounters {
   /// Targets that openings have looked at.
-  std::uint64_t looked_at = 0;
+  std::uint64_t targets_examined = 0;
   /// Openings that found none fit in their sample, and looked at the whole pool.
-  std::uint64_t whole_pools = 0;
+  std::uint64_t full_scans = 0;
 };
 
 /// What a choice depends on.
@@ -44,7 +44,7 @@
   /// The target for a new flow, not `avoided` while there is another one; nullptr when there is
   /// none, or when all that can be reached are cold and may not take a flow from here now.
   const RegisteredTarget* place(const PlacementInputs& inputs, const FrontendView& frontend,
-                                const CallerPacket& packet, TargetId avoided, Instant now);
+                                const ClientPacket& packet, TargetId avoided, Instant now);
   [[nodiscard]] const PlacementCounters& counters() const { return counters_; }
   void on_frontend_dropped(const Endpoint& address) { credits_.erase(address); }
   /// Forgets frontends that the view does not have.
@@ -60,9 +60,9 @@
   /// The pool whose turn it is by weight (smooth weighted round robin).
   std::uint32_t next_pool(const FrontendView& frontend);
   /// The best of a pool; of a large one, that of a sample, unless none of the sample is fit.
-  [[nodiscard]] const RegisteredTarget* best_of(const PlacementInputs& inputs, std::uint32_t pool,
-                                                const CallerPacket& packet, TargetId avoided,
-                                                Instant now);
+  [[nodiscard]] const RegisteredTarget* best_target(const PlacementInputs& inputs,
+                                                    std::uint32_t pool, const ClientPacket& packet,
+                                                    TargetId avoided, Instant now);
 
   std::uint64_t seed_;
   SteeringPolicy policy_;
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -7,11 +7,11 @@
 namespace {
 
 /// A balancer that has just started gets packets of flows that went on elsewhere meanwhile.
-constexpr Duration kObservationPause = std::chrono::seconds(1);
+constexpr Duration kObservationDelay = std::chrono::seconds(1);
 /// It may have started with all others: queues fill while the first answers are still prompt.
-constexpr Duration kQueuesFillIn = std::chrono::seconds(3);
+constexpr Duration kLatencyTrustDelay = std::chrono::seconds(3);
 /// Targets that are probed beside a suspected one: one of them may die at the same moment.
-constexpr std::size_t kReferences = 2;
+constexpr std::size_t kReferenceTargets = 2;
 }  // namespace
 
 std::string_view to_string(SteeringReason reason) {
@@ -20,7 +20,7 @@
       return "token";
     case SteeringReason::kPlaced:
       return "placed";
-    case SteeringReason::kCopy:
+    case SteeringReason::kRetransmission:
       return "copy";
     case SteeringReason::kPlacedAgain:
       return "placed_again";
@@ -50,7 +50,7 @@
   view_.reset(state);
   for (const auto& [id, target] : state.targets) {
     if (scores_.is_other_life(target)) {
-      end_life(target.id);
+      forget_incarnation(target.id);
     }
   }
   scores_.adopt(state.targets, now);
@@ -59,14 +59,14 @@
   zone_paths_.clear_targets();
   for (const auto& [id, target] : state.targets) {
     // Before the first confirmed state the age of what is found is unknown.
-    note_warm_up(target, is_confirmed_, now);
+    update_warm_up(target, is_confirmed_, now);
     zone_paths_.on_target(target);
-    prepare_times(target);
+    add_time_estimates(target);
   }
   // A whole state does not tell who came first; but of two at an address the silent one is gone.
   for (const auto& [id, target] : state.targets) {
     if (target.phase == TargetPhase::kReady) {
-      note_replaced(target, [](const RegisteredTarget& other) {
+      mark_replaced(target, [](const RegisteredTarget& other) {
         return other.phase == TargetPhase::kSilent;
       });
     }
@@ -74,8 +74,8 @@
 }
 
 template <typename Condition>
-void FlowSteering::note_replaced(const RegisteredTarget& target, Condition is_gone) {
-  for (const TargetId other : view_.living_at(target.address)) {
+void FlowSteering::mark_replaced(const RegisteredTarget& target, Condition is_gone) {
+  for (const TargetId other : view_.live_targets_at(target.address)) {
     const RegisteredTarget* known = view_.target_by_id(other);
     if (other != target.id && known != nullptr && is_gone(*known)) {
       reachability_.on_replaced(other);
@@ -87,20 +87,20 @@
   if (view_.apply(delta)) {
     update_cold_rates();
     // A rate may have come in while targets are cold.
-    view_.visit_targets([&](const RegisteredTarget& target) { note_warm_up(target, true, now); });
+    view_.visit_targets([&](const RegisteredTarget& target) { update_warm_up(target, true, now); });
   }
   for (const auto& target : delta.upserted_targets) {
     const bool is_restarted = scores_.is_other_life(target);
     const bool is_new = is_restarted || scores_.find(target.id) == nullptr;
     if (is_restarted) {
-      end_life(target.id);
+      forget_incarnation(target.id);
     }
     scores_.on_target(target, now);
-    note_warm_up(target, true, now);
+    update_warm_up(target, true, now);
     zone_paths_.on_target(target);
-    prepare_times(target);
+    add_time_estimates(target);
     if (is_new && target.phase != TargetPhase::kEnded) {
-      note_replaced(target, [](const RegisteredTarget& /*other*/) { return true; });
+      mark_replaced(target, [](const RegisteredTarget& /*other*/) { return true; });
     }
   }
   for (const TargetId id : delta.forgotten_targets) {
@@ -115,16 +115,16 @@
   }
 }
 
-void FlowSteering::end_life(TargetId target) {
+void FlowSteering::forget_incarnation(TargetId target) {
   flows_.visit_open(target, [this](const SteeredFlow& /*flow*/, FlowEntry& entry) {
     remove_load(entry);
-    entry.request_since.reset();
+    entry.request_started_at.reset();
     entry.phase = FlowPhase::kClosing;
   });
   // What the earlier life left unanswered says nothing of this one.
-  const auto forget_expected = [target](std::deque<Expectation>& expected) {
-    for (Expectation& one : expected) {
-      one.is_met = one.is_met || one.target == target;
+  const auto forget_expected = [target](std::deque<PendingReply>& expected) {
+    for (PendingReply& one : expected) {
+      one.is_resolved = one.is_resolved || one.target == target;
     }
   };
   forget_expected(openings_);
@@ -136,17 +136,17 @@
 
 void FlowSteering::confirm(Instant now) {
   is_confirmed_ = true;
-  observes_from_ = now + kObservationPause;
-  trusts_promptness_from_ = now + kQueuesFillIn;
+  observes_from_ = now + kObservationDelay;
+  latency_valid_from_ = now + kLatencyTrustDelay;
 }
 
 void FlowSteering::stop_observing() {
   observes_from_ = Instant::max();
   openings_.clear();
   requests_.clear();
-  late_openings_ = 0;
-  late_requests_ = 0;
-  overdue_openings_ = 0;
+  zone_checked_openings_ = 0;
+  zone_checked_requests_ = 0;
+  overdue_checked_openings_ = 0;
 }
 
 void FlowSteering::set_link_congested(bool is_congested, Instant now) {
@@ -157,19 +157,20 @@
   reachability_.set_link_congested(is_congested, now);
 }
 
-SteeringDecision FlowSteering::on_packet(const CallerPacket& packet, Instant now) {
+SteeringDecision FlowSteering::on_packet(const ClientPacket& packet, Instant now) {
   if (!has_settings()) {
     return {SteeringAction::kDrop, SteeringReason::kNoState, nullptr};
   }
   if (!is_confirmed_) {
-    return follow_unconfirmed(packet, now);
+    return forward_unconfirmed(packet, now);
   }
-  if (now >= check_late_at_) {
-    check_late(now);
+  if (now >= next_zone_check_at_) {
+    check_zone_timeouts(now);
   }
   const FrontendView* frontend = view_.frontend(packet.flow.frontend);
   if (frontend != nullptr) {
-    return packet.opens ? open(*frontend, packet, now) : follow(*frontend, packet, now);
+    return packet.opens ? place_flow(*frontend, packet, now)
+                        : forward_by_token(*frontend, packet, now);
   }
   if (packet.resets) {
     return {SteeringAction::kDrop, SteeringReason::kNoFrontend, nullptr};
@@ -182,39 +183,39 @@
   return {action, SteeringReason::kNoFrontend, nullptr};
 }
 
-SteeringDecision FlowSteering::follow_unconfirmed(const CallerPacket& packet, Instant now) {
+SteeringDecision FlowSteering::forward_unconfirmed(const ClientPacket& packet, Instant now) {
   constexpr SteeringDecision kUndecided{SteeringAction::kDrop, SteeringReason::kNoState, nullptr};
   const FrontendView* frontend = view_.frontend(packet.flow.frontend);
   if (packet.opens || frontend == nullptr) {
     return kUndecided;
   }
-  const SteeringDecision decision = follow(*frontend, packet, now);
+  const SteeringDecision decision = forward_by_token(*frontend, packet, now);
   return decision.action == SteeringAction::kForward ? decision : kUndecided;
 }
 
-SteeringDecision FlowSteering::open(const FrontendView& frontend, const CallerPacket& packet,
-                                    Instant now) {
-  check_expectations(now);
+SteeringDecision FlowSteering::place_flow(const FrontendView& frontend, const ClientPacket& packet,
+                                          Instant now) {
+  check_reply_timeouts(now);
   FlowEntry* entry = flows_.find(packet.flow);
   TargetId avoided = 0;
   /// Where the flow was placed before, while it may still be taken there.
   const RegisteredTarget* first = nullptr;
-  if (entry != nullptr && entry->phase == FlowPhase::kOpening && packet.copies_before > 0) {
+  if (entry != nullptr && entry->phase == FlowPhase::kOpening && packet.retransmissions > 0) {
     const RegisteredTarget* before = view_.target_by_id(entry->target);
     const bool usable = before != nullptr && before->phase == TargetPhase::kReady &&
                         view_.may_reach(frontend, *before) && !view_.is_evacuated(*before);
-    if (!entry->has_copy) {
-      entry->has_copy = true;
-      if (!may_be_own_link(entry->last_seen)) {
+    if (!entry->is_retransmitted) {
+      entry->is_retransmitted = true;
+      if (!may_be_local_congestion(entry->last_seen)) {
         scores_.on_unanswered(entry->target, now);
-        suspect(entry->target, now);
+        suspect_target(entry->target, now);
       }
     }
     const bool is_doubted =
         scores_.is_suspected(entry->target, now) || reachability_.is_unreachable(entry->target) ||
         refusals_.is_refusing(entry->target, now) || zone_paths_.is_cut(entry->target);
-    if (usable && packet.copies_before <= policy_.copies_at_same_target && !is_doubted) {
-      return {SteeringAction::kForward, SteeringReason::kCopy, before};
+    if (usable && packet.retransmissions <= policy_.copies_at_same_target && !is_doubted) {
+      return {SteeringAction::kForward, SteeringReason::kRetransmission, before};
     }
     avoided = entry->target;
     const bool is_reachable =
@@ -224,15 +225,15 @@
   const RegisteredTarget* target = placement_.place(inputs(), frontend, packet, avoided, now);
   if (target == nullptr && first != nullptr) {
     // The flow had its turn at a cold target, which may answer yet.
-    return {SteeringAction::kForward, SteeringReason::kCopy, first};
+    return {SteeringAction::kForward, SteeringReason::kRetransmission, first};
   }
   if (target == nullptr) {
     return {SteeringAction::kReset, SteeringReason::kNoTarget, nullptr};
   }
-  note(packet, target->id, now);
+  observe_packet(packet, target->id, now);
   scores_.on_placed(target->id);
   warm_up_.on_placed(target->id, now);
-  if (packet.copies_before == 0 && now >= observes_from_) {
+  if (packet.retransmissions == 0 && now >= observes_from_) {
     openings_.push_back({packet.flow, target->id, now});
   }
   const SteeringReason reason =
@@ -240,8 +241,8 @@
   return {SteeringAction::kForward, reason, target};
 }
 
-SteeringDecision FlowSteering::follow(const FrontendView& frontend, const CallerPacket& packet,
-                                      Instant now) {
+SteeringDecision FlowSteering::forward_by_token(const FrontendView& frontend,
+                                                const ClientPacket& packet, Instant now) {
   if (packet.token == 0) {
     return {SteeringAction::kDrop, SteeringReason::kNoToken, nullptr};
   }
@@ -261,39 +262,39 @@
     const RegisteredTarget* other = placement_.place(inputs(), frontend, packet, target->id, now);
     target = other == nullptr ? target : other;
   }
-  note(packet, target->id, now);
+  observe_packet(packet, target->id, now);
   if (reachability_.is_unreachable(target->id) ||
-      (zone_paths_.cut() > 0 && is_cut_off(frontend, packet, target->id, now))) {
-    end_entry(packet.flow);
+      (zone_paths_.cut() > 0 && should_reset_for_zone(frontend, packet, target->id, now))) {
+    close_entry(packet.flow);
     const SteeringAction action = packet.resets ? SteeringAction::kDrop : SteeringAction::kReset;
     return {action, SteeringReason::kTargetUnreachable, nullptr};
   }
   return {SteeringAction::kForward, SteeringReason::kToken, target};
 }
 
-void FlowSteering::end_entry(const SteeredFlow& flow) {
+void FlowSteering::close_entry(const SteeredFlow& flow) {
   FlowEntry* entry = flows_.find(flow);
   if (entry != nullptr && entry->phase != FlowPhase::kClosing) {
     remove_load(*entry);
-    entry->request_since.reset();
+    entry->request_started_at.reset();
     entry->phase = FlowPhase::kClosing;
   }
 }
 
-void FlowSteering::suspect(TargetId target, Instant now) {
-  doubt_zone(target, now, now);
+void FlowSteering::suspect_target(TargetId target, Instant now) {
+  suspect_zone(target, now, now);
   // Looking for references walks all targets that answered lately, so it comes last.
   if (policy_.probes <= 0 || !is_confirmed_ || !reachability_.may_suspect(target, now) ||
       zone_paths_.is_cut(target)) {
     return;
   }
-  reachability_.suspect(target, scores_.latest_answered(kReferences, target, now), now);
+  reachability_.suspect(target, scores_.latest_answered(kReferenceTargets, target, now), now);
 }
 
 void FlowSteering::set_figures(const std::vector<TargetFigure>& figures, Instant now) {
   for (const TargetId id : scores_.set_figures(figures)) {
     if (scores_.at(id).open_flows > 0) {
-      suspect(id, now);
+      suspect_target(id, now);
     }
   }
 }
@@ -316,7 +317,7 @@
   return probes;
 }
 
-std::vector<UnreachableTarget> FlowSteering::conclude_reachability(Instant now) {
+std::vector<UnreachableTarget> FlowSteering::evaluate_reachability(Instant now) {
   std::vector<UnreachableTarget> concluded = reachability_.conclude(now);
   for (const auto& one : concluded) {
     scores_.on_unreachable(one.target, now);
@@ -326,16 +327,16 @@
 
 void FlowSteering::sort_by_flow(std::vector<FlowReset>& resets) {
   std::sort(resets.begin(), resets.end(), [](const FlowReset& a, const FlowReset& b) {
-    return std::pair(a.flow.caller, a.flow.frontend) < std::pair(b.flow.caller, b.flow.frontend);
+    return std::pair(a.flow.client, a.flow.frontend) < std::pair(b.flow.client, b.flow.frontend);
   });
 }
 
-std::vector<FlowReset> FlowSteering::end_flows_at(TargetId target) {
+std::vector<FlowReset> FlowSteering::reset_flows_to(TargetId target) {
   std::vector<FlowReset> resets;
   flows_.visit_open(target, [&](const SteeredFlow& flow, FlowEntry& entry) {
     resets.push_back({flow, entry.acknowledged});
     remove_load(entry);
-    entry.request_since.reset();
+    entry.request_started_at.reset();
     entry.phase = FlowPhase::kClosing;
   });
   sort_by_flow(resets);
@@ -343,7 +344,7 @@
 }
 
 void FlowSteering::on_tick(Instant now) {
-  check_expectations(now);
+  check_reply_timeouts(now);
   scores_.on_tick(now);
   const auto idle = std::chrono::milliseconds(view_.idle_timeout_ms());
   flows_.expire(idle, now, [this](const FlowEntry& entry) { remove_load(entry); });
--- a/src/core/steering/flow_table.cc
+++ b/src/core/steering/flow_table.cc
@@ -4,7 +4,7 @@
 namespace {
 
 /// How long an opening or closing flow may send copies of its packets.
-constexpr Duration kHandshakeTime = std::chrono::seconds(4);
+constexpr Duration kHandshakeTimeout = std::chrono::seconds(4);
 
 }  // namespace
 
@@ -41,7 +41,7 @@
 void FlowTable::expire(Duration idle_timeout, Instant now, const Visitor& on_expired) {
   absl::erase_if(entries_, [&](const auto& item) {
     const FlowEntry& entry = item.second;
-    const Duration allowed = entry.phase == FlowPhase::kOpen ? idle_timeout : kHandshakeTime;
+    const Duration allowed = entry.phase == FlowPhase::kOpen ? idle_timeout : kHandshakeTimeout;
     const bool expired = now - entry.last_seen > allowed;
     if (expired) {
       on_expired(entry);
--- a/src/core/steering/flow_table.h
+++ b/src/core/steering/flow_table.h
@@ -14,14 +14,14 @@
 
 /// The two ends of a flow as a caller's packets name them.
 struct SteeredFlow {
-  Endpoint caller;
+  Endpoint client;
   Endpoint frontend;
 
   friend bool operator==(const SteeredFlow&, const SteeredFlow&) = default;
 
   template <typename Hasher>
   friend Hasher AbslHashValue(Hasher state, const SteeredFlow& flow) {  // NOLINT: Abseil's name
-    return Hasher::combine(std::move(state), flow.caller, flow.frontend);
+    return Hasher::combine(std::move(state), flow.client, flow.frontend);
   }
 };
 
@@ -31,21 +31,21 @@
   TargetId target = 0;
   FlowPhase phase = FlowPhase::kOpening;
   /// The caller sent a copy of its opening packet.
-  bool has_copy = false;
+  bool is_retransmitted = false;
   Instant last_seen;
   /// The caller's last acknowledgement number.
   std::uint32_t acknowledged = 0;
   /// When the request that is under way began; nothing between requests.
-  std::optional<Instant> request_since;
+  std::optional<Instant> request_started_at;
   /// Place of the latest data of that request in the caller's stream.
   std::uint32_t sequence = 0;
   /// When data of that request was sent for the first time, or again.
-  Instant data_at;
+  Instant last_data_at;
   /// When data of that request that had not been sent before came last: a caller sends more than
   /// fits under way at once only when its target acknowledged what was before.
-  Instant new_data_at;
+  Instant last_new_data_at;
   /// How often the caller had to send data of that request again since then.
-  std::uint32_t repeats = 0;
+  std::uint32_t retransmissions = 0;
 };
 
 class FlowTable {
--- a/src/core/steering/flow_warm_up.cc
+++ b/src/core/steering/flow_warm_up.cc
@@ -6,7 +6,7 @@
 
 namespace gorsevalve {
 
-void FlowSteering::note_warm_up(const RegisteredTarget& target, bool is_age_known, Instant now) {
+void FlowSteering::update_warm_up(const RegisteredTarget& target, bool is_age_known, Instant now) {
   const double rate = view_.cold_flows_per_s(target.pool);
   const TargetScore* score = scores_.find(target.id);
   const bool is_cold = rate > 0 && score != nullptr && now < score->warm_at;
@@ -15,7 +15,7 @@
     return;
   }
   if (warm_up_.begin({target.id, target.token, rate, score->warm_at, is_age_known}, now)) {
-    cooled_.push_back(target.id);
+    newly_cold_.push_back(target.id);
   }
 }
 
@@ -26,9 +26,9 @@
   });
 }
 
-std::vector<TargetId> FlowSteering::take_cooled() {
-  std::sort(cooled_.begin(), cooled_.end());
-  return std::exchange(cooled_, {});
+std::vector<TargetId> FlowSteering::take_newly_cold() {
+  std::sort(newly_cold_.begin(), newly_cold_.end());
+  return std::exchange(newly_cold_, {});
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/opening_times.cc
+++ b/src/core/steering/handshake_times.cc
@@ -1,4 +1,4 @@
-#include "core/steering/opening_times.h"
+#include "core/steering/handshake_times.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,13 +8,13 @@
 
 /// Shares of a new sample in the smoothed time and in its deviation, and how many deviations above
 /// the smoothed time an opening is overdue: those of RFC 6298.
-constexpr double kMeanShare = 1.0 / 8;
-constexpr double kDeviationShare = 1.0 / 4;
-constexpr double kDeviations = 4;
+constexpr double kMeanGain = 1.0 / 8;
+constexpr double kDeviationGain = 1.0 / 4;
+constexpr double kDeviationFactor = 4;
 
 }  // namespace
 
-void OpeningTimes::on_opened(const std::string& zone, Duration took) {
+void HandshakeTimes::on_established(const std::string& zone, Duration took) {
   const auto sample_us = static_cast<double>(took.count());
   const auto found = zones_.find(zone);
   if (found == zones_.end()) {
@@ -26,18 +26,18 @@
     return;
   }
   const double error_us = sample_us - estimate.mean_us;
-  estimate.deviation_us += kDeviationShare * (std::abs(error_us) - estimate.deviation_us);
-  estimate.mean_us += kMeanShare * error_us;
+  estimate.deviation_us += kDeviationGain * (std::abs(error_us) - estimate.deviation_us);
+  estimate.mean_us += kMeanGain * error_us;
 }
 
-Duration OpeningTimes::overdue_after(const std::string& zone) const {
+Duration HandshakeTimes::overdue_timeout(const std::string& zone) const {
   const auto found = zones_.find(zone);
   if (found == zones_.end() || found->second.mean_us <= 0) {
-    return kMost;
+    return kMaxTimeout;
   }
   const Estimate& estimate = found->second;
-  const double usual_us = estimate.mean_us + kDeviations * estimate.deviation_us;
-  return std::clamp(Duration(static_cast<std::int64_t>(usual_us)), kLeast, kMost);
+  const double usual_us = estimate.mean_us + kDeviationFactor * estimate.deviation_us;
+  return std::clamp(Duration(static_cast<std::int64_t>(usual_us)), kMinTimeout, kMaxTimeout);
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/opening_times.h
+++ b/src/core/steering/handshake_times.h
@@ -11,20 +11,20 @@
 
 namespace gorsevalve {
 
-class OpeningTimes {
+class HandshakeTimes {
  public:
   /// Makes room for a zone, so that its openings allocate nothing.
   void add_zone(const std::string& zone) { zones_.try_emplace(zone); }
   /// A target of the zone answered an opening packet that was sent once; its caller's next packet
   /// came this much later. Nothing is noted of a zone that was not added.
-  void on_opened(const std::string& zone, Duration took);
+  void on_established(const std::string& zone, Duration took);
   /// An opening at a target of the zone that nothing followed for this long is overdue.
-  [[nodiscard]] Duration overdue_after(const std::string& zone) const;
+  [[nodiscard]] Duration overdue_timeout(const std::string& zone) const;
 
   /// A process that waits for its processor is late by this much without any trouble.
-  static constexpr Duration kLeast = std::chrono::milliseconds(15);
+  static constexpr Duration kMinTimeout = std::chrono::milliseconds(15);
   /// Half of the time after which callers send a copy; also while a zone's times are not known.
-  static constexpr Duration kMost = std::chrono::milliseconds(100);
+  static constexpr Duration kMaxTimeout = std::chrono::milliseconds(100);
 
  private:
   struct Estimate {
--- a/src/core/steering/answer_times.h
+++ b/src/core/steering/response_times.h
@@ -14,24 +14,24 @@
 namespace gorsevalve {
 
 /// What the latest answers of a pool say.
-enum class Promptness : std::uint8_t {
+enum class LatencyLevel : std::uint8_t {
   /// None came lately.
   kUnknown = 0,
-  kPrompt = 1,
+  kLow = 1,
   /// Requests wait in queues.
-  kSlow = 2,
+  kHigh = 2,
 };
 
-class AnswerTimes {
+class ResponseTimes {
  public:
   /// Makes room for a pool, so that its answers allocate nothing.
   void add_pool(const std::string& pool) { pools_.try_emplace(pool); }
   /// An answer of a target; nothing is noted of a pool that was not added.
-  void on_answer(const std::string& pool, Duration took, Instant now);
-  [[nodiscard]] Promptness promptness(const std::string& pool, Instant now) const;
+  void on_response(const std::string& pool, Duration took, Instant now);
+  [[nodiscard]] LatencyLevel latency_level(const std::string& pool, Instant now) const;
 
   /// Work without a queue takes less than this, in microseconds; with a full queue it takes more.
-  static constexpr double kPromptUs = 100e3;
+  static constexpr double kLowLatencyUs = 100e3;
 
  private:
   struct Estimate {
--- a/src/core/steering/steering_policy.cc
+++ b/src/core/steering/steering_policy.cc
@@ -46,7 +46,7 @@
                 "targets that an opening looks at in a larger pool; 0: all"},
 };
 
-std::string text_of(double value) { return absl::StrCat(value); }
+std::string format_number(double value) { return absl::StrCat(value); }
 
 }  // namespace
 
@@ -64,9 +64,10 @@
     }
     double value = 0;
     const bool is_number = absl::SimpleAtod(pair.second, &value);
-    if (!is_number || !(value >= field->least && value <= field->greatest)) {
-      return tl::unexpected(pair.first + ": must be a number from " + text_of(field->least) +
-                            " to " + text_of(field->greatest) + ", not \"" + pair.second + "\"");
+    if (!is_number || !(value >= field->min_value && value <= field->max_value)) {
+      return tl::unexpected(pair.first + ": must be a number from " +
+                            format_number(field->min_value) + " to " +
+                            format_number(field->max_value) + ", not \"" + pair.second + "\"");
     }
     policy.*(field->value) = value;
   }
@@ -79,7 +80,7 @@
   for (const auto& field : kFields) {
     const double value = policy.*(field.value);
     if (value != usual.*(field.value)) {
-      parts.push_back(std::string(field.name) + "=" + text_of(value));
+      parts.push_back(std::string(field.name) + "=" + format_number(value));
     }
   }
   return absl::StrJoin(parts, ",");
--- a/src/core/steering/steering_policy.h
+++ b/src/core/steering/steering_policy.h
@@ -52,9 +52,9 @@
 struct PolicyField {
   std::string_view name;
   double SteeringPolicy::*value;
-  double least;
-  double greatest;
-  std::string_view meaning;
+  double min_value;
+  double max_value;
+  std::string_view description;
 };
 
 /// All fields, in the order of docs/POLICY.md.
--- a/src/core/steering/steering_view.cc
+++ b/src/core/steering/steering_view.cc
@@ -21,19 +21,19 @@
   }
   targets_.clear();
   by_token_.clear();
-  living_at_.clear();
+  live_by_address_.clear();
   for (auto& targets : pool_targets_) {
     targets.clear();
   }
   version_ = state.settings.version;
   idle_timeout_ms_ = state.settings.idle_timeout_ms;
-  put_pools(state.settings.pools);
+  set_pools(state.settings.pools);
   for (const auto& frontend : state.settings.frontends) {
-    put_frontend(frontend);
+    upsert_frontend(frontend);
   }
   set_evacuated_zones(state.evacuated_zones);
   for (const auto& [id, target] : state.targets) {
-    put_target(target);
+    upsert_target(target);
   }
 }
 
@@ -42,19 +42,19 @@
   if (delta.has_settings) {
     version_ = delta.version;
     idle_timeout_ms_ = delta.idle_timeout_ms;
-    rates_changed = put_pools(delta.pools);
+    rates_changed = set_pools(delta.pools);
     for (const auto& address : delta.removed_frontends) {
       drop_frontend(address);
     }
     for (const auto& frontend : delta.upserted_frontends) {
-      put_frontend(frontend);
+      upsert_frontend(frontend);
     }
   }
   for (const TargetId id : delta.forgotten_targets) {
     forget_target(id);
   }
   for (const auto& target : delta.upserted_targets) {
-    put_target(target);
+    upsert_target(target);
   }
   if (delta.has_evacuations) {
     set_evacuated_zones(delta.evacuated_zones);
@@ -78,33 +78,33 @@
   // The order of the table must not show.
   std::sort(ids.begin(), ids.end());
   for (const TargetId id : ids) {
-    HeldTarget& held = targets_.at(id);
-    held.place = kNotOffered;
-    offer_for_placement(held);
+    TargetEntry& held = targets_.at(id);
+    held.pool_position = kNotPlaceable;
+    add_to_pool(held);
   }
 }
 
-void SteeringView::offer_for_placement(HeldTarget& held) {
+void SteeringView::add_to_pool(TargetEntry& held) {
   const RegisteredTarget& target = held.target;
   const bool is_ending =
       target.phase == TargetPhase::kDraining || target.phase == TargetPhase::kEnded;
   if (!is_ending && !is_evacuated(target)) {
     std::vector<const RegisteredTarget*>& offered = pool_targets_[held.pool];
-    held.place = offered.size();
+    held.pool_position = offered.size();
     offered.push_back(&target);
   }
 }
 
-void SteeringView::withdraw(HeldTarget& held) {
-  if (held.place == kNotOffered) {
+void SteeringView::remove_from_pool(TargetEntry& held) {
+  if (held.pool_position == kNotPlaceable) {
     return;
   }
   std::vector<const RegisteredTarget*>& offered = pool_targets_[held.pool];
   const RegisteredTarget* last = offered.back();
-  targets_.at(last->id).place = held.place;
-  offered[held.place] = last;
+  targets_.at(last->id).pool_position = held.pool_position;
+  offered[held.pool_position] = last;
   offered.pop_back();
-  held.place = kNotOffered;
+  held.pool_position = kNotPlaceable;
 }
 
 std::uint32_t SteeringView::pool_index(const std::string& name) {
@@ -116,7 +116,7 @@
   return found->second;
 }
 
-bool SteeringView::put_pools(const std::vector<Pool>& pools) {
+bool SteeringView::set_pools(const std::vector<Pool>& pools) {
   constexpr double kPerThousandSeconds = 1000;
   const auto before = std::exchange(cold_flows_per_s_, {});
   for (const auto& pool : pools) {
@@ -132,7 +132,7 @@
   return found == cold_flows_per_s_.end() ? 0 : found->second;
 }
 
-void SteeringView::put_frontend(const Frontend& frontend) {
+void SteeringView::upsert_frontend(const Frontend& frontend) {
   FrontendView view;
   view.address = frontend.address;
   view.timeout = std::chrono::milliseconds(frontend.timeout_ms);
@@ -157,38 +157,38 @@
   }
 }
 
-void SteeringView::unlink(HeldTarget& held) {
+void SteeringView::remove_from_indexes(TargetEntry& held) {
   const RegisteredTarget& target = held.target;
   by_token_.erase(target.token);
-  withdraw(held);
+  remove_from_pool(held);
   if (target.phase != TargetPhase::kEnded) {
-    const auto living = living_at_.find(target.address);
+    const auto living = live_by_address_.find(target.address);
     std::erase(living->second, target.id);
     if (living->second.empty()) {
-      living_at_.erase(living);
+      live_by_address_.erase(living);
     }
   }
 }
 
-void SteeringView::put_target(const RegisteredTarget& target) {
+void SteeringView::upsert_target(const RegisteredTarget& target) {
   const auto [found, is_new] = targets_.try_emplace(target.id);
-  HeldTarget& held = found->second;
+  TargetEntry& held = found->second;
   if (!is_new) {
-    unlink(held);
+    remove_from_indexes(held);
   }
   held.target = target;
   held.pool = pool_index(target.pool);
   by_token_[target.token] = target.id;
   if (target.phase != TargetPhase::kEnded) {
-    living_at_[target.address].push_back(target.id);
+    live_by_address_[target.address].push_back(target.id);
   }
-  offer_for_placement(held);
+  add_to_pool(held);
 }
 
 void SteeringView::forget_target(TargetId id) {
   const auto found = targets_.find(id);
   if (found != targets_.end()) {
-    unlink(found->second);
+    remove_from_indexes(found->second);
     targets_.erase(found);
   }
 }
@@ -218,13 +218,13 @@
   return pool != pools_.end() && frontend.reachable_pools.contains(pool->second);
 }
 
-std::vector<TargetId> SteeringView::living_at(const Endpoint& address) const {
-  const auto found = living_at_.find(address);
-  return found == living_at_.end() ? std::vector<TargetId>{} : found->second;
+std::vector<TargetId> SteeringView::live_targets_at(const Endpoint& address) const {
+  const auto found = live_by_address_.find(address);
+  return found == live_by_address_.end() ? std::vector<TargetId>{} : found->second;
 }
 
 bool SteeringView::is_replaced(const RegisteredTarget& target) const {
-  return target.phase == TargetPhase::kEnded && living_at_.contains(target.address);
+  return target.phase == TargetPhase::kEnded && live_by_address_.contains(target.address);
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -57,7 +57,7 @@
   [[nodiscard]] bool is_replaced(const RegisteredTarget& target) const;
   /// Targets at an address that have not ended, the earliest first; of the whole states that were
   /// taken, the order is not known.
-  [[nodiscard]] std::vector<TargetId> living_at(const Endpoint& address) const;
+  [[nodiscard]] std::vector<TargetId> live_targets_at(const Endpoint& address) const;
   /// True when an operator's order keeps new flows from the target's zone.
   [[nodiscard]] bool is_evacuated(const RegisteredTarget& target) const {
     return evacuated_zones_.contains(target.zone);
@@ -83,34 +83,34 @@
 
  private:
   /// Place of a target that is in no pool's list.
-  static constexpr std::size_t kNotOffered = SIZE_MAX;
+  static constexpr std::size_t kNotPlaceable = SIZE_MAX;
 
-  struct HeldTarget {
+  struct TargetEntry {
     RegisteredTarget target;
     std::uint32_t pool = 0;
     /// Where it stands in its pool's list.
-    std::size_t place = kNotOffered;
+    std::size_t pool_position = kNotPlaceable;
   };
 
   std::uint32_t pool_index(const std::string& name);
   /// True when a rate of cold targets has changed.
-  bool put_pools(const std::vector<Pool>& pools);
-  void put_frontend(const Frontend& frontend);
+  bool set_pools(const std::vector<Pool>& pools);
+  void upsert_frontend(const Frontend& frontend);
   void drop_frontend(const Endpoint& address);
-  void put_target(const RegisteredTarget& target);
+  void upsert_target(const RegisteredTarget& target);
   void forget_target(TargetId id);
   /// Takes all evacuated zones in place of the earlier ones.
   void set_evacuated_zones(const std::vector<EvacuatedZone>& evacuated);
   /// Puts a target into its pool's list when it may get new flows.
-  void offer_for_placement(HeldTarget& held);
+  void add_to_pool(TargetEntry& held);
   /// Takes a target out of its pool's list. Costs the same however many targets the pool has.
-  void withdraw(HeldTarget& held);
+  void remove_from_pool(TargetEntry& held);
   /// Takes a target out of the indexes, before it changes.
-  void unlink(HeldTarget& held);
+  void remove_from_indexes(TargetEntry& held);
 
   OperatorVersion version_ = 0;
   std::uint32_t idle_timeout_ms_ = 0;
-  absl::node_hash_map<TargetId, HeldTarget> targets_;
+  absl::node_hash_map<TargetId, TargetEntry> targets_;
   absl::flat_hash_map<std::string, std::uint32_t> pools_;
   /// Of the pools that have a bound.
   absl::flat_hash_map<std::string, double> cold_flows_per_s_;
@@ -120,7 +120,7 @@
   absl::flat_hash_set<std::string> evacuated_zones_;
   absl::flat_hash_map<FlowToken, TargetId> by_token_;
   /// Targets that have not ended, by address.
-  absl::flat_hash_map<Endpoint, std::vector<TargetId>> living_at_;
+  absl::flat_hash_map<Endpoint, std::vector<TargetId>> live_by_address_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -60,7 +60,7 @@
   void on_target(const RegisteredTarget& target);
   void on_forgotten(TargetId target);
 
-  /// True when `doubt` would begin a look at the target's zone.
+  /// True when `impairment` would begin a look at the target's zone.
   [[nodiscard]] bool may_look(TargetId target, Instant now) const;
   /// A packet that was sent to the target at `sent_at` is not answered in the time that answers
   /// take. `answered` are targets of any zone that answered lately, the latest first.
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -113,7 +113,7 @@
 }
 
 void SteeringTask::check_expectations(Instant now) {
-  steering_.check_expectations(now);
+  steering_.check_reply_timeouts(now);
   probe_soon(now);
   if (steering_.has_refused_probe()) {
     report_soon();
@@ -131,7 +131,7 @@
 }
 
 void SteeringTask::check_expectations_later(Instant now) {
-  const std::optional<Instant> next = steering_.next_expectation();
+  const std::optional<Instant> next = steering_.next_reply_deadline();
   if (checks_later_ || !next) {
     return;
   }
@@ -143,7 +143,7 @@
   });
 }
 
-bool SteeringTask::decide(const CallerPacket& packet, ByteView datagram, Instant now) {
+bool SteeringTask::decide(const ClientPacket& packet, ByteView datagram, Instant now) {
   const SteeringDecision decision = steering_.on_packet(packet, now);
   ++counters_.packets[static_cast<std::size_t>(decision.reason)];
   if (decision.reason == SteeringReason::kNoState) {
@@ -177,7 +177,7 @@
 void SteeringTask::look_after_targets(Instant now) {
   send_probes(now);
   judge_zone_paths(now);
-  const std::vector<UnreachableTarget> unreachable = steering_.conclude_reachability(now);
+  const std::vector<UnreachableTarget> unreachable = steering_.evaluate_reachability(now);
   for (const auto& one : unreachable) {
     on_unreachable(one);
   }
@@ -220,7 +220,7 @@
 }
 
 void SteeringTask::on_unreachable(const UnreachableTarget& unreachable) {
-  const std::vector<FlowReset> resets = steering_.end_flows_at(unreachable.target);
+  const std::vector<FlowReset> resets = steering_.reset_flows_to(unreachable.target);
   for (const auto& reset : resets) {
     send_reset(reset);
   }
@@ -233,8 +233,8 @@
 
 void SteeringTask::judge_zone_paths(Instant now) {
   const std::vector<ZonePathChange> changes =
-      steering_.conclude_zone_paths(link_.model().is_congested(now), now);
-  const std::vector<FlowReset> resets = steering_.end_flows_cut_off(now);
+      steering_.evaluate_zone_paths(link_.model().is_congested(now), now);
+  const std::vector<FlowReset> resets = steering_.reset_flows_to_unreachable_zones(now);
   for (const auto& reset : resets) {
     send_reset(reset);
   }
@@ -277,15 +277,15 @@
   socket_->flush();
 }
 
-void SteeringTask::log_decision(const CallerPacket& packet,
+void SteeringTask::log_decision(const ClientPacket& packet,
                                 const SteeringDecision& decision) const {
   if (decision.reason == SteeringReason::kToken) {
     return;
   }
   log_event(LogEvent::kFlowDecision,
-            {{"flow", to_string(packet.flow.caller) + ">" + to_string(packet.flow.frontend)},
+            {{"flow", to_string(packet.flow.client) + ">" + to_string(packet.flow.frontend)},
              {"reason", to_string(decision.reason)},
-             {"copies_before", packet.copies_before},
+             {"copies_before", packet.retransmissions},
              {"target", decision.target == nullptr ? 0 : decision.target->id},
              {"token", packet.token},
              {"revision", control_.fleet().revision}});
@@ -355,7 +355,7 @@
 }
 
 void SteeringTask::log_warm_up(Instant now) {
-  const std::vector<TargetId> cooled = steering_.take_cooled();
+  const std::vector<TargetId> cooled = steering_.take_newly_cold();
   if (!cooled.empty()) {
     log_event(LogEvent::kWarmUpBegan, {{"targets", cooled.size()},
                                        {"first", cooled.front()},
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -13,8 +13,8 @@
 #include "codec/envelope.h"
 #include "core/balancer/control_client.h"
 #include "core/link/narrow_link.h"
+#include "core/steering/buffered_packets.h"
 #include "core/steering/flow_steering.h"
-#include "core/steering/held_packets.h"
 #include "tasks/event_loop.h"
 #include "tasks/frame_network.h"
 #include "tasks/target_prober.h"
@@ -27,7 +27,7 @@
  public:
   virtual ~PacketFormat() = default;
   /// What steering needs of a datagram from a caller; nothing when it is malformed.
-  [[nodiscard]] virtual std::optional<CallerPacket> parse(ByteView datagram) const = 0;
+  [[nodiscard]] virtual std::optional<ClientPacket> parse(ByteView datagram) const = 0;
   /// Size of what is sent to a target in place of a caller's datagram, in octets.
   [[nodiscard]] virtual std::size_t forwarded_size(std::size_t datagram_size) const = 0;
   /// Writes what is sent to the target, with its token, into `out` of that size.
@@ -90,11 +90,11 @@
 
   void on_datagram(ByteView datagram, Instant now);
   /// Forwards or resets; false when nothing can be decided yet.
-  bool decide(const CallerPacket& packet, ByteView datagram, Instant now);
+  bool decide(const ClientPacket& packet, ByteView datagram, Instant now);
   /// Refuses a flow that the machine's link has no room for.
-  void refuse_for_want_of_room(const CallerPacket& packet);
+  void refuse_for_want_of_room(const ClientPacket& packet);
   /// Sends a packet to its target, or keeps it until the link has room for it.
-  void forward(const CallerPacket& packet, ByteView datagram, const RegisteredTarget& target,
+  void forward(const ClientPacket& packet, ByteView datagram, const RegisteredTarget& target,
                Instant now);
   /// Sends what waits for the link and may leave now.
   void send_due(Instant now);
@@ -122,7 +122,7 @@
   void on_tick();
   /// Asks the replicas more often until the first state is confirmed.
   void tick_until_ready();
-  void log_decision(const CallerPacket& packet, const SteeringDecision& decision) const;
+  void log_decision(const ClientPacket& packet, const SteeringDecision& decision) const;
 
   void send_control(const Endpoint& replica, const NodeMessage& message) override;
   void on_fleet(const FleetState& fleet, Instant now) override;
@@ -160,7 +160,7 @@
   ControlClient control_;
   FrameNetwork network_;
   std::unique_ptr<UdpSocket> socket_;
-  HeldPackets held_;
+  BufferedPackets held_;
   NarrowLink link_;
   bool sends_later_ = false;
   Instant link_logged_at_;
--- a/src/tasks/steering_task_link.cc
+++ b/src/tasks/steering_task_link.cc
@@ -18,17 +18,17 @@
 
 }  // namespace
 
-void SteeringTask::refuse_for_want_of_room(const CallerPacket& packet) {
+void SteeringTask::refuse_for_want_of_room(const ClientPacket& packet) {
   log_event(LogEvent::kFlowDecision,
-            {{"flow", to_string(packet.flow.caller) + ">" + to_string(packet.flow.frontend)},
+            {{"flow", to_string(packet.flow.client) + ">" + to_string(packet.flow.frontend)},
              {"reason", "link_full"},
-             {"copies_before", packet.copies_before},
+             {"copies_before", packet.retransmissions},
              {"committed_ms", link_.admission().committed() / milliseconds(1)},
              {"bulk_flows", link_.admission().flows()}});
   send_reset(reset_of(packet));
 }
 
-void SteeringTask::forward(const CallerPacket& packet, ByteView datagram,
+void SteeringTask::forward(const ClientPacket& packet, ByteView datagram,
                            const RegisteredTarget& target, Instant now) {
   const std::size_t size = format_.forwarded_size(datagram.size());
   std::span<std::uint8_t> out;
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -65,9 +65,9 @@
     const auto packet = format.parse(kOpening);
     REQUIRE(packet);
     CHECK(packet->opens);
-    CHECK(to_string(packet->flow.caller) == "100.64.0.7:40001");
+    CHECK(to_string(packet->flow.client) == "100.64.0.7:40001");
     CHECK(to_string(packet->flow.frontend) == "198.18.0.1:443");
-    CHECK(packet->copies_before == 0);
+    CHECK(packet->retransmissions == 0);
     CHECK(format.make_reset(reset_of(*packet)) == kReset);
     CHECK(to_string(format.reset_destination(reset_of(*packet))) == "100.64.0.7:8172");
   }
--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -96,7 +96,7 @@
   };
   /// One try of an upload, or a short request.
   struct Flow {
-    CallerPacket head;
+    ClientPacket head;
     std::size_t balancer = 0;
     std::shared_ptr<Upload> upload;
     Instant began;
@@ -160,9 +160,9 @@
     if (flow->is_open || flow->is_refused) {
       return;
     }
-    CallerPacket packet = flow->head;
+    ClientPacket packet = flow->head;
     packet.opens = true;
-    packet.copies_before = after == 0 ? 0 : after == 200 ? 1 : 2;
+    packet.retransmissions = after == 0 ? 0 : after == 200 ? 1 : 2;
     const bool may_pass = arrive(flow, packet, [this, flow] {
       at(kHop, [this, flow] {
         if (!flow->is_open) {
@@ -188,7 +188,7 @@
     if (flow->is_done || has_left || number < flow->acknowledged) {
       return;
     }
-    CallerPacket packet = flow->head;
+    ClientPacket packet = flow->head;
     packet.sequence = number * kPacket;
     packet.data_size = kPacket;
     arrive(flow, packet, [this, flow, number] { on_target(flow, number); });
@@ -220,7 +220,7 @@
     outcome_.uploads_in_time += took <= frontend_.latency_objective ? 1 : 0;
     outcome_.uploads_late +=
         took > frontend_.latency_objective && took <= frontend_.timeout ? 1 : 0;
-    CallerPacket packet = flow->head;
+    ClientPacket packet = flow->head;
     packet.sequence = flow->upload->packets * kPacket;
     packet.closes = true;
     arrive(flow, packet, [] {});
@@ -236,7 +236,7 @@
     if (flow->is_done || now_ - flow->began > short_frontend_.timeout) {
       return;
     }
-    CallerPacket packet = flow->head;
+    ClientPacket packet = flow->head;
     packet.flow.frontend.port = 444;
     packet.data_size = 300;
     arrive(flow, packet, [this, flow] {
@@ -248,7 +248,7 @@
   }
 
   /// A packet comes to its balancer; false when it is refused.
-  bool arrive(const FlowPointer& flow, const CallerPacket& packet,
+  bool arrive(const FlowPointer& flow, const ClientPacket& packet,
               const std::function<void()>& reached) {
     Balancer& balancer = *links_[flow->balancer];
     const std::size_t size = packet.data_size + 40;
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -250,7 +250,7 @@
   }
 
   void open_elsewhere(CallerFlow& flow) {
-    flow.flow.caller.port = static_cast<std::uint16_t>(flow.flow.caller.port + 1);
+    flow.flow.client.port = static_cast<std::uint16_t>(flow.flow.client.port + 1);
     flow.target = 1 + random_() % kTargets;
     flow.balancer = random_() % kBalancers;
     flow.sent_at.reset();
@@ -262,7 +262,7 @@
     if (is_lost() || now_ < stalled_until_[flow.balancer]) {
       return;
     }
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = flow.flow;
     packet.token = token(flow.target);
     packet.sequence = flow.sequence;
@@ -302,9 +302,9 @@
         answers_.push_back({i, probe.number, answer, now_ + link_delay(i) + round_trip});
       }
     }
-    for (const auto& concluded : balancers_[i].conclude_reachability(now_)) {
+    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
       check_conclusion(i, concluded);
-      for (const auto& reset : balancers_[i].end_flows_at(concluded.target)) {
+      for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
         tell(reset);
       }
     }
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -116,7 +116,7 @@
     }
   }
 
-  /// From `at` on, a third of all targets are in this state, until `until`.
+  /// From `sent_at` on, a third of all targets are in this state, until `until`.
   void make_trouble(TargetState trouble, Duration at, Duration until) {
     trouble_ = trouble;
     trouble_at_ = kStart + at;
@@ -217,10 +217,10 @@
   }
 
   void send_opening(Caller& caller) {
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{caller.address, caller.port}, kFrontend};
     packet.opens = true;
-    packet.copies_before = static_cast<std::uint32_t>(caller.copies);
+    packet.retransmissions = static_cast<std::uint32_t>(caller.copies);
     const SteeringDecision decision = balancers_[caller.balancer].on_packet(packet, now_);
     if (decision.action != SteeringAction::kForward) {
       caller.tries_again_at = now_ + kTryAgainAfter;
@@ -260,7 +260,7 @@
 
   /// The flow is open; its caller is served, and closes it.
   void finish(Caller& caller) {
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{caller.address, caller.port}, kFrontend};
     packet.token = static_cast<FlowToken>(100 + caller.target);
     packet.acknowledged = 1;
@@ -279,10 +279,10 @@
 
   void step_balancer(std::size_t i) {
     FlowSteering& balancer = balancers_[i];
-    const auto next = balancer.next_expectation();
+    const auto next = balancer.next_reply_deadline();
     const bool is_due = (next && now_ >= *next) || (now_ - kStart) % kTick == kStep * (i + 1);
     if (is_due) {
-      balancer.check_expectations(now_);
+      balancer.check_reply_timeouts(now_);
     }
     const bool steps = balancer.is_probing() && (is_due || (now_ - kStart) % kProbeStep == kStep);
     if (steps) {
@@ -304,8 +304,8 @@
         this->probe(i);
       });
     }
-    for (const auto& concluded : balancers_[i].conclude_reachability(now_)) {
-      outcome_.flows_ended += balancers_[i].end_flows_at(concluded.target).size();
+    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
+      outcome_.flows_ended += balancers_[i].reset_flows_to(concluded.target).size();
     }
   }
 
--- a/tests/sim/test_steering_workload.cc
+++ b/tests/sim/test_steering_workload.cc
@@ -38,7 +38,7 @@
       balancers_.emplace_back(seed + i);
       balancers_.back().set_faults(faults);
       balancers_.back().confirm(now_);
-      held_.push_back(0);
+      revisions_.push_back(0);
     }
     submit();
     for (int i = 0; i < 8; ++i) {
@@ -60,7 +60,7 @@
         change_target();
       } else if (choice < 25) {
         const std::size_t i = random_() % kBalancers;
-        catch_up(i, held_[i] + 1 + random_() % (history_.size() - held_[i] + 1));
+        catch_up(i, revisions_[i] + 1 + random_() % (history_.size() - revisions_[i] + 1));
       } else if (choice < 45) {
         open_flow();
       } else if (!flows_.empty()) {
@@ -79,7 +79,7 @@
     history_.push_back(state_);
     for (const auto& frontend : state_.settings.frontends) {
       for (const auto& part : frontend.pools) {
-        ever_reached_.insert({frontend.address, part.pool});
+        allowed_pools_.insert({frontend.address, part.pool});
       }
     }
   }
@@ -114,18 +114,18 @@
     }
     target.sequence = 1;
     command.announced.push_back(target);
-    living_.insert(target.id);
+    live_targets_.insert(target.id);
     record(steering_delta(state_, command, TokenIndex(state_)));
   }
 
-  const RegisteredTarget& any_target() {
+  const RegisteredTarget& random_target() {
     const auto place = static_cast<std::ptrdiff_t>(random_() % state_.targets.size());
     return std::next(state_.targets.begin(), place)->second;
   }
 
   void change_target() {
-    const RegisteredTarget target = any_target();
-    if (!living_.contains(target.id)) {
+    const RegisteredTarget target = random_target();
+    if (!live_targets_.contains(target.id)) {
       announce_new(random_() % 2 == 0 ? "alpha" : "beta");
       return;
     }
@@ -136,9 +136,9 @@
     RegistrationCommand command;
     if (target.phase == TargetPhase::kDraining) {
       command.ended.push_back(target.life());
-      living_.erase(target.id);
+      live_targets_.erase(target.id);
       free_addresses_.push_back(target.address);
-    } else if (living_.size() > 4) {
+    } else if (live_targets_.size() > 4) {
       RegisteredTarget draining = target;
       draining.phase = TargetPhase::kDraining;
       draining.sequence = target.sequence + 1;
@@ -161,34 +161,34 @@
 
   void catch_up(std::size_t i, std::size_t revision) {
     const std::size_t to = std::min(revision, history_.size());
-    if (to > held_[i]) {
-      held_[i] = to;
+    if (to > revisions_[i]) {
+      revisions_[i] = to;
       balancers_[i].adopt(history_[to - 1], now_);
     }
   }
 
   void open_flow() {
     const std::size_t i = random_() % kBalancers;
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64400000 + ++last_caller_, 1}, random_() % 3 == 0 ? kSecond : kFirst};
     packet.opens = true;
     const SteeringDecision decision = balancers_[i].on_packet(packet, now_);
     if (decision.action != SteeringAction::kForward) {
       return;
     }
-    check_reach(packet, *decision.target);
-    const RegisteredTarget* known = find_target(history_[held_[i] - 1], decision.target->id);
+    check_pool(packet, *decision.target);
+    const RegisteredTarget* known = find_target(history_[revisions_[i] - 1], decision.target->id);
     if (known == nullptr || known->phase >= TargetPhase::kDraining) {
       violation_ = "a leaving target got a new flow";
     }
-    if (living_.contains(decision.target->id)) {
+    if (live_targets_.contains(decision.target->id)) {
       flows_.push_back({packet.flow, decision.target->id, decision.target->token});
     }
   }
 
   void send_packet() {
     const OpenFlow& flow = flows_[random_() % flows_.size()];
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = flow.flow;
     packet.token = flow.token;
     packet.acknowledged = static_cast<std::uint32_t>(random_());
@@ -196,25 +196,26 @@
     const std::size_t i = random_() % kBalancers;
     const SteeringDecision decision = balancers_[i].on_packet(packet, now_);
     if (decision.action == SteeringAction::kForward) {
-      check_reach(packet, *decision.target);
+      check_pool(packet, *decision.target);
       if (decision.target->id != flow.target) {
         violation_ = "an open flow moved";
       }
     }
     const bool dropped = decision.reason == SteeringReason::kFrontendDropped;
-    if (decision.action == SteeringAction::kReset && living_.contains(flow.target) && !dropped) {
+    if (decision.action == SteeringAction::kReset && live_targets_.contains(flow.target) &&
+        !dropped) {
       violation_ = "a flow of a living target was reset";
     }
     // A caller may send any token it likes.
-    packet.token = any_target().token;
+    packet.token = random_target().token;
     const SteeringDecision forged = balancers_[i].on_packet(packet, now_);
     if (forged.action == SteeringAction::kForward) {
-      check_reach(packet, *forged.target);
+      check_pool(packet, *forged.target);
     }
   }
 
-  void check_reach(const CallerPacket& packet, const RegisteredTarget& target) {
-    if (!ever_reached_.contains({packet.flow.frontend, target.pool})) {
+  void check_pool(const ClientPacket& packet, const RegisteredTarget& target) {
+    if (!allowed_pools_.contains({packet.flow.frontend, target.pool})) {
       violation_ = "a packet reached a pool that its frontend never had";
     }
   }
@@ -228,11 +229,11 @@
   std::vector<SteeringState> history_;
   std::vector<FlowSteering> balancers_;
   /// Revisions that each balancer has.
-  std::vector<std::size_t> held_;
-  std::set<TargetId> living_;
+  std::vector<std::size_t> revisions_;
+  std::set<TargetId> live_targets_;
   std::vector<Endpoint> free_addresses_;
   std::vector<OpenFlow> flows_;
-  std::set<std::pair<Endpoint, std::string>> ever_reached_;
+  std::set<std::pair<Endpoint, std::string>> allowed_pools_;
   std::string violation_;
 };
 
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -197,7 +197,7 @@
     const double per_s = now_ > kReturn - seconds(1) ? kBusyFlowsPerS : 600;
     const double pause_s = std::exponential_distribution<>(per_s)(random_);
     at(now_ + Duration(static_cast<std::int64_t>(pause_s * 1e6) + 1), [this] { call(); });
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64400000 + ++last_caller_, 1}, kFrontend};
     packet.opens = true;
     const std::uint32_t i = pick_balancer();
@@ -209,24 +209,24 @@
     }
   }
 
-  void repeat(std::uint32_t i, CallerPacket packet, std::uint32_t copies) {
-    packet.copies_before = copies;
+  void repeat(std::uint32_t i, ClientPacket packet, std::uint32_t copies) {
+    packet.retransmissions = copies;
     open(i, packet, false);
   }
 
-  void open(std::uint32_t i, const CallerPacket& packet, bool is_answered) {
+  void open(std::uint32_t i, const ClientPacket& packet, bool is_answered) {
     const SteeringDecision decision = balancers_[i].steering->on_packet(packet, now_);
     if (decision.action != SteeringAction::kForward) {
       ++measured_.refused;
       return;
     }
-    if (decision.reason != SteeringReason::kCopy) {
+    if (decision.reason != SteeringReason::kRetransmission) {
       taken_[decision.target->id].push_back(now_);
     }
     if (!is_answered) {
       return;
     }
-    CallerPacket follows = packet;
+    ClientPacket follows = packet;
     follows.opens = false;
     follows.token = decision.target->token;
     at(now_ + milliseconds(5),
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -187,7 +187,7 @@
   }
 
   void open(CallerFlow& flow) {
-    flow.flow.caller.port = static_cast<std::uint16_t>(flow.flow.caller.port + 1);
+    flow.flow.client.port = static_cast<std::uint16_t>(flow.flow.client.port + 1);
     flow.sent_at.reset();
     flow.answer_at.reset();
     flow.repeat_at.reset();
@@ -195,7 +195,7 @@
     if (is_frozen(flow.balancer)) {
       return;
     }
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = flow.flow;
     packet.opens = true;
     const SteeringDecision decision = balancers_[flow.balancer].on_packet(packet, now_);
@@ -214,7 +214,7 @@
     if (is_frozen(balancer) || is_lost(balancer)) {
       return;
     }
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = flow.flow;
     packet.token = token(flow.target);
     packet.sequence = flow.sequence;
@@ -273,14 +273,14 @@
     }
     // Half of the balancers do not know the rate of their link.
     const bool is_congested = is_troubled(Trouble::kFullLink) && i == zone_ && knows_link_;
-    for (const auto& change : balancers_[i].conclude_zone_paths(is_congested, now_)) {
+    for (const auto& change : balancers_[i].evaluate_zone_paths(is_congested, now_)) {
       check_change(i, change);
     }
-    for (const auto& reset : balancers_[i].end_flows_cut_off(now_)) {
+    for (const auto& reset : balancers_[i].reset_flows_to_unreachable_zones(now_)) {
       tell(reset);
     }
-    for (const auto& concluded : balancers_[i].conclude_reachability(now_)) {
-      for (const auto& reset : balancers_[i].end_flows_at(concluded.target)) {
+    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
+      for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
         tell_of_target(reset);
       }
     }
--- a/tests/unit/test_allocation.cc
+++ b/tests/unit/test_allocation.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Sends without keeping anything.
-class SilentOutput : public BalancerOutput {
+class DiscardingOutput : public BalancerOutput {
  public:
   void send_to_caller(const FlowKey& /*flow*/, ByteView /*message*/) override { ++answers; }
   void send_to_target(const Endpoint& target, const ProxyHeader& header,
@@ -31,7 +31,7 @@
 TEST_SUITE("allocation") {
   TEST_CASE("an established flow's request and answer allocate nothing") {
     const FleetState fleet = make_test_fleet();
-    SilentOutput output;
+    DiscardingOutput output;
     Balancer balancer({fleet.members[0], {}}, output);
     const Instant now{std::chrono::seconds(1000)};
     balancer.on_fleet(fleet, now);
@@ -83,7 +83,7 @@
     steering.confirm(start);
     // What went before is not observed in the first second.
     Instant now = start;
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64400007, 1}, address};
     packet.token = 101;
     packet.data_size = 100;
--- a/tests/unit/test_flow_placement.cc
+++ b/tests/unit/test_flow_placement.cc
@@ -26,7 +26,7 @@
   return target;
 }
 
-SteeringState pool_of(TargetId count) {
+SteeringState make_pool_state(TargetId count) {
   SteeringState state;
   state.settings.version = 1;
   state.settings.idle_timeout_ms = 60000;
@@ -37,8 +37,8 @@
   return state;
 }
 
-CallerPacket opening(std::uint32_t caller) {
-  CallerPacket packet;
+ClientPacket opening(std::uint32_t caller) {
+  ClientPacket packet;
   packet.flow = {{0x64400000U + caller, 4000}, kFrontend};
   packet.opens = true;
   return packet;
@@ -65,13 +65,13 @@
 };
 
 /// Targets looked at by each of some openings in a pool, on average.
-double looked_at(TargetId targets, const SteeringPolicy& policy) {
+double mean_targets_examined(TargetId targets, const SteeringPolicy& policy) {
   constexpr int kOpenings = 50;
-  PlacingBalancer balancer(pool_of(targets), policy);
+  PlacingBalancer balancer(make_pool_state(targets), policy);
   for (int i = 0; i < kOpenings; ++i) {
     balancer.place();
   }
-  return static_cast<double>(balancer.counters().looked_at) / kOpenings;
+  return static_cast<double>(balancer.counters().targets_examined) / kOpenings;
 }
 
 }  // namespace
@@ -81,20 +81,20 @@
     // Before, and still with `sample` 0: all of them.
     const SteeringPolicy policy;
     for (const TargetId targets : {500U, 1000U, 2000U, 4000U, 8000U}) {
-      CHECK(looked_at(targets, policy) == policy.sample);
+      CHECK(mean_targets_examined(targets, policy) == policy.sample);
     }
     // Small pools are looked at as a whole.
-    CHECK(looked_at(100, policy) == 100);
+    CHECK(mean_targets_examined(100, policy) == 100);
     SteeringPolicy all;
     all.sample = 0;
-    CHECK(looked_at(1000, all) == 1000);
+    CHECK(mean_targets_examined(1000, all) == 1000);
   }
 
   TEST_CASE("samples spread flows as evenly as a look at the whole pool") {
     constexpr TargetId kTargets = 1000;
     constexpr int kBalancers = 40;
     constexpr int kFlowsEach = 200;
-    const SteeringState state = pool_of(kTargets);
+    const SteeringState state = make_pool_state(kTargets);
     SteeringPolicy whole;
     whole.sample = 0;
     const auto busiest = [&](const SteeringPolicy& policy) {
@@ -116,7 +116,7 @@
   TEST_CASE("where most of a pool is in trouble, flows still go to the others") {
     constexpr TargetId kTargets = 1000;
     // Each 200th is well: five of a thousand, so most samples hold none of them.
-    SteeringState state = pool_of(kTargets);
+    SteeringState state = make_pool_state(kTargets);
     for (auto& [id, target] : state.targets) {
       target.phase = id % 200 == 0 ? TargetPhase::kReady : TargetPhase::kSilent;
     }
@@ -124,14 +124,14 @@
     for (int i = 0; i < 100; ++i) {
       CHECK(balancer.place() % 200 == 0);
     }
-    CHECK(balancer.counters().whole_pools > 0);
+    CHECK(balancer.counters().full_scans > 0);
   }
 
   TEST_CASE("a change of one target moves no others in its pool's list") {
     // Before, half of them: 502 of 1,002 targets, 1,002 of 2,002 and 2,002 of 4,002.
     for (const TargetId targets : {1000U, 2000U, 4000U}) {
       SteeringView view;
-      view.reset(pool_of(targets));
+      view.reset(make_pool_state(targets));
       const std::vector<const RegisteredTarget*> before = view.pool_targets(0);
       SteeringDelta delta;
       delta.upserted_targets = {make_target(targets / 2)};
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -4,8 +4,8 @@
 #include <map>
 
 #include "core/control/steering_commands.h"
+#include "core/steering/buffered_packets.h"
 #include "core/steering/flow_steering.h"
-#include "core/steering/held_packets.h"
 
 namespace gorsevalve {
 namespace {
@@ -39,17 +39,17 @@
   return state;
 }
 
-CallerPacket opening(std::uint16_t port, std::uint32_t copies_before = 0) {
-  CallerPacket packet;
+ClientPacket opening(std::uint16_t port, std::uint32_t copies_before = 0) {
+  ClientPacket packet;
   packet.flow = {{0x64400007, port}, kFrontend};
   packet.opens = true;
-  packet.copies_before = copies_before;
+  packet.retransmissions = copies_before;
   return packet;
 }
 
-CallerPacket later(std::uint16_t port, FlowToken token, std::uint32_t acknowledged = 1,
-                   std::uint32_t data = 0) {
-  CallerPacket packet;
+ClientPacket established(std::uint16_t port, FlowToken token, std::uint32_t acknowledged = 1,
+                         std::uint32_t data = 0) {
+  ClientPacket packet;
   packet.flow = {{0x64400007, port}, kFrontend};
   packet.token = token;
   packet.acknowledged = acknowledged;
@@ -58,9 +58,9 @@
 }
 
 /// A flow that was open before gets an answer from target 2 within 20 ms.
-void answer_promptly(FlowSteering& steering, Instant now) {
-  steering.on_packet(later(9000, 102, 1, 100), now - milliseconds(20));
-  steering.on_packet(later(9000, 102, 501), now);
+void respond_quickly(FlowSteering& steering, Instant now) {
+  steering.on_packet(established(9000, 102, 1, 100), now - milliseconds(20));
+  steering.on_packet(established(9000, 102, 501), now);
 }
 
 /// A balancer with the given state.
@@ -96,8 +96,8 @@
 
 /// A balancer with two targets that answer: flows 1 and 2 are open at the one that is to die, flow
 /// 3 at the other.
-struct DyingTarget {
-  DyingTarget() { open_flows(); }
+struct FailingTarget {
+  FailingTarget() { open_flows(); }
 
   FlowSteering& steering() { return balancer.steering; }
   [[nodiscard]] static FlowToken token(TargetId id) { return static_cast<FlowToken>(100 + id); }
@@ -105,9 +105,9 @@
   /// Each flow has one request that is answered.
   void open_flows() {
     for (const auto& [port, at] :
-         {std::pair<std::uint16_t, TargetId>{1, dying}, {2, dying}, {3, living}}) {
-      steering().on_packet(later(port, token(at), acknowledged, 100), now);
-      steering().on_packet(later(port, token(at), acknowledged + 500, 0), now + answer_time);
+         {std::pair<std::uint16_t, TargetId>{1, failing}, {2, failing}, {3, healthy}}) {
+      steering().on_packet(established(port, token(at), acknowledged, 100), now);
+      steering().on_packet(established(port, token(at), acknowledged + 500, 0), now + answer_time);
     }
     now += answer_time;
     acknowledged += 500;
@@ -116,7 +116,7 @@
   /// A packet with data that the caller has not sent, or sends again, after a while.
   SteeringDecision send_request(std::uint16_t port, TargetId at, Duration after = Duration(0)) {
     now += after;
-    return steering().on_packet(later(port, token(at), acknowledged, 100), now);
+    return steering().on_packet(established(port, token(at), acknowledged, 100), now);
   }
 
   /// Steps the probes for some time; targets that are named accept connections, others are silent,
@@ -134,14 +134,14 @@
           steering().on_probe_answer(probe.number, answer, now + milliseconds(1));
         }
       }
-      const auto concluded = steering().conclude_reachability(now);
+      const auto concluded = steering().evaluate_reachability(now);
       all.insert(all.end(), concluded.begin(), concluded.end());
     }
     return all;
   }
 
-  const TargetId dying = 1;
-  const TargetId living = 2;
+  const TargetId failing = 1;
+  const TargetId healthy = 2;
   SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")});
   SteeringBalancer balancer{state};
   Instant now = kStart + seconds(1);
@@ -153,29 +153,29 @@
 
 TEST_SUITE("flow_steering") {
   TEST_CASE("a target that was dead and starts again under its id gets flows at once") {
-    DyingTarget test;
-    test.send_request(1, test.dying);
-    test.send_request(1, test.dying, milliseconds(200));
-    REQUIRE(test.run(milliseconds(200), {test.living}).size() == 1);
+    FailingTarget test;
+    test.send_request(1, test.failing);
+    test.send_request(1, test.failing, milliseconds(200));
+    REQUIRE(test.run(milliseconds(200), {test.healthy}).size() == 1);
     REQUIRE(test.steering().unreachable_targets() == 1);
     SteeringDelta restart;
-    restart.upserted_targets = {target(test.dying, "alpha")};
+    restart.upserted_targets = {target(test.failing, "alpha")};
     restart.upserted_targets[0].started_at_ms = 1;
     test.steering().apply(restart, test.now);
     CHECK(test.steering().unreachable_targets() == 0);
-    const TargetScore* score = test.steering().scores().find(test.dying);
+    const TargetScore* score = test.steering().scores().find(test.failing);
     REQUIRE(score != nullptr);
     CHECK(score->open_flows == 0);
     CHECK(score->answer_us == 0);
-    CHECK_FALSE(test.steering().scores().is_suspected(test.dying, test.now));
+    CHECK_FALSE(test.steering().scores().is_suspected(test.failing, test.now));
     // The target itself refuses packets of flows of its earlier life.
-    const SteeringDecision decision = test.send_request(1, test.dying);
+    const SteeringDecision decision = test.send_request(1, test.failing);
     CHECK(decision.action == SteeringAction::kForward);
     std::size_t placed = 0;
     for (std::uint16_t port = 100; port < 140; ++port) {
       const SteeringDecision opened = test.steering().on_packet(opening(port), test.now);
       REQUIRE(opened.target != nullptr);
-      placed += opened.target->id == test.dying ? 1 : 0;
+      placed += opened.target->id == test.failing ? 1 : 0;
     }
     CHECK(placed >= 10);
   }
@@ -188,14 +188,14 @@
     restart.upserted_targets = {target(1, "alpha")};
     restart.upserted_targets[0].started_at_ms = 1;
     balancer.steering.apply(restart, at + milliseconds(50));
-    balancer.steering.check_expectations(at + milliseconds(400));
+    balancer.steering.check_reply_timeouts(at + milliseconds(400));
     CHECK_FALSE(balancer.steering.scores().is_suspected(1, at + milliseconds(400)));
     // The same in a whole state.
     REQUIRE(balancer.steering.on_packet(opening(2), at + seconds(1)).target->id == 1);
     SteeringState whole = make_state({{"alpha", 1}}, {target(1, "alpha")});
     whole.targets.at(1).started_at_ms = 2;
     balancer.steering.adopt(whole, at + milliseconds(1050));
-    balancer.steering.check_expectations(at + milliseconds(1400));
+    balancer.steering.check_reply_timeouts(at + milliseconds(1400));
     CHECK_FALSE(balancer.steering.scores().is_suspected(1, at + milliseconds(1400)));
   }
 
@@ -223,7 +223,7 @@
     state.targets.at(id).phase = TargetPhase::kDraining;
     state.put(target(3, "alpha"));
     SteeringBalancer second(state);
-    const auto followed = second.steering.on_packet(later(1, token), kStart);
+    const auto followed = second.steering.on_packet(established(1, token), kStart);
     REQUIRE(followed.action == SteeringAction::kForward);
     CHECK(followed.target->id == id);
     CHECK(followed.reason == SteeringReason::kToken);
@@ -243,7 +243,7 @@
   TEST_CASE("an open flow goes on at a target that has said that it ended") {
     SteeringBalancer test(
         make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kEnded), target(3, "alpha")}));
-    const auto decision = test.steering.on_packet(later(1, 101), kStart);
+    const auto decision = test.steering.on_packet(established(1, 101), kStart);
     REQUIRE(decision.action == SteeringAction::kForward);
     CHECK(decision.target->id == 1);
   }
@@ -253,7 +253,7 @@
     heir.address = target(1, "alpha").address;
     SteeringBalancer test(
         make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kEnded), heir}));
-    const auto decision = test.steering.on_packet(later(1, 101), kStart);
+    const auto decision = test.steering.on_packet(established(1, 101), kStart);
     CHECK(decision.action == SteeringAction::kReset);
     CHECK(decision.reason == SteeringReason::kTargetReplaced);
   }
@@ -261,17 +261,18 @@
   TEST_CASE("a token counts only where the frontend reaches the target, or did before") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "beta")});
     SteeringBalancer test(state);
-    CHECK(test.steering.on_packet(later(1, 102), kStart).reason == SteeringReason::kForeignToken);
+    CHECK(test.steering.on_packet(established(1, 102), kStart).reason ==
+          SteeringReason::kForeignToken);
     state.settings.version = 2;
     state.settings.frontends[0].former_pools = {"beta"};
     test.steering.adopt(state, kStart);
-    CHECK(test.steering.on_packet(later(1, 102), kStart).reason == SteeringReason::kToken);
+    CHECK(test.steering.on_packet(established(1, 102), kStart).reason == SteeringReason::kToken);
   }
 
   TEST_CASE("unknown tokens are dropped and never guessed") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-    CHECK(test.steering.on_packet(later(1, 999), kStart).action == SteeringAction::kDrop);
-    CHECK(test.steering.on_packet(later(1, 0), kStart).action == SteeringAction::kDrop);
+    CHECK(test.steering.on_packet(established(1, 999), kStart).action == SteeringAction::kDrop);
+    CHECK(test.steering.on_packet(established(1, 0), kStart).action == SteeringAction::kDrop);
   }
 
   TEST_CASE("the first copy of an opening packet meets the same target, the second another") {
@@ -282,7 +283,7 @@
     const auto copy = test.steering.on_packet(opening(1, 1), kStart + milliseconds(200));
     REQUIRE(copy.target != nullptr);
     CHECK(copy.target->id == id);
-    CHECK(copy.reason == SteeringReason::kCopy);
+    CHECK(copy.reason == SteeringReason::kRetransmission);
     const auto second = test.steering.on_packet(opening(1, 2), kStart + milliseconds(600));
     REQUIRE(second.target != nullptr);
     CHECK(second.target->id != id);
@@ -310,7 +311,7 @@
         late_to_dead += port > 8 ? 1 : 0;
         test.steering.on_packet(opening(port, 1), now);
       } else {
-        test.steering.on_packet(later(port, 102), now);
+        test.steering.on_packet(established(port, 102), now);
       }
     }
     CHECK(late_to_dead == 0);
@@ -344,12 +345,12 @@
   TEST_CASE("an overdue opening leads to a probe, whose refusal keeps new flows away at once") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     Instant now = kStart + seconds(5);
-    answer_promptly(test.steering, now);
+    respond_quickly(test.steering, now);
     const TargetId down = test.steering.on_packet(opening(1), now).target->id;
-    REQUIRE(test.steering.next_expectation() == now + OpeningTimes::kMost);
-    now += OpeningTimes::kMost;
+    REQUIRE(test.steering.next_reply_deadline() == now + HandshakeTimes::kMaxTimeout);
+    now += HandshakeTimes::kMaxTimeout;
     CHECK_FALSE(test.steering.is_probing());
-    test.steering.check_expectations(now);
+    test.steering.check_reply_timeouts(now);
     const auto probes = test.steering.take_probes(now);
     REQUIRE(probes.size() == 1);
     CHECK(probes[0].address == target(down, "alpha").address);
@@ -367,10 +368,10 @@
   TEST_CASE("a full target is avoided while it refuses, and no longer") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     Instant now = kStart + seconds(5);
-    answer_promptly(test.steering, now);
+    respond_quickly(test.steering, now);
     const TargetId full = test.steering.on_packet(opening(1), now).target->id;
-    now += OpeningTimes::kMost;
-    test.steering.check_expectations(now);
+    now += HandshakeTimes::kMaxTimeout;
+    test.steering.check_reply_timeouts(now);
     const auto first = test.steering.take_probes(now);
     REQUIRE(first.size() == 1);
     test.steering.on_probe_answer(first[0].number, ProbeAnswer::kRefused, now);
@@ -378,7 +379,7 @@
     now += milliseconds(100);
     CHECK(test.steering.on_packet(opening(1, 1), now).target->id != full);
     now += milliseconds(200);
-    test.steering.check_expectations(now);
+    test.steering.check_reply_timeouts(now);
     for (const auto& probe : test.steering.take_probes(now)) {
       test.steering.on_probe_answer(probe.number, ProbeAnswer::kAccepted, now);
     }
@@ -395,11 +396,11 @@
   TEST_CASE("where answers take long, a target that lets an opening wait may be full: no probe") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(5);
-    test.steering.on_packet(later(9000, 102, 1, 100), now - milliseconds(300));
-    test.steering.on_packet(later(9000, 102, 501), now);
+    test.steering.on_packet(established(9000, 102, 1, 100), now - milliseconds(300));
+    test.steering.on_packet(established(9000, 102, 501), now);
     test.steering.on_packet(opening(1), now);
-    test.steering.check_expectations(now + OpeningTimes::kMost);
-    CHECK(test.steering.take_probes(now + OpeningTimes::kMost).empty());
+    test.steering.check_reply_timeouts(now + HandshakeTimes::kMaxTimeout);
+    CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
     // Nor is what others tell believed.
     test.steering.on_refusing({"", {101}}, now);
     bool is_used = false;
@@ -412,10 +413,10 @@
   TEST_CASE("in the first seconds of a balancer prompt answers tell nothing of queues") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(2);
-    answer_promptly(test.steering, now);
+    respond_quickly(test.steering, now);
     test.steering.on_packet(opening(1), now);
-    test.steering.check_expectations(now + OpeningTimes::kMost);
-    CHECK(test.steering.take_probes(now + OpeningTimes::kMost).empty());
+    test.steering.check_reply_timeouts(now + HandshakeTimes::kMaxTimeout);
+    CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
   }
 
   TEST_CASE("what others tell of refusals counts from the own zone and from the target's") {
@@ -440,11 +441,11 @@
   TEST_CASE("an opening that the own link keeps back leads to no probe") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(5);
-    answer_promptly(test.steering, now);
+    respond_quickly(test.steering, now);
     test.steering.set_link_congested(true, now);
     test.steering.on_packet(opening(1), now);
-    test.steering.check_expectations(now + OpeningTimes::kMost);
-    CHECK(test.steering.take_probes(now + OpeningTimes::kMost).empty());
+    test.steering.check_reply_timeouts(now + HandshakeTimes::kMaxTimeout);
+    CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
   }
 
   TEST_CASE("a request without an answer is told, unless it may have gone on elsewhere") {
@@ -452,11 +453,11 @@
     // that were held at the start.
     for (const bool stops : {false, true}) {
       SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-      test.steering.on_packet(later(1, 101, 1, 500), kStart + milliseconds(500));
+      test.steering.on_packet(established(1, 101, 1, 500), kStart + milliseconds(500));
       Instant now = kStart + seconds(2);
-      test.steering.on_packet(later(2, 101, 1, 500), now);
-      test.steering.on_packet(later(3, 101, 1, 500), now);
-      test.steering.on_packet(later(3, 101, 2), now + milliseconds(30));
+      test.steering.on_packet(established(2, 101, 1, 500), now);
+      test.steering.on_packet(established(3, 101, 1, 500), now);
+      test.steering.on_packet(established(3, 101, 2), now + milliseconds(30));
       if (stops) {
         test.steering.stop_observing();
       }
@@ -519,8 +520,8 @@
       const FlowToken token = decision.target->token;
       late[id] += port > 150 ? 1 : 0;
       const Duration took = milliseconds(id == 1 ? 120 : 25);
-      test.steering.on_packet(later(port, token, 1, 200), now);
-      test.steering.on_packet(later(port, token, 900), now + took);
+      test.steering.on_packet(established(port, token, 1, 200), now);
+      test.steering.on_packet(established(port, token, 900), now + took);
     }
     CHECK(late[1] * 3 < late[2]);
     CHECK(late[1] > 0);
@@ -529,7 +530,7 @@
   TEST_CASE("a frontend that was dropped resets its flows; one never known resets openings only") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha")});
     SteeringBalancer test(state);
-    CallerPacket stranger = later(1, 101);
+    ClientPacket stranger = established(1, 101);
     stranger.flow.frontend = {5, 5};
     CHECK(test.steering.on_packet(stranger, kStart).action == SteeringAction::kDrop);
     stranger.opens = true;
@@ -537,8 +538,8 @@
     state.settings.version = 2;
     state.settings.frontends.clear();
     test.steering.adopt(state, kStart);
-    CHECK(test.steering.on_packet(later(1, 101), kStart).action == SteeringAction::kReset);
-    CallerPacket reset = later(1, 101);
+    CHECK(test.steering.on_packet(established(1, 101), kStart).action == SteeringAction::kReset);
+    ClientPacket reset = established(1, 101);
     reset.resets = true;
     CHECK(test.steering.on_packet(reset, kStart).action == SteeringAction::kDrop);
   }
@@ -558,10 +559,10 @@
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha")});
     FlowSteering steering(7);
     steering.adopt(state, kStart);
-    CHECK(steering.on_packet(later(1, 101), kStart).target->id == 1);
+    CHECK(steering.on_packet(established(1, 101), kStart).target->id == 1);
     CHECK(steering.on_packet(opening(2), kStart).reason == SteeringReason::kNoState);
-    CHECK(steering.on_packet(later(3, 555), kStart).reason == SteeringReason::kNoState);
-    CallerPacket stranger = later(1, 101);
+    CHECK(steering.on_packet(established(3, 555), kStart).reason == SteeringReason::kNoState);
+    ClientPacket stranger = established(1, 101);
     stranger.flow.frontend = {5, 5};
     CHECK(steering.on_packet(stranger, kStart).reason == SteeringReason::kNoState);
     state.targets.at(1).phase = TargetPhase::kEnded;
@@ -569,25 +570,25 @@
     state.targets.at(2).address = state.targets.at(1).address;
     steering.adopt(state, kStart);
     // Its target was replaced by what is known; that may be corrected, so nothing is reset.
-    CHECK(steering.on_packet(later(1, 101), kStart).reason == SteeringReason::kNoState);
+    CHECK(steering.on_packet(established(1, 101), kStart).reason == SteeringReason::kNoState);
     steering.confirm(kStart);
-    CHECK(steering.on_packet(later(1, 101), kStart).action == SteeringAction::kReset);
+    CHECK(steering.on_packet(established(1, 101), kStart).action == SteeringAction::kReset);
     CHECK(steering.on_packet(opening(2), kStart).target->id == 2);
   }
 
   TEST_CASE("open flows are counted once, and forgotten after a rest") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     test.steering.on_packet(opening(1), kStart);
-    test.steering.on_packet(later(1, 101), kStart);
-    test.steering.on_packet(later(1, 101, 5, 10), kStart);
+    test.steering.on_packet(established(1, 101), kStart);
+    test.steering.on_packet(established(1, 101, 5, 10), kStart);
     CHECK(test.steering.scores().find(1)->open_flows == 1);
     CHECK(test.steering.scores().find(1)->busy_flows == 1);
-    CallerPacket end = later(1, 101, 9);
+    ClientPacket end = established(1, 101, 9);
     end.closes = true;
     test.steering.on_packet(end, kStart);
     CHECK(test.steering.scores().find(1)->open_flows == 0);
     CHECK(test.steering.scores().find(1)->busy_flows == 0);
-    test.steering.on_packet(later(1, 101, 9), kStart);
+    test.steering.on_packet(established(1, 101, 9), kStart);
     CHECK(test.steering.scores().find(1)->open_flows == 0);
     test.steering.on_packet(opening(2), kStart);
     test.steering.on_tick(kStart + std::chrono::seconds(20));
@@ -599,11 +600,11 @@
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     SteeringPolicy policy;
     policy.hold_ms = 1200;
-    HeldPackets held(policy);
+    BufferedPackets held(policy);
     const Bytes bytes = {1};
     std::vector<std::uint16_t> taken;
     const auto take = [&](const HeldPacket& packet) {
-      taken.push_back(packet.packet.flow.caller.port);
+      taken.push_back(packet.packet.flow.client.port);
       return false;
     };
     // The frontend's callers give up after a second.
@@ -616,10 +617,10 @@
     held.release(test.steering, kStart + milliseconds(2000), take);
     CHECK(held.size() == 0);
     // A copy tells how old its flow is; for an unknown frontend the policy's bound holds.
-    CallerPacket copy = opening(3, 2);
+    ClientPacket copy = opening(3, 2);
     copy.age = milliseconds(600);
     held.hold(copy, bytes, kStart);
-    CallerPacket stranger = opening(4);
+    ClientPacket stranger = opening(4);
     stranger.flow.frontend = {5, 5};
     held.hold(stranger, bytes, kStart);
     held.release(test.steering, kStart + milliseconds(500), take);
@@ -628,26 +629,26 @@
     CHECK(held.size() == 1);
     held.release(test.steering, kStart + milliseconds(1201), take);
     CHECK(held.size() == 0);
-    for (std::size_t i = 0; i < HeldPackets::kMaxPackets + 5; ++i) {
+    for (std::size_t i = 0; i < BufferedPackets::kMaxPackets + 5; ++i) {
       held.hold(opening(static_cast<std::uint16_t>(i)), bytes, kStart);
     }
-    CHECK(held.size() == HeldPackets::kMaxPackets);
+    CHECK(held.size() == BufferedPackets::kMaxPackets);
     policy.hold_ms = 0;
-    HeldPackets none(policy);
+    BufferedPackets none(policy);
     none.hold(opening(1), bytes, kStart);
     CHECK(none.size() == 0);
   }
 
   TEST_CASE("held packets come back in the order in which they came") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-    HeldPackets held(SteeringPolicy{});
+    BufferedPackets held(SteeringPolicy{});
     for (const std::uint16_t port : {3, 1, 2}) {
       held.hold(opening(port), {}, kStart + milliseconds(port));
     }
     std::vector<std::uint16_t> order;
     held.release(test.steering, kStart + milliseconds(10), [&](const HeldPacket& packet) {
-      order.push_back(packet.packet.flow.caller.port);
-      return packet.packet.flow.caller.port != 1;
+      order.push_back(packet.packet.flow.client.port);
+      return packet.packet.flow.client.port != 1;
     });
     CHECK(order == std::vector<std::uint16_t>{3, 1, 2});
     // What was not taken stays.
@@ -656,7 +657,7 @@
 
   TEST_CASE("a copy of an opening packet replaces the held one and keeps its age") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-    HeldPackets held(SteeringPolicy{});
+    BufferedPackets held(SteeringPolicy{});
     const Bytes first = {1};
     const Bytes copy = {2};
     held.hold(opening(1), first, kStart);
@@ -676,46 +677,46 @@
   TEST_CASE("data that comes again makes a balancer probe, and a dead target's flows end at once") {
     // Requests on open flows of dark targets waited for their deadlines, one after the other: 617
     // of 131,000 on a day at the size of 295 balancers and 600 targets.
-    DyingTarget test;
-    test.send_request(1, test.dying);
+    FailingTarget test;
+    test.send_request(1, test.failing);
     CHECK_FALSE(test.steering().is_probing());
-    test.send_request(1, test.dying, milliseconds(200));
+    test.send_request(1, test.failing, milliseconds(200));
     CHECK(test.steering().is_probing());
-    const auto concluded = test.run(milliseconds(200), {test.living});
+    const auto concluded = test.run(milliseconds(200), {test.healthy});
     REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].target == test.dying);
+    CHECK(concluded[0].target == test.failing);
     // The idle flow at the same target ends, too, before its caller sends anything that cannot be
     // sent twice.
-    const auto resets = test.steering().end_flows_at(test.dying);
+    const auto resets = test.steering().reset_flows_to(test.failing);
     REQUIRE(resets.size() == 2);
     CHECK(resets[0].acknowledged == 500);
     // What still comes is told at once; other flows go on; new ones go elsewhere.
     const auto late =
-        test.steering().on_packet(later(1, test.token(test.dying), 500, 100), test.now);
+        test.steering().on_packet(established(1, test.token(test.failing), 500, 100), test.now);
     CHECK(late.action == SteeringAction::kReset);
     CHECK(late.reason == SteeringReason::kTargetUnreachable);
     const auto other =
-        test.steering().on_packet(later(3, test.token(test.living), 500, 100), test.now);
+        test.steering().on_packet(established(3, test.token(test.healthy), 500, 100), test.now);
     CHECK(other.action == SteeringAction::kForward);
     for (std::uint16_t port = 100; port < 120; ++port) {
       const auto placed = test.steering().on_packet(opening(port), test.now);
       REQUIRE(placed.target != nullptr);
-      CHECK(placed.target->id == test.living);
+      CHECK(placed.target->id == test.healthy);
     }
     // All balancers are told.
     const auto seen = test.steering().take_observations();
     CHECK(std::any_of(seen.begin(), seen.end(), [&](const TargetObservation& one) {
-      return one.token == test.token(test.dying) && one.unreachable == 1;
+      return one.token == test.token(test.failing) && one.unreachable == 1;
     }));
   }
 
   TEST_CASE("flows of a target that accepts probes go on, however often callers repeat") {
-    DyingTarget test;
+    FailingTarget test;
     for (const int at : {0, 200, 600, 1400, 3000}) {
       test.now = kStart + seconds(1) + milliseconds(at);
-      const auto decision = test.send_request(1, test.dying);
+      const auto decision = test.send_request(1, test.failing);
       CHECK(decision.action == SteeringAction::kForward);
-      CHECK(test.run(milliseconds(200), {test.living, test.dying}).empty());
+      CHECK(test.run(milliseconds(200), {test.healthy, test.failing}).empty());
     }
   }
 
@@ -762,7 +763,7 @@
   TEST_CASE("a held opening does not go to a zone that was evacuated meanwhile") {
     EvacuatedState test;
     FlowSteering steering{7};
-    HeldPackets held{SteeringPolicy{}};
+    BufferedPackets held{SteeringPolicy{}};
     steering.adopt(test.state, kStart);
     REQUIRE(steering.on_packet(opening(1), kStart).reason == SteeringReason::kNoState);
     const Bytes bytes(32);
@@ -780,9 +781,9 @@
   TEST_CASE("open flows stay in an evacuated zone") {
     EvacuatedState test;
     SteeringBalancer balancer(test.state);
-    balancer.steering.on_packet(later(1, 101), kStart);
+    balancer.steering.on_packet(established(1, 101), kStart);
     balancer.steering.apply(test.change({{"zone-a", 2}}), kStart);
-    const auto decision = balancer.steering.on_packet(later(1, 101, 2, 100), kStart);
+    const auto decision = balancer.steering.on_packet(established(1, 101, 2, 100), kStart);
     CHECK(decision.action == SteeringAction::kForward);
     CHECK(decision.target->id == 1);
   }
@@ -840,15 +841,15 @@
 
   TEST_CASE(
       "what another balancer could not reach is probed where it has flows, and nowhere else") {
-    DyingTarget test;
+    FailingTarget test;
     SteeringBalancer without_flows(test.state);
-    const std::vector<TargetFigure> figures = {{test.token(test.dying), 100, true, true}};
+    const std::vector<TargetFigure> figures = {{test.token(test.failing), 100, true, true}};
     without_flows.steering.set_figures(figures, test.now);
     CHECK_FALSE(without_flows.steering.is_probing());
     test.steering().set_figures(figures, test.now);
     CHECK(test.steering().is_probing());
     // It can be reached from here: what others saw is not taken for true.
-    CHECK(test.run(milliseconds(300), {test.living, test.dying}).empty());
+    CHECK(test.run(milliseconds(300), {test.healthy, test.failing}).empty());
     // The same figures again are no news.
     test.now += seconds(2);
     test.steering().set_figures(figures, test.now);
@@ -857,70 +858,70 @@
 
   TEST_CASE(
       "a target at whose address another one announces itself is gone once data comes again") {
-    DyingTarget test;
+    FailingTarget test;
     RegisteredTarget heir = target(9, "alpha");
-    heir.address = target(test.dying, "alpha").address;
+    heir.address = target(test.failing, "alpha").address;
     SteeringDelta delta;
     delta.upserted_targets.push_back(heir);
     test.steering().apply(delta, test.now);
-    CHECK(test.send_request(1, test.dying).action == SteeringAction::kForward);
-    test.send_request(1, test.dying, milliseconds(200));
+    CHECK(test.send_request(1, test.failing).action == SteeringAction::kForward);
+    test.send_request(1, test.failing, milliseconds(200));
     // What listens there accepts, but it is another one.
-    const auto concluded = test.run(milliseconds(100), {test.living, test.dying});
+    const auto concluded = test.run(milliseconds(100), {test.healthy, test.failing});
     REQUIRE(concluded.size() == 1);
     CHECK(concluded[0].reason == UnreachableReason::kReplaced);
   }
 
   TEST_CASE("a flow that comes from another balancer does not clear its target") {
     // Found by the seeded workload: flows that moved kept a dead target from being found out.
-    DyingTarget test;
-    test.send_request(1, test.dying);
-    test.send_request(1, test.dying, milliseconds(200));
+    FailingTarget test;
+    test.send_request(1, test.failing);
+    test.send_request(1, test.failing, milliseconds(200));
     REQUIRE(test.steering().is_probing());
-    CHECK(test.send_request(9, test.dying).action == SteeringAction::kForward);
+    CHECK(test.send_request(9, test.failing).action == SteeringAction::kForward);
     CHECK(test.steering().is_probing());
-    CHECK(test.run(milliseconds(200), {test.living}).size() == 1);
+    CHECK(test.run(milliseconds(200), {test.healthy}).size() == 1);
   }
 
   TEST_CASE("where answers take long, the first repetition is no sign") {
-    DyingTarget test;
+    FailingTarget test;
     test.answer_time = milliseconds(180);
     for (int request = 0; request < 10; ++request) {
       test.open_flows();
     }
-    test.send_request(1, test.dying);
-    test.send_request(1, test.dying, milliseconds(200));
+    test.send_request(1, test.failing);
+    test.send_request(1, test.failing, milliseconds(200));
     CHECK_FALSE(test.steering().is_probing());
-    test.send_request(1, test.dying, milliseconds(400));
+    test.send_request(1, test.failing, milliseconds(400));
     CHECK(test.steering().is_probing());
   }
 
   TEST_CASE("repetitions that the own link explains raise no suspicion") {
-    DyingTarget test;
-    test.send_request(1, test.dying);
+    FailingTarget test;
+    test.send_request(1, test.failing);
     test.steering().set_link_congested(true, test.now + milliseconds(20));
     test.steering().set_link_congested(false, test.now + milliseconds(40));
     // What was kept back has to come again, although the link is free by now.
-    test.send_request(1, test.dying, milliseconds(200));
+    test.send_request(1, test.failing, milliseconds(200));
     CHECK_FALSE(test.steering().is_probing());
     // The next one cannot be explained so.
-    test.send_request(1, test.dying, milliseconds(400));
+    test.send_request(1, test.failing, milliseconds(400));
     CHECK(test.steering().is_probing());
-    CHECK(test.run(milliseconds(200), {test.living}).size() == 1);
+    CHECK(test.run(milliseconds(200), {test.healthy}).size() == 1);
   }
 
   TEST_CASE("on a link that stays congested targets are not blamed for silence") {
-    DyingTarget test;
+    FailingTarget test;
     test.steering().set_link_congested(true, test.now);
-    test.send_request(1, test.dying);
-    test.send_request(1, test.dying, milliseconds(200));
-    test.send_request(1, test.dying, milliseconds(400));
+    test.send_request(1, test.failing);
+    test.send_request(1, test.failing, milliseconds(200));
+    test.send_request(1, test.failing, milliseconds(400));
     CHECK_FALSE(test.steering().is_probing());
     // A refusal would be found out now.
-    test.send_request(1, test.dying, milliseconds(800));
+    test.send_request(1, test.failing, milliseconds(800));
     CHECK(test.steering().is_probing());
-    CHECK(test.run(seconds(2), {test.living}).empty());
-    CHECK(test.send_request(2, test.dying).action == SteeringAction::kForward);
+    CHECK(test.run(seconds(2), {test.healthy}).empty());
+    CHECK(test.send_request(2, test.failing).action == SteeringAction::kForward);
   }
 
   TEST_CASE("openings and requests that the own link keeps back blame no target") {
@@ -931,9 +932,9 @@
       // A copy of an opening; one that nothing follows; a request that is not answered.
       test.steering.on_packet(opening(1), now);
       test.steering.on_packet(opening(2), now);
-      test.steering.on_packet(later(3, 101, 1, 100), now);
+      test.steering.on_packet(established(3, 101, 1, 100), now);
       test.steering.on_packet(opening(1, 1), now + milliseconds(200));
-      test.steering.check_expectations(now + milliseconds(500));
+      test.steering.check_reply_timeouts(now + milliseconds(500));
       std::uint32_t blamed = 0;
       for (const auto& seen : test.steering.take_observations()) {
         blamed += seen.unanswered + seen.refused + seen.stalled;
@@ -945,11 +946,11 @@
   TEST_CASE("a transfer that goes on is not stalled, however long it takes") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     const Instant began = kStart + seconds(2);
-    CallerPacket packet = later(1, 101, 1, 1200);
+    ClientPacket packet = established(1, 101, 1, 1200);
     for (int sent = 0; sent < 50; ++sent) {
       packet.sequence += 1200;
       test.steering.on_packet(packet, began + milliseconds(20) * sent);
-      test.steering.check_expectations(began + milliseconds(20) * sent);
+      test.steering.check_reply_timeouts(began + milliseconds(20) * sent);
     }
     for (const auto& seen : test.steering.take_observations()) {
       CHECK(seen.stalled == 0);
@@ -957,27 +958,27 @@
   }
 
   TEST_CASE("a target that refuses probes is gone once its caller repeats data twice") {
-    DyingTarget test;
-    test.send_request(1, test.dying);
-    test.send_request(1, test.dying, milliseconds(200));
+    FailingTarget test;
+    test.send_request(1, test.failing);
+    test.send_request(1, test.failing, milliseconds(200));
     REQUIRE(test.steering().is_probing());
-    CHECK(test.run(milliseconds(400), {test.living}, true).empty());
-    test.send_request(1, test.dying);
-    const auto concluded = test.run(milliseconds(50), {test.living}, true);
+    CHECK(test.run(milliseconds(400), {test.healthy}, true).empty());
+    test.send_request(1, test.failing);
+    const auto concluded = test.run(milliseconds(50), {test.healthy}, true);
     REQUIRE(concluded.size() == 1);
     CHECK(concluded[0].reason == UnreachableReason::kRefused);
   }
 
   TEST_CASE("a full target that refuses probes keeps the flows that it answers") {
-    DyingTarget test;
+    FailingTarget test;
     for (int request = 0; request < 5; ++request) {
       // Each request is sent twice, and answered late.
-      test.send_request(1, test.dying);
-      test.send_request(1, test.dying, milliseconds(200));
-      CHECK(test.run(milliseconds(300), {test.living}, true).empty());
+      test.send_request(1, test.failing);
+      test.send_request(1, test.failing, milliseconds(200));
+      CHECK(test.run(milliseconds(300), {test.healthy}, true).empty());
       test.acknowledged += 500;
-      const auto answered =
-          test.steering().on_packet(later(1, test.token(test.dying), test.acknowledged), test.now);
+      const auto answered = test.steering().on_packet(
+          established(1, test.token(test.failing), test.acknowledged), test.now);
       CHECK(answered.action == SteeringAction::kForward);
       test.now += seconds(2);
     }
@@ -985,14 +986,14 @@
   }
 
   TEST_CASE("on a busy link a full target that refuses probes is not blamed") {
-    DyingTarget test;
+    FailingTarget test;
     test.steering().set_link_congested(true, test.now);
-    test.send_request(1, test.dying);
+    test.send_request(1, test.failing);
     for (const int pause : {200, 400, 800, 1600}) {
-      CHECK(test.run(milliseconds(pause), {test.living}, true).empty());
-      CHECK(test.send_request(1, test.dying).action == SteeringAction::kForward);
+      CHECK(test.run(milliseconds(pause), {test.healthy}, true).empty());
+      CHECK(test.send_request(1, test.failing).action == SteeringAction::kForward);
     }
-    CHECK(test.run(seconds(1), {test.living}, true).empty());
+    CHECK(test.run(seconds(1), {test.healthy}, true).empty());
   }
 }
 
--- a/tests/unit/test_link_scheduler.cc
+++ b/tests/unit/test_link_scheduler.cc
@@ -16,8 +16,8 @@
 constexpr std::size_t kLarge = 1240;
 constexpr PacketPatience kPatience{std::chrono::seconds(8), milliseconds(1200)};
 
-CallerPacket data_of(std::uint32_t caller, std::uint32_t sequence, std::uint32_t size = 1200) {
-  CallerPacket packet;
+ClientPacket data_of(std::uint32_t caller, std::uint32_t sequence, std::uint32_t size = 1200) {
+  ClientPacket packet;
   packet.flow = {{caller, 1}, {1, 443}};
   packet.sequence = sequence;
   packet.data_size = size;
@@ -35,13 +35,13 @@
     }
   }
 
-  void put(const CallerPacket& packet, Instant now = kStart,
+  void put(const ClientPacket& packet, Instant now = kStart,
            const PacketPatience& patience = kPatience) {
     const std::size_t size = packet.data_size + 40;
     const auto room = scheduler.enqueue(packet, kTarget, size, patience, now);
     REQUIRE(room.size() == size);
     // What tells the packets apart: caller and place.
-    room[0] = static_cast<std::uint8_t>(packet.flow.caller.address);
+    room[0] = static_cast<std::uint8_t>(packet.flow.client.address);
     room[1] = static_cast<std::uint8_t>(packet.sequence / 1200);
   }
 
@@ -128,7 +128,7 @@
 
   TEST_CASE("copies of what waits or left lately are not needed; later ones pass") {
     BusyLink link;
-    const CallerPacket packet = data_of(1, 2400);
+    const ClientPacket packet = data_of(1, 2400);
     CHECK_FALSE(link.scheduler.is_needless_copy(packet, kStart));
     link.put(packet);
     CHECK(link.scheduler.is_needless_copy(packet, kStart + milliseconds(5)));
--- a/tests/unit/test_steering_policy.cc
+++ b/tests/unit/test_steering_policy.cc
@@ -31,8 +31,8 @@
     const SteeringPolicy usual;
     for (const auto& field : policy_fields()) {
       CHECK(names.insert(field.name).second);
-      CHECK(usual.*(field.value) >= field.least);
-      CHECK(usual.*(field.value) <= field.greatest);
+      CHECK(usual.*(field.value) >= field.min_value);
+      CHECK(usual.*(field.value) <= field.max_value);
     }
     CHECK(names.size() * sizeof(double) == sizeof(SteeringPolicy));
   }
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -7,8 +7,8 @@
 #include <random>
 #include <vector>
 
+#include "core/steering/buffered_packets.h"
 #include "core/steering/flow_steering.h"
-#include "core/steering/held_packets.h"
 
 namespace gorsevalve {
 namespace {
@@ -26,12 +26,12 @@
 
   void run() {
     for (int step = 0; step < kSteps; ++step) {
-      now_ += milliseconds(below(30));
-      const std::uint64_t choice = below(100);
+      now_ += milliseconds(random_below(30));
+      const std::uint64_t choice = random_below(100);
       if (choice < 2) {
-        steering_.adopt(some_state(), now_);
+        steering_.adopt(random_state(), now_);
       } else if (choice < 12) {
-        steering_.apply(some_delta(), now_);
+        steering_.apply(random_delta(), now_);
         release();
       } else if (choice < 15) {
         steering_.confirm(now_);
@@ -40,7 +40,7 @@
       } else if (choice < 35) {
         step_probes();
       } else if (choice < 38) {
-        steering_.set_link_congested(below(2) == 0, now_);
+        steering_.set_link_congested(random_below(2) == 0, now_);
       } else if (choice < 42) {
         steering_.on_tick(now_);
         static_cast<void>(steering_.take_observations());
@@ -51,44 +51,44 @@
   }
 
  private:
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
 
-  Frontend some_frontend() {
+  Frontend random_frontend() {
     Frontend frontend;
-    const auto index = static_cast<std::uint32_t>(below(kFrontends));
+    const auto index = static_cast<std::uint32_t>(random_below(kFrontends));
     frontend.name = "f" + std::to_string(index);
     frontend.address = {0xC6120001 + index, 443};
     frontend.timeout_ms = 1000;
-    for (std::uint64_t part = below(3); part > 0; --part) {
-      frontend.pools.push_back({pool(), static_cast<std::uint32_t>(below(3))});
+    for (std::uint64_t part = random_below(3); part > 0; --part) {
+      frontend.pools.push_back({random_pool(), static_cast<std::uint32_t>(random_below(3))});
     }
-    frontend.former_pools.push_back(pool());
+    frontend.former_pools.push_back(random_pool());
     return frontend;
   }
 
-  std::string pool() { return std::string(1, static_cast<char>('a' + below(4))); }
+  std::string random_pool() { return std::string(1, static_cast<char>('a' + random_below(4))); }
 
-  RegisteredTarget some_target() {
+  RegisteredTarget random_target() {
     RegisteredTarget target;
-    target.id = 1 + below(kTargets);
+    target.id = 1 + random_below(kTargets);
     // Few addresses: they are shared and given on.
     target.token = static_cast<FlowToken>(100 + target.id);
-    target.pool = pool();
-    target.address = {10, static_cast<std::uint16_t>(8000 + below(kTargets / 2))};
-    target.slots = static_cast<std::uint32_t>(below(3));
-    target.phase = static_cast<TargetPhase>(below(4));
+    target.pool = random_pool();
+    target.address = {10, static_cast<std::uint16_t>(8000 + random_below(kTargets / 2))};
+    target.slots = static_cast<std::uint32_t>(random_below(3));
+    target.phase = static_cast<TargetPhase>(random_below(4));
     target.sequence = ++sequence_;
     return target;
   }
 
-  SteeringState some_state() {
+  SteeringState random_state() {
     SteeringState state;
     state.settings.version = ++version_;
-    state.settings.idle_timeout_ms = static_cast<std::uint32_t>(below(5000));
-    state.settings.frontends = {some_frontend()};
+    state.settings.idle_timeout_ms = static_cast<std::uint32_t>(random_below(5000));
+    state.settings.frontends = {random_frontend()};
     for (TargetId id = 1; id <= kTargets; ++id) {
-      if (below(3) == 0) {
-        RegisteredTarget target = some_target();
+      if (random_below(3) == 0) {
+        RegisteredTarget target = random_target();
         target.id = id;
         target.token = static_cast<FlowToken>(100 + id);
         state.put(target);
@@ -97,64 +97,64 @@
     return state;
   }
 
-  SteeringDelta some_delta() {
+  SteeringDelta random_delta() {
     SteeringDelta delta;
-    delta.has_settings = below(4) == 0;
+    delta.has_settings = random_below(4) == 0;
     delta.version = ++version_;
     delta.idle_timeout_ms = 3000;
-    delta.upserted_frontends = {some_frontend()};
-    if (below(4) == 0) {
-      delta.removed_frontends = {some_frontend().address};
+    delta.upserted_frontends = {random_frontend()};
+    if (random_below(4) == 0) {
+      delta.removed_frontends = {random_frontend().address};
     }
-    for (std::uint64_t count = below(4); count > 0; --count) {
-      delta.upserted_targets.push_back(some_target());
+    for (std::uint64_t count = random_below(4); count > 0; --count) {
+      delta.upserted_targets.push_back(random_target());
     }
-    for (std::uint64_t count = below(2); count > 0; --count) {
-      delta.forgotten_targets.push_back(1 + below(kTargets));
+    for (std::uint64_t count = random_below(2); count > 0; --count) {
+      delta.forgotten_targets.push_back(1 + random_below(kTargets));
     }
     return delta;
   }
 
   void send_figures() {
     std::vector<TargetFigure> figures;
-    for (std::uint64_t count = below(6); count > 0; --count) {
-      const auto token = static_cast<FlowToken>(100 + below(kTargets + 2));
-      figures.push_back(
-          {token, static_cast<std::uint8_t>(below(200)), below(2) == 0, below(2) == 0});
+    for (std::uint64_t count = random_below(6); count > 0; --count) {
+      const auto token = static_cast<FlowToken>(100 + random_below(kTargets + 2));
+      figures.push_back({token, static_cast<std::uint8_t>(random_below(200)), random_below(2) == 0,
+                         random_below(2) == 0});
     }
     steering_.set_figures(figures, now_);
   }
 
   void step_probes() {
     for (const auto& probe : steering_.take_probes(now_)) {
-      const std::uint64_t fate = below(5);
+      const std::uint64_t fate = random_below(5);
       if (fate == 0) {
         steering_.on_probe_not_sent(probe.number, now_);
       } else if (fate < 3) {
         steering_.on_probe_answer(probe.number,
                                   fate == 1 ? ProbeAnswer::kAccepted : ProbeAnswer::kRefused,
-                                  now_ + milliseconds(below(20)));
+                                  now_ + milliseconds(random_below(20)));
       }
     }
-    for (const auto& concluded : steering_.conclude_reachability(now_)) {
-      static_cast<void>(steering_.end_flows_at(concluded.target));
+    for (const auto& concluded : steering_.evaluate_reachability(now_)) {
+      static_cast<void>(steering_.reset_flows_to(concluded.target));
     }
     static_cast<void>(steering_.take_restored());
   }
 
   void send_packet() {
-    CallerPacket packet;
-    const auto caller = static_cast<std::uint32_t>(below(400));
+    ClientPacket packet;
+    const auto caller = static_cast<std::uint32_t>(random_below(400));
     packet.flow = {{0x64400000 + caller, 4000},
-                   {0xC6120001 + static_cast<std::uint32_t>(below(kFrontends)), 443}};
-    packet.opens = below(4) == 0;
-    packet.copies_before = packet.opens ? static_cast<std::uint32_t>(below(3)) : 0;
-    packet.token = packet.opens ? 0 : static_cast<FlowToken>(100 + below(kTargets + 2));
+                   {0xC6120001 + static_cast<std::uint32_t>(random_below(kFrontends)), 443}};
+    packet.opens = random_below(4) == 0;
+    packet.retransmissions = packet.opens ? static_cast<std::uint32_t>(random_below(3)) : 0;
+    packet.token = packet.opens ? 0 : static_cast<FlowToken>(100 + random_below(kTargets + 2));
     packet.sequence = static_cast<std::uint32_t>(random_());
-    packet.acknowledged = static_cast<std::uint32_t>(below(3));
-    packet.data_size = static_cast<std::uint32_t>(below(2) * 100);
-    packet.closes = below(10) == 0;
-    packet.resets = below(20) == 0;
+    packet.acknowledged = static_cast<std::uint32_t>(random_below(3));
+    packet.data_size = static_cast<std::uint32_t>(random_below(2) * 100);
+    packet.closes = random_below(10) == 0;
+    packet.resets = random_below(20) == 0;
     const SteeringDecision decision = steering_.on_packet(packet, now_);
     check(decision);
     if (decision.reason == SteeringReason::kNoState) {
@@ -177,7 +177,7 @@
 
   std::mt19937_64 random_;
   FlowSteering steering_;
-  HeldPackets held_{SteeringPolicy{}};
+  BufferedPackets held_{SteeringPolicy{}};
   Instant now_{seconds(1000)};
   OperatorVersion version_ = 0;
   std::uint64_t sequence_ = 0;
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -88,7 +88,7 @@
     steering.confirm(now);
   }
   SteeringDecision open() {
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64400000 + ++callers, 1}, kFrontend};
     packet.opens = true;
     return steering.on_packet(packet, now);
@@ -191,7 +191,7 @@
     Fixture test(pool_of({target(1, 0), target(2, 0)}, 5000));
     test.steering.set_place({0, 2}, test.now);
     test.steering.apply(upsert(target(3, 4000)), test.now);
-    CHECK(test.steering.take_cooled() == std::vector<TargetId>{3});
+    CHECK(test.steering.take_newly_cold() == std::vector<TargetId>{3});
     auto flows = test.open_for(seconds(4));
     CHECK(flows[0] == 0);
     CHECK(flows[3] >= 6);
@@ -264,14 +264,14 @@
     while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kNoTurn) {
       test.now += milliseconds(10);
     }
-    CallerPacket packet;
+    ClientPacket packet;
     packet.flow = {{0x64500000, 1}, kFrontend};
     packet.opens = true;
     REQUIRE(test.steering.on_packet(packet, test.now).target->id == 1);
     while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kTurn) {
       test.now += milliseconds(10);
     }
-    packet.copies_before = 2;
+    packet.retransmissions = 2;
     const SteeringDecision again = test.steering.on_packet(packet, test.now);
     REQUIRE(again.target->id == 2);
     CHECK(test.steering.warm_up().counters().placed == 1);
