--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -64,7 +64,7 @@
   /// Balancers were refused by targets just now.
   virtual void on_refusing(const RefusingTargets& /*refusing*/, Instant /*now*/) {}
   /// This balancer's place among all of them; told with each answer, a count of 0 while unknown.
-  virtual void on_place(const BalancerPlace& /*place*/, Instant /*now*/) {}
+  virtual void on_place(const BalancerRank& /*place*/, Instant /*now*/) {}
   /// A replica that is current and holds this revision is followed from now on.
   virtual void on_replica_chosen(const Endpoint& /*replica*/, Revision /*held*/) {}
   /// The chosen replica does not answer: connections to it are of no use.
--- a/src/core/control/balancer_places.cc
+++ b/src/core/control/balancer_places.cc
@@ -90,7 +90,7 @@
                                                       Instant now) const {
   std::vector<PlacedBalancer> result;
   for (const auto& balancer : balancers) {
-    const BalancerPlace place = place_of(balancer, now);
+    const BalancerRank place = place_of(balancer, now);
     if (place.count > 0) {
       result.push_back({balancer, place});
     }
@@ -98,10 +98,10 @@
   return result;
 }
 
-BalancerPlace BalancerPlaces::place_of(const Endpoint& balancer, Instant now) const {
+BalancerRank BalancerPlaces::place_of(const Endpoint& balancer, Instant now) const {
   const auto found = places_.find(balancer);
   const bool is_told = found != places_.end() && now - places_at_ < kToldLifetime;
-  return is_told ? found->second : BalancerPlace{};
+  return is_told ? found->second : BalancerRank{};
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/balancer_places.h
+++ b/src/core/control/balancer_places.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "model/balancer_place.h"
+#include "model/balancer_rank.h"
 #include "model/time.h"
 
 namespace gorsevalve {
@@ -32,14 +32,14 @@
                                                       Instant now) const;
 
   /// Place of one balancer; a count of 0 while it is not known, or was not confirmed for long.
-  [[nodiscard]] BalancerPlace place_of(const Endpoint& balancer, Instant now) const;
+  [[nodiscard]] BalancerRank place_of(const Endpoint& balancer, Instant now) const;
 
  private:
   /// When each balancer was heard here.
   std::map<Endpoint, Instant> local_;
   /// When each balancer was heard anywhere, at the leader.
   std::map<Endpoint, Instant> heard_;
-  std::map<Endpoint, BalancerPlace> places_;
+  std::map<Endpoint, BalancerRank> places_;
   Instant places_at_;
   Instant numbers_from_;
 };
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/control/control_state.h"
-#include "model/balancer_place.h"
+#include "model/balancer_rank.h"
 #include "model/fleet.h"
 #include "model/target_figures.h"
 
@@ -59,7 +59,7 @@
   /// Set when the balancer has another edition.
   std::optional<TargetFigures> figures{};
   /// The balancer's place among all of them; a count of 0 while it is not known.
-  BalancerPlace place{};
+  BalancerRank place{};
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -44,7 +44,7 @@
   const bool answered = packet.acknowledged != entry.acknowledged;
   if (answered) {
     reachability_.on_progress(entry.target, now);
-    if (zone_paths_.is_looking()) {
+    if (zone_paths_.is_checking()) {
       zone_paths_.on_progress(entry.target, entry.request_started_at.value_or(entry.last_seen),
                               now);
     }
@@ -99,7 +99,7 @@
     suspect_target(entry.target, now);
   }
   if (entry.retransmissions > 1 && !is_explained) {
-    reachability_.on_silent_flow(entry.target, sent_at);
+    reachability_.on_unacknowledged_flow(entry.target, sent_at);
   }
 }
 
@@ -156,7 +156,7 @@
         entry->request_started_at == request.sent_at &&
         now - entry->last_new_data_at >= kStallTimeout && !may_be_local_congestion(request.sent_at);
     if (is_stalled) {
-      scores_.on_stalled(request.target);
+      scores_.on_stalled_request(request.target);
     }
     requests_.pop_front();
     zone_checked_requests_ -= std::min<std::size_t>(zone_checked_requests_, 1);
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -60,7 +60,7 @@
   }
   const bool is_troubled = target.phase != TargetPhase::kReady ||
                            inputs.scores.is_suspected(target.id, now) ||
-                           (inputs.zone_paths.is_returning() &&
+                           (inputs.zone_paths.is_recovering() &&
                             !inputs.zone_paths.admits(target.id, recovery_hash(flow_key), now));
   if (is_troubled) {
     return Impairment::kSuspected;
@@ -94,7 +94,7 @@
         now_(now),
         has_cold_(!inputs.warm_up.is_empty()),
         // Without figures of all balancers, the own view decides alone.
-        quantizes_load_(policy.load_step > 0 && inputs.scores.has_figures()) {}
+        quantizes_load_(policy.load_step > 0 && inputs.scores.has_target_health()) {}
 
   /// Where in a list of some length the sample of this opening begins.
   [[nodiscard]] std::size_t sample_start(std::size_t length) const {
@@ -107,8 +107,8 @@
       return;
     }
     const WarmUpAdmission admission =
-        has_cold_ ? inputs_.warm_up.admission(target.id, now_) : WarmUpAdmission::kFree;
-    if (admission == WarmUpAdmission::kNoTurn) {
+        has_cold_ ? inputs_.warm_up.admission(target.id, now_) : WarmUpAdmission::kUnrestricted;
+    if (admission == WarmUpAdmission::kOtherTurn) {
       choice.skipped_cold = true;
       return;
     }
@@ -127,7 +127,7 @@
     double load = inputs_.scores.load(target, typical_us_, now_);
     // During its turn a cold target is as good as a warm one: the budget keeps it from more than it
     // carries.
-    if (admission == WarmUpAdmission::kTurn) {
+    if (admission == WarmUpAdmission::kOwnTurn) {
       load /= policy_.cold_penalty;
     }
     return quantizes_load_ ? std::floor(load / policy_.load_step) : load;
@@ -135,7 +135,7 @@
 
   [[nodiscard]] double weight_of(const RegisteredTarget& target, WarmUpAdmission admission) const {
     const double weight = inputs_.scores.preference(target);
-    const bool has_turn = admission == WarmUpAdmission::kTurn;
+    const bool has_turn = admission == WarmUpAdmission::kOwnTurn;
     return has_turn ? weight * inputs_.warm_up.turn_weight(target.id) : weight;
   }
 
@@ -202,7 +202,7 @@
 void FlowPlacement::count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
                                   Instant now) {
   const auto waits_for_turn = [&](const RegisteredTarget* target) {
-    return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kNoTurn;
+    return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kOtherTurn;
   };
   const bool has_cold =
       std::any_of(frontend.shares.begin(), frontend.shares.end(), [&](const PoolShare& share) {
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -49,7 +49,7 @@
 void FlowSteering::adopt(const SteeringState& state, Instant now) {
   view_.reset(state);
   for (const auto& [id, target] : state.targets) {
-    if (scores_.is_other_life(target)) {
+    if (scores_.is_other_incarnation(target)) {
       forget_incarnation(target.id);
     }
   }
@@ -90,7 +90,7 @@
     view_.visit_targets([&](const RegisteredTarget& target) { update_warm_up(target, true, now); });
   }
   for (const auto& target : delta.upserted_targets) {
-    const bool is_restarted = scores_.is_other_life(target);
+    const bool is_restarted = scores_.is_other_incarnation(target);
     const bool is_new = is_restarted || scores_.find(target.id) == nullptr;
     if (is_restarted) {
       forget_incarnation(target.id);
@@ -207,7 +207,7 @@
     if (!entry->is_retransmitted) {
       entry->is_retransmitted = true;
       if (!may_be_local_congestion(entry->last_seen)) {
-        scores_.on_unanswered(entry->target, now);
+        scores_.on_unanswered_syn(entry->target, now);
         suspect_target(entry->target, now);
       }
     }
@@ -264,7 +264,7 @@
   }
   observe_packet(packet, target->id, now);
   if (reachability_.is_unreachable(target->id) ||
-      (zone_paths_.cut() > 0 && should_reset_for_zone(frontend, packet, target->id, now))) {
+      (zone_paths_.cut_count() > 0 && should_reset_for_zone(frontend, packet, target->id, now))) {
     close_entry(packet.flow);
     const SteeringAction action = packet.resets ? SteeringAction::kDrop : SteeringAction::kReset;
     return {action, SteeringReason::kTargetUnreachable, nullptr};
@@ -292,7 +292,7 @@
 }
 
 void FlowSteering::set_figures(const std::vector<TargetFigure>& figures, Instant now) {
-  for (const TargetId id : scores_.set_figures(figures)) {
+  for (const TargetId id : scores_.set_target_health(figures)) {
     if (scores_.at(id).open_flows > 0) {
       suspect_target(id, now);
     }
@@ -318,7 +318,7 @@
 }
 
 std::vector<UnreachableTarget> FlowSteering::evaluate_reachability(Instant now) {
-  std::vector<UnreachableTarget> concluded = reachability_.conclude(now);
+  std::vector<UnreachableTarget> concluded = reachability_.detect_unreachable(now);
   for (const auto& one : concluded) {
     scores_.on_unreachable(one.target, now);
   }
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -119,7 +119,7 @@
     return scores_.take_observations();
   }
   /// True when a target showed trouble since the last call of `take_observations`.
-  [[nodiscard]] bool has_trouble() const { return scores_.has_trouble(); }
+  [[nodiscard]] bool has_trouble() const { return scores_.has_failures(); }
   /// True when one refused a probe since then: others must know at once, while the rest may wait.
   /// Openings and requests without an answer are no news where queues are full.
   [[nodiscard]] bool has_refused_probe() const { return scores_.has_refused_probe(); }
@@ -128,7 +128,7 @@
   void on_refusing(const RefusingTargets& told, Instant now);
 
   /// This balancer's place among all of them; a count of 0 while it is not known.
-  void set_place(const BalancerPlace& place, Instant now) { warm_up_.set_place(place, now); }
+  void set_place(const BalancerRank& place, Instant now) { warm_up_.set_rank(place, now); }
   [[nodiscard]] const WarmUpBudget& warm_up() const { return warm_up_; }
   /// Targets that turned cold since the last call, in the order of their ids, and those that are
   /// warm now.
@@ -161,9 +161,11 @@
   [[nodiscard]] const ZonePaths& zone_paths() const { return zone_paths_; }
   /// True while probes are under way: take, conclude each `TargetReachability::kStepInterval`.
   [[nodiscard]] bool is_probing() const {
-    return reachability_.is_probing() || zone_paths_.is_looking() || refusals_.is_probing();
+    return reachability_.is_probing() || zone_paths_.is_checking() || refusals_.is_probing();
+  }
+  [[nodiscard]] std::size_t unreachable_targets() const {
+    return reachability_.unreachable_count();
   }
-  [[nodiscard]] std::size_t unreachable_targets() const { return reachability_.unreachable(); }
 
   /// True once settings are in force.
   [[nodiscard]] bool has_settings() const { return view_.version() > 0; }
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -30,9 +30,9 @@
 }
 
 void FlowSteering::on_opened(const FlowEntry& entry, Instant sent_at, Instant now) {
-  scores_.on_opened(entry.target);
+  scores_.on_established(entry.target);
   reachability_.on_progress(entry.target, now);
-  refusals_.on_opened(entry.target, sent_at);
+  refusals_.on_established(entry.target, sent_at);
   const RegisteredTarget* target = view_.target_by_id(entry.target);
   // An answer to a copy may be one to the packet before it.
   if (target != nullptr && !entry.is_retransmitted) {
@@ -113,7 +113,7 @@
     const RegisteredTarget* target = view_.target(token);
     const bool counts = target != nullptr && (told.zone == zone_ || told.zone == target->zone);
     if (counts && latency_level(*target, now) != LatencyLevel::kHigh) {
-      refusals_.on_told(target->id, now);
+      refusals_.on_remote_refusal(target->id, now);
       on_refusal(*target, now);
     }
   }
@@ -131,7 +131,7 @@
 std::uint64_t FlowSteering::probe_partitions() const {
   std::set<std::string_view> zones;
   view_.visit_targets([&](const RegisteredTarget& target) { zones.insert(target.zone); });
-  const std::uint64_t balancers = warm_up_.place().count;
+  const std::uint64_t balancers = warm_up_.rank().count;
   const std::uint64_t parts =
       balancers / (std::max<std::uint64_t>(zones.size(), 1) * kProbersPerTarget);
   return balancers == 0 ? kDefaultPartitions : std::max<std::uint64_t>(parts, 1);
@@ -139,7 +139,7 @@
 
 void FlowSteering::probe_neighbors(Instant now) {
   const std::uint64_t parts = probe_partitions();
-  const std::uint64_t own_part = warm_up_.place().number % parts;
+  const std::uint64_t own_part = warm_up_.rank().number % parts;
   std::set<TargetId> chosen;
   view_.visit_targets([&](const RegisteredTarget& target) {
     const bool may_be_used = target.phase == TargetPhase::kReady && target.zone == zone_;
@@ -153,9 +153,9 @@
 }
 
 void FlowSteering::on_probe_answer(std::uint64_t number, ProbeAnswer answer, Instant now) {
-  if (number > ZonePaths::kFirstProbe) {
+  if (number > ZonePaths::kProbeNumberBase) {
     zone_paths_.on_answer(number, answer, now);
-  } else if (number > TargetRefusals::kFirstProbe) {
+  } else if (number > TargetRefusals::kProbeNumberBase) {
     refusals_.on_answer(number, answer, now);
     for (const TargetId target : refusals_.take_refused()) {
       scores_.on_refused_probe(target);
@@ -169,9 +169,9 @@
 }
 
 void FlowSteering::on_probe_not_sent(std::uint64_t number, Instant now) {
-  if (number > ZonePaths::kFirstProbe) {
+  if (number > ZonePaths::kProbeNumberBase) {
     zone_paths_.on_not_sent(number, now);
-  } else if (number > TargetRefusals::kFirstProbe) {
+  } else if (number > TargetRefusals::kProbeNumberBase) {
     refusals_.on_not_sent(number);
   } else {
     reachability_.on_not_sent(number, now);
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -31,9 +31,9 @@
 void FlowSteering::suspect_zone(TargetId target, Instant sent_at, Instant now) {
   const bool may_probe = policy_.probes > 0 && is_confirmed_ && now >= observes_from_;
   // Looking for targets that answered walks all of them, so it comes last.
-  if (may_probe && !may_be_local_congestion(sent_at) && zone_paths_.may_look(target, now)) {
-    zone_paths_.doubt(target, sent_at, scores_.latest_answered(kMaxResponsiveTargets, target, now),
-                      now);
+  if (may_probe && !may_be_local_congestion(sent_at) && zone_paths_.may_check(target, now)) {
+    zone_paths_.suspect(target, sent_at,
+                        scores_.latest_answered(kMaxResponsiveTargets, target, now), now);
   }
 }
 
@@ -63,7 +63,7 @@
 }
 
 std::vector<ZonePathChange> FlowSteering::evaluate_zone_paths(bool is_link_congested, Instant now) {
-  std::vector<ZonePathChange> changes = zone_paths_.conclude(is_link_congested, now);
+  std::vector<ZonePathChange> changes = zone_paths_.detect_changes(is_link_congested, now);
   for (const auto& change : changes) {
     if (change.is_cut) {
       // Others with flows there should look for themselves.
@@ -93,7 +93,7 @@
 
 std::vector<FlowReset> FlowSteering::reset_flows_to_unreachable_zones(Instant now) {
   std::vector<FlowReset> resets;
-  if (zone_paths_.cut() == 0 || now - flows_reset_at_ < kResetInterval) {
+  if (zone_paths_.cut_count() == 0 || now - flows_reset_at_ < kResetInterval) {
     return resets;
   }
   flows_reset_at_ = now;
--- a/src/core/steering/flow_warm_up.cc
+++ b/src/core/steering/flow_warm_up.cc
@@ -14,7 +14,7 @@
     warm_up_.forget(target.id);
     return;
   }
-  if (warm_up_.begin({target.id, target.token, rate, score->warm_at, is_age_known}, now)) {
+  if (warm_up_.add({target.id, target.token, rate, score->warm_at, is_age_known}, now)) {
     newly_cold_.push_back(target.id);
   }
 }
--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -56,7 +56,7 @@
   TargetId target = 0;
   UnreachableReason reason = UnreachableReason::kSilent;
   /// From the suspicion to the conclusion.
-  Duration took{0};
+  Duration detection_time{0};
   std::uint32_t probes = 0;
 };
 
@@ -83,7 +83,7 @@
   /// A caller repeats data that it had sent again at `sent_at`, over a link that was free: a target
   /// that lives acknowledges what comes again, so it did not get that, or is gone. It counts when a
   /// probe of that moment was refused: the way to the machine was open.
-  void on_silent_flow(TargetId target, Instant sent_at);
+  void on_unacknowledged_flow(TargetId target, Instant sent_at);
   /// Another target announced itself later at the address of this one: what is accepted there says
   /// nothing of this one any more.
   void on_replaced(TargetId target) { replaced_.insert(target); }
@@ -102,24 +102,24 @@
   /// Targets that were unreachable and answered since the last call, in order.
   [[nodiscard]] std::vector<TargetId> take_restored();
   /// What is newly concluded.
-  [[nodiscard]] std::vector<UnreachableTarget> conclude(Instant now);
+  [[nodiscard]] std::vector<UnreachableTarget> detect_unreachable(Instant now);
 
   [[nodiscard]] bool is_unreachable(TargetId target) const { return unreachable_.contains(target); }
   /// True while a suspicion is neither confirmed nor dismissed.
-  [[nodiscard]] bool is_probing() const { return !cases_.empty(); }
+  [[nodiscard]] bool is_probing() const { return !suspicions_.empty(); }
   void set_faults(const ReachabilityFaults& faults) { faults_ = faults; }
-  [[nodiscard]] std::size_t unreachable() const { return unreachable_.size(); }
+  [[nodiscard]] std::size_t unreachable_count() const { return unreachable_.size(); }
 
   /// Pause between two probes of a suspected target: a round trip between two regions (12 ms each
   /// way). Callers repeat data after 200 ms, so this decides how long they wait beyond that.
   static constexpr Duration kStepInterval = std::chrono::milliseconds(25);
   /// Targets under suspicion at once; further ones wait for their next sign. A case takes 0.11 s,
   /// so a fifth of 4,200 targets that die at once are judged within two seconds.
-  static constexpr std::size_t kMaxCases = 64;
+  static constexpr std::size_t kMaxSuspicions = 64;
 
  private:
   /// A target under suspicion.
-  struct Case {
+  struct Suspicion {
     std::vector<TargetId> references;
     Instant since;
     /// When the probes that count began: with the suspicion, or when the link was free again.
@@ -132,11 +132,11 @@
     /// When the first probe that was refused was sent.
     std::optional<Instant> refused_at;
     /// A flow at the target gets nothing back, although the way there is open.
-    bool has_silent_flow = false;
+    bool has_unacknowledged_flow = false;
     /// The own link was congested since then, so that silence counts for nothing.
-    bool met_congestion = false;
+    bool saw_congestion = false;
     /// How long the first reference to answer took.
-    std::optional<Duration> reference_took;
+    std::optional<Duration> reference_rtt;
   };
   /// A probe whose answer is awaited.
   struct SentProbe {
@@ -151,23 +151,24 @@
   void probe_unreachable(Instant now, std::vector<ProbeRequest>& out);
   void drop_expired(Instant now);
   /// Probes a target anew whose probes met congestion.
-  static void begin_again(Case& suspected, Instant now);
+  static void restart(Suspicion& suspected, Instant now);
   /// True when nothing can be concluded any more from the probes of a suspicion.
-  [[nodiscard]] static bool is_undecided(const Case& suspected, Instant now);
+  [[nodiscard]] static bool is_inconclusive(const Suspicion& suspected, Instant now);
   /// Ends a suspicion without a conclusion.
-  void leave_undecided(TargetId target, Instant now);
+  void drop_inconclusive(TargetId target, Instant now);
   void on_reference_answer(const SentProbe& probe, Instant now);
   /// The target lives and can be reached.
   void clear(TargetId target, Instant now);
   void on_target_answer(const SentProbe& probe, ProbeAnswer answer, Instant now);
-  [[nodiscard]] std::optional<UnreachableReason> verdict(TargetId target, const Case& suspected,
-                                                         Instant now) const;
+  [[nodiscard]] std::optional<UnreachableReason> evaluate(TargetId target,
+                                                          const Suspicion& suspected,
+                                                          Instant now) const;
 
   ReachabilityFaults faults_;
   bool is_link_congested_ = false;
   std::uint64_t last_probe_ = 0;
   /// Ordered, so that what is sent and concluded does not depend on the order of a hash map.
-  std::map<TargetId, Case> cases_;
+  std::map<TargetId, Suspicion> suspicions_;
   /// A target that cannot be reached.
   struct Unreachable {
     Instant probe_next_at;
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -11,17 +11,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kSuspicion = seconds(2);
+constexpr Duration kSuspicionTime = seconds(2);
 /// A target that refuses flows is down; one that goes up and down stays suspected over its ups.
-constexpr Duration kRefusalSuspicion = seconds(5);
+constexpr Duration kRefusalSuspicionTime = seconds(5);
 /// Share of a new sample in the smoothed answer time.
 constexpr double kSmoothing = 0.2;
 /// A sample is believed for this long.
 constexpr Duration kAnswerLifetime = seconds(8);
 constexpr double kMaxPenalty = 8;
 /// Bounds of a pressure that decides: a new target is not filled up at once.
-constexpr double kLeastPressure = 80;
-constexpr double kMostPressure = 150;
+constexpr double kMinLoadPercent = 80;
+constexpr double kMaxLoadPercent = 150;
 
 }  // namespace
 
@@ -49,14 +49,14 @@
     to_report_.erase(target.id);
   }
   // What is known already says nothing new of the warm-up: it went on meanwhile.
-  if (is_new || target.sequence > score.announced) {
+  if (is_new || target.sequence > score.announcement_sequence) {
     score.warm_at = now + milliseconds(target.warm_up_ms);
-    score.announced = target.sequence;
+    score.announcement_sequence = target.sequence;
   }
   score.unreported.token = target.token;
 }
 
-bool TargetScores::is_other_life(const RegisteredTarget& target) const {
+bool TargetScores::is_other_incarnation(const RegisteredTarget& target) const {
   const TargetScore* score = find(target.id);
   return score != nullptr && score->started_at_ms != target.started_at_ms;
 }
@@ -101,25 +101,25 @@
     seen.token = token;
   }
   to_report_.clear();
-  has_trouble_ = false;
+  has_failures_ = false;
   has_refused_probe_ = false;
   std::sort(result.begin(), result.end(),
             [](const auto& a, const auto& b) { return a.token < b.token; });
   return result;
 }
 
-std::vector<TargetId> TargetScores::set_figures(const std::vector<TargetFigure>& figures) {
-  has_figures_ = !figures.empty();
+std::vector<TargetId> TargetScores::set_target_health(const std::vector<TargetFigure>& figures) {
+  has_target_health_ = !figures.empty();
   absl::flat_hash_set<TargetId> unreachable_before;
-  for (const TargetId id : std::exchange(figured_, {})) {
+  for (const TargetId id : std::exchange(targets_with_health_, {})) {
     const auto held = scores_.find(id);
     if (held == scores_.end()) {
       continue;
     }
-    if (held->second.figure.is_unreachable) {
+    if (held->second.health.is_unreachable) {
       unreachable_before.insert(id);
     }
-    held->second.figure = {};
+    held->second.health = {};
   }
   std::vector<TargetId> newly_unreachable;
   for (const auto& figure : figures) {
@@ -127,8 +127,8 @@
     if (found == by_token_.end()) {
       continue;
     }
-    at(found->second).figure = figure;
-    figured_.push_back(found->second);
+    at(found->second).health = figure;
+    targets_with_health_.push_back(found->second);
     if (figure.is_unreachable && !unreachable_before.contains(found->second)) {
       newly_unreachable.push_back(found->second);
     }
@@ -157,18 +157,18 @@
   return latest;
 }
 
-void TargetScores::on_opened(TargetId id) {
+void TargetScores::on_established(TargetId id) {
   TargetScore& score = at(id);
   score.unanswered = 0;
   score.suspected_until = Instant{};
 }
 
-void TargetScores::on_unanswered(TargetId id, Instant now) {
+void TargetScores::on_unanswered_syn(TargetId id, Instant now) {
   TargetScore& score = at(id);
   ++score.unanswered;
   ++unreported(id).unanswered;
   if (policy_.suspect_after > 0 && score.unanswered >= policy_.suspect_after) {
-    score.suspected_until = now + kSuspicion;
+    score.suspected_until = now + kSuspicionTime;
   }
 }
 
@@ -187,21 +187,21 @@
   }
   ++unreported(id).refused;
   TargetScore& score = at(id);
-  score.suspected_until = now + kRefusalSuspicion;
-  has_trouble_ = true;
+  score.suspected_until = now + kRefusalSuspicionTime;
+  has_failures_ = true;
 }
 
 void TargetScores::on_refused_probe(TargetId id) {
   ++unreported(id).refusing;
-  has_trouble_ = true;
+  has_failures_ = true;
   has_refused_probe_ = true;
 }
 
 void TargetScores::on_unreachable(TargetId id, Instant now) {
   ++unreported(id).unreachable;
   TargetScore& score = at(id);
-  score.suspected_until = now + kRefusalSuspicion;
-  has_trouble_ = true;
+  score.suspected_until = now + kRefusalSuspicionTime;
+  has_failures_ = true;
 }
 
 double TargetScores::preference(const RegisteredTarget& target) const {
@@ -210,21 +210,22 @@
   if (score == nullptr) {
     return nearness;
   }
-  const double pressure = std::clamp<double>(score->figure.pressure, kLeastPressure, kMostPressure);
+  const double pressure =
+      std::clamp<double>(score->health.pressure, kMinLoadPercent, kMaxLoadPercent);
   return nearness * std::pow(TargetFigure::kUsualPressure / pressure, policy_.pressure_exponent);
 }
 
-void TargetScores::on_stalled(TargetId id) {
+void TargetScores::on_stalled_request(TargetId id) {
   if (policy_.stalls <= 0) {
     return;
   }
   ++unreported(id).stalled;
-  has_trouble_ = true;
+  has_failures_ = true;
 }
 
 bool TargetScores::is_suspected(TargetId id, Instant now) const {
   const TargetScore* score = find(id);
-  return score != nullptr && (now < score->suspected_until || score->figure.is_troubled);
+  return score != nullptr && (now < score->suspected_until || score->health.is_troubled);
 }
 
 double TargetScores::recent_answer_us(TargetId id, Instant now) const {
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -33,13 +33,13 @@
   /// Slow until then, as the target said.
   Instant warm_at;
   /// Sequence of the announcement that said so.
-  std::uint64_t announced = 0;
+  std::uint64_t announcement_sequence = 0;
   /// The life that all of this was seen of.
   TargetStart started_at_ms = 0;
   /// What was seen here since the last report.
   TargetObservation unreported;
   /// What all balancers saw together.
-  TargetFigure figure;
+  TargetFigure health;
 };
 
 class TargetScores {
@@ -52,7 +52,7 @@
   void adopt(const TargetMap& targets, Instant now);
   void on_target(const RegisteredTarget& target, Instant now);
   /// True when what is known was seen of another life of the target.
-  [[nodiscard]] bool is_other_life(const RegisteredTarget& target) const;
+  [[nodiscard]] bool is_other_incarnation(const RegisteredTarget& target) const;
   void on_forgotten(TargetId id);
 
   [[nodiscard]] TargetScore& at(TargetId id) { return scores_[id]; }
@@ -61,9 +61,9 @@
   /// A flow was placed at the target.
   void on_placed(TargetId id);
   /// Something followed an opening packet.
-  void on_opened(TargetId id);
+  void on_established(TargetId id);
   /// An opening packet had to be repeated.
-  void on_unanswered(TargetId id, Instant now);
+  void on_unanswered_syn(TargetId id, Instant now);
   /// The target told a caller that it takes no flow.
   void on_refused(TargetId id, Instant now);
   /// The target refused a probe.
@@ -72,18 +72,18 @@
   void on_unreachable(TargetId id, Instant now);
   void on_request(TargetId id);
   /// A request got no answer in the time that answers take.
-  void on_stalled(TargetId id);
+  void on_stalled_request(TargetId id);
   void on_answer(TargetId id, Duration took, Instant now);
 
   /// What was seen since the last call.
   [[nodiscard]] std::vector<TargetObservation> take_observations();
-  [[nodiscard]] bool has_trouble() const { return has_trouble_; }
+  [[nodiscard]] bool has_failures() const { return has_failures_; }
   /// True when a target refused a probe since the last call of `take_observations`.
   [[nodiscard]] bool has_refused_probe() const { return has_refused_probe_; }
   /// Takes figures in place of all earlier ones. Gives the targets that some balancer could not
   /// reach by these figures, and by the earlier ones could.
-  std::vector<TargetId> set_figures(const std::vector<TargetFigure>& figures);
-  [[nodiscard]] bool has_figures() const { return has_figures_; }
+  std::vector<TargetId> set_target_health(const std::vector<TargetFigure>& figures);
+  [[nodiscard]] bool has_target_health() const { return has_target_health_; }
 
   /// Forgets when targets answered that has grown old; to be called about once a second.
   void on_tick(Instant now);
@@ -127,11 +127,11 @@
   /// Targets that have something to report.
   absl::flat_hash_set<TargetId> to_report_;
   /// Targets that have a figure.
-  std::vector<TargetId> figured_;
+  std::vector<TargetId> targets_with_health_;
   absl::flat_hash_map<FlowToken, TargetId> by_token_;
-  bool has_trouble_ = false;
+  bool has_failures_ = false;
   bool has_refused_probe_ = false;
-  bool has_figures_ = false;
+  bool has_target_health_ = false;
 };
 
 }  // namespace gorsevalve
--- a/src/core/steering/warm_up_budget.cc
+++ b/src/core/steering/warm_up_budget.cc
@@ -15,20 +15,20 @@
 constexpr double kMicrosecondsPerSecond = 1e6;
 /// Part of an operator's bound that is given out in turns. The rest is for balancers that learn of
 /// the target, or of a new place, later than others do.
-constexpr double kUsedPart = 0.8;
+constexpr double kUsedFraction = 0.8;
 /// A turn that no flow comes for lapses after this time: long enough for a balancer with 5 new
 /// flows a second to use nine of ten, short enough that turns which were saved up are half of a
 /// second's turns at most when a burst comes.
 constexpr Duration kTurnLifetime = milliseconds(500);
 /// A place that was not told again for this long says nothing any more: balancers that came since
 /// are not counted in it. Half of the time for which a lost balancer keeps its number.
-constexpr Duration kPlaceLifetime = seconds(30);
+constexpr Duration kRankLifetime = seconds(30);
 /// A fall to less than half of the count is believed after this time only, when lost balancers have
 /// lost their numbers, too: a leader that has heard few would else let each of them take the turns
 /// of many.
-constexpr Duration kCountMemory = seconds(60);
+constexpr Duration kMaxCountLifetime = seconds(60);
 /// More balancers than any deployment has: a count above it is no count.
-constexpr std::uint32_t kMostBalancers = 100000;
+constexpr std::uint32_t kMaxBalancers = 100000;
 
 double seconds_between(Instant from, Instant to) {
   return static_cast<double>((to - from).count()) / kMicrosecondsPerSecond;
@@ -42,25 +42,25 @@
 
 }  // namespace
 
-void WarmUpBudget::set_place(const BalancerPlace& told, Instant now) {
+void WarmUpBudget::set_rank(const BalancerRank& told, Instant now) {
   if (told.count == 0) {
     return;
   }
-  if (told.number >= told.count || told.count > kMostBalancers) {
-    ++counters_.places_doubted;
+  if (told.number >= told.count || told.count > kMaxBalancers) {
+    ++counters_.implausible_ranks;
     return;
   }
-  if (told.count >= greatest_count_ || now - greatest_at_ > kCountMemory) {
-    greatest_count_ = told.count;
-    greatest_at_ = now;
+  if (told.count >= max_count_ || now - max_count_at_ > kMaxCountLifetime) {
+    max_count_ = told.count;
+    max_count_at_ = now;
   }
-  const std::uint32_t least = greatest_count_ / 2;
-  counters_.places_doubted += told.count < least ? 1 : 0;
-  place_ = {told.number, std::max(told.count, least)};
-  place_at_ = now;
+  const std::uint32_t least = max_count_ / 2;
+  counters_.implausible_ranks += told.count < least ? 1 : 0;
+  rank_ = {told.number, std::max(told.count, least)};
+  rank_received_at_ = now;
 }
 
-bool WarmUpBudget::begin(const ColdTarget& target, Instant now) {
+bool WarmUpBudget::add(const ColdTarget& target, Instant now) {
   Budget& budget = cold_[target.id];
   if (budget.warm_at == target.warm_at) {
     return false;
@@ -76,16 +76,16 @@
 }
 
 double WarmUpBudget::round_s(const Budget& budget) const {
-  const std::uint32_t count = takes_all_turns_ ? 1 : place_.count;
-  return count / (kUsedPart * budget.flows_per_s);
+  const std::uint32_t count = takes_all_turns_ ? 1 : rank_.count;
+  return count / (kUsedFraction * budget.flows_per_s);
 }
 
 bool WarmUpBudget::has_turn(const Budget& budget, Instant now) const {
-  if (place_.count == 0 || now - place_at_ > kPlaceLifetime) {
+  if (rank_.count == 0 || now - rank_received_at_ > kRankLifetime) {
     return false;
   }
   const double round = round_s(budget);
-  const double part = static_cast<double>(place_.number) / place_.count + budget.offset;
+  const double part = static_cast<double>(rank_.number) / rank_.count + budget.offset;
   const double first_turn = round * (part - std::floor(part));
   const double since_first = seconds_between(budget.cold_since, now) - first_turn;
   if (since_first < 0) {
@@ -109,12 +109,12 @@
 WarmUpAdmission WarmUpBudget::admission(TargetId id, Instant now) const {
   const auto found = cold_.find(id);
   if (found == cold_.end() || now >= found->second.warm_at) {
-    return WarmUpAdmission::kFree;
+    return WarmUpAdmission::kUnrestricted;
   }
   if (!found->second.is_age_known) {
     return WarmUpAdmission::kUnknownAge;
   }
-  return has_turn(found->second, now) ? WarmUpAdmission::kTurn : WarmUpAdmission::kNoTurn;
+  return has_turn(found->second, now) ? WarmUpAdmission::kOwnTurn : WarmUpAdmission::kOtherTurn;
 }
 
 void WarmUpBudget::on_placed(TargetId id, Instant now) {
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -12,7 +12,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "model/balancer_place.h"
+#include "model/balancer_rank.h"
 #include "model/steering.h"
 #include "model/time.h"
 
@@ -21,14 +21,14 @@
 /// What a budget says to one more flow at a target.
 enum class WarmUpAdmission : std::uint8_t {
   /// No budget holds the target.
-  kFree = 0,
+  kUnrestricted = 0,
   /// It is cold, and it is this balancer's turn.
-  kTurn = 1,
+  kOwnTurn = 1,
   /// It was found in a whole state, which does not tell since when it runs: it may be cold. Better
   /// than none, since most targets that a starting balancer finds are warm.
   kUnknownAge = 2,
   /// It is cold, and others have the turn.
-  kNoTurn = 3,
+  kOtherTurn = 3,
 };
 
 /// A target that has just turned cold.
@@ -58,17 +58,17 @@
   /// Flows that found no target since all that were left were cold without a turn.
   std::uint64_t refused = 0;
   /// Places that could not be true, or fell too much to be believed whole.
-  std::uint64_t places_doubted = 0;
+  std::uint64_t implausible_ranks = 0;
 };
 
 class WarmUpBudget {
  public:
   /// Takes what the control replicas tell of this balancer's place; a count of 0 changes nothing.
-  void set_place(const BalancerPlace& told, Instant now);
+  void set_rank(const BalancerRank& told, Instant now);
 
   /// Holds a target until it is warm. One that is held until the same moment keeps its turns; then
   /// false.
-  bool begin(const ColdTarget& target, Instant now);
+  bool add(const ColdTarget& target, Instant now);
   void forget(TargetId id) { cold_.erase(id); }
   /// Takes the rates of changed settings; `rate_of` gives the flows per second of a target, 0 when
   /// there is no bound.
@@ -82,8 +82,8 @@
 
   /// True while no target is held: then every admission is kFree.
   [[nodiscard]] bool is_empty() const { return cold_.empty(); }
-  [[nodiscard]] bool holds(TargetId id) const { return cold_.contains(id); }
-  [[nodiscard]] std::size_t held() const { return cold_.size(); }
+  [[nodiscard]] bool contains(TargetId id) const { return cold_.contains(id); }
+  [[nodiscard]] std::size_t size() const { return cold_.size(); }
   [[nodiscard]] WarmUpAdmission admission(TargetId id, Instant now) const;
   /// How often a target should win during a turn, compared with one that may be chosen at any time:
   /// its turn stands for a whole round, so that it gets its share of flows where that is within its
@@ -97,7 +97,7 @@
   /// Lets go of targets that are warm, in the order of their ids.
   [[nodiscard]] std::vector<WarmedTarget> take_warmed(Instant now);
   /// The place that turns are taken by; a count of 0 before the first one.
-  [[nodiscard]] const BalancerPlace& place() const { return place_; }
+  [[nodiscard]] const BalancerRank& rank() const { return rank_; }
   [[nodiscard]] const WarmUpCounters& counters() const { return counters_; }
 
   /// Deliberate fault, for the test that shows that its check can fail: each balancer takes all
@@ -122,11 +122,11 @@
   [[nodiscard]] bool has_turn(const Budget& budget, Instant now) const;
 
   absl::flat_hash_map<TargetId, Budget> cold_;
-  BalancerPlace place_;
-  Instant place_at_;
+  BalancerRank rank_;
+  Instant rank_received_at_;
   /// The most balancers that were told of lately.
-  std::uint32_t greatest_count_ = 0;
-  Instant greatest_at_;
+  std::uint32_t max_count_ = 0;
+  Instant max_count_at_;
   WarmUpCounters counters_;
   bool takes_all_turns_ = false;
 };
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -11,25 +11,25 @@
 
 /// Pause after a look that was answered; doubled each time, since zones with long queues raise
 /// doubts all the time. A cut that begins in the longest one is found that much later.
-constexpr Duration kLookPause = milliseconds(250);
-constexpr Duration kMaxLookPause = seconds(1);
+constexpr Duration kInitialCheckBackoff = milliseconds(250);
+constexpr Duration kMaxCheckBackoff = seconds(1);
 /// Pause after a look that could not be decided, half of the time after which callers repeat;
 /// doubled each time, since probes would add to what makes an own link lose packets.
-constexpr Duration kUndecidedPause = milliseconds(100);
-constexpr Duration kMaxUndecidedPause = seconds(4);
+constexpr Duration kInitialInconclusiveBackoff = milliseconds(100);
+constexpr Duration kMaxInconclusiveBackoff = seconds(4);
 /// After so long without a look, pauses begin anew.
-constexpr Duration kLookPauseForgotten = seconds(8);
+constexpr Duration kBackoffResetTime = seconds(8);
 /// Pause between two looks whether a path is back, and the targets that one probes.
-constexpr Duration kReturnInterval = milliseconds(200);
-constexpr std::size_t kReturnProbes = 3;
+constexpr Duration kRecoveryProbeInterval = milliseconds(200);
+constexpr std::size_t kRecoveryProbes = 3;
 /// Different targets that must answer in two looks on end.
-constexpr std::size_t kReturnAnswers = 3;
+constexpr std::size_t kRecoveryResponders = 3;
 /// Or any target in this many rounds on end, 0.8 s: the others may have gone meanwhile, and a path
 /// that is held for cut resets flows of those that are there.
-constexpr std::uint32_t kReturnRounds = 4;
+constexpr std::uint32_t kRecoveryRounds = 4;
 /// In this time the part of new flows that may go back there grows from none to all: as long as
 /// figures of all balancers need to show what came, with room for what was placed meanwhile.
-constexpr Duration kReturnTime = seconds(2);
+constexpr Duration kRampUpTime = seconds(2);
 /// Answers that come later than this tell nothing.
 constexpr Duration kProbeLifetime = seconds(1);
 constexpr std::uint64_t kHashRange = 1U << 16U;
@@ -98,7 +98,7 @@
 }
 
 bool ZonePaths::is_cut(std::string_view zone) const {
-  return cut_ > 0 && std::any_of(zones_.begin(), zones_.end(), [&](const Zone& one) {
+  return cut_count_ > 0 && std::any_of(zones_.begin(), zones_.end(), [&](const Zone& one) {
            return one.name == zone && one.cut_since;
          });
 }
@@ -109,27 +109,27 @@
     return true;
   }
   const auto elapsed = static_cast<std::uint64_t>((now - *zone->restored_at).count());
-  const auto whole = static_cast<std::uint64_t>(kReturnTime.count());
+  const auto whole = static_cast<std::uint64_t>(kRampUpTime.count());
   return flow_hash % kHashRange * whole < elapsed * kHashRange;
 }
 
-bool ZonePaths::may_look(TargetId target, Instant now) const {
+bool ZonePaths::may_check(TargetId target, Instant now) const {
   const Zone* zone = zone_of(target);
-  return !own_zone_.empty() && zone != nullptr && zone->name != own_zone_ && !zone->look &&
-         !zone->cut_since && now >= zone->look_next_at;
+  return !own_zone_.empty() && zone != nullptr && zone->name != own_zone_ && !zone->check &&
+         !zone->cut_since && now >= zone->next_check_at;
 }
 
-void ZonePaths::doubt(TargetId target, Instant sent_at, const std::vector<TargetId>& answered,
-                      Instant now) {
-  if (may_look(target, now)) {
+void ZonePaths::suspect(TargetId target, Instant sent_at, const std::vector<TargetId>& answered,
+                        Instant now) {
+  if (may_check(target, now)) {
     answered_ = answered;
-    begin_look(zones_[by_target_.at(target)], {target}, sent_at, now);
+    begin_check(zones_[by_target_.at(target)], {target}, sent_at, now);
   }
 }
 
-void ZonePaths::fill_witnesses(const Zone& zone, std::vector<TargetId>& witnesses) const {
+void ZonePaths::add_samples(const Zone& zone, std::vector<TargetId>& witnesses) const {
   for (const TargetId target : answered_) {
-    if (witnesses.size() < ZoneLook::kWitnesses && zone_of(target) == &zone) {
+    if (witnesses.size() < ZonePathCheck::kMaxSamples && zone_of(target) == &zone) {
       add_once(witnesses, target);
     }
   }
@@ -137,9 +137,9 @@
   // The newest first, since of the oldest some may be gone; then spread over the others, since
   // those that came together may go together.
   const std::size_t members = zone.targets.size();
-  const std::size_t stride = std::max<std::size_t>(members / ZoneLook::kWitnesses, 1);
+  const std::size_t stride = std::max<std::size_t>(members / ZonePathCheck::kMaxSamples, 1);
   for (std::size_t start = 0; start < stride; ++start) {
-    for (std::size_t i = start; i < members && witnesses.size() < ZoneLook::kWitnesses;
+    for (std::size_t i = start; i < members && witnesses.size() < ZonePathCheck::kMaxSamples;
          i += stride) {
       add_once(witnesses, zone.targets[members - 1 - i]);
     }
@@ -151,55 +151,55 @@
   for (const TargetId target : answered_) {
     const Zone* zone = zone_of(target);
     const bool is_near = zone != nullptr && zone->name == own_zone_;
-    if (is_near && references.size() < ZoneLook::kReferences) {
+    if (is_near && references.size() < ZonePathCheck::kReferences) {
       references.push_back(target);
     }
   }
   return references;
 }
 
-void ZonePaths::begin_look(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at,
-                           Instant now) {
-  fill_witnesses(zone, witnesses);
+void ZonePaths::begin_check(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at,
+                            Instant now) {
+  add_samples(zone, witnesses);
   std::vector<TargetId> references = choose_references();
   // Without anything near that is known to answer, silence would prove nothing.
   const bool may_prove = !references.empty() || faults_.ignore_references;
-  if (witnesses.size() >= ZoneLook::kLeastWitnesses && may_prove) {
-    zone.look.emplace(std::move(witnesses), std::move(references), sent_at, now);
+  if (witnesses.size() >= ZonePathCheck::kMinSamples && may_prove) {
+    zone.check.emplace(std::move(witnesses), std::move(references), sent_at, now);
     if (faults_.ignore_references) {
-      zone.look->ignore_references();
+      zone.check->ignore_references();
     }
-    ++looks_;
+    ++active_checks_;
   } else {
     // To look for targets that answered walks all of them: not for each late request.
-    zone.look_next_at = now + kUndecidedPause;
+    zone.next_check_at = now + kInitialInconclusiveBackoff;
   }
 }
 
-void ZonePaths::end_look(Zone& zone, bool is_answered, Instant now) {
-  zone.look.reset();
-  --looks_;
-  const Duration first_pause = is_answered ? kLookPause : kUndecidedPause;
-  const Duration longest = is_answered ? kMaxLookPause : kMaxUndecidedPause;
-  const bool is_forgotten = now - zone.look_next_at > kLookPauseForgotten;
-  const Duration doubled = std::min(zone.look_pause * 2, longest);
-  zone.look_pause = is_forgotten ? first_pause : std::max(doubled, first_pause);
-  zone.look_next_at = now + zone.look_pause;
+void ZonePaths::end_check(Zone& zone, bool is_answered, Instant now) {
+  zone.check.reset();
+  --active_checks_;
+  const Duration first_pause = is_answered ? kInitialCheckBackoff : kInitialInconclusiveBackoff;
+  const Duration longest = is_answered ? kMaxCheckBackoff : kMaxInconclusiveBackoff;
+  const bool is_forgotten = now - zone.next_check_at > kBackoffResetTime;
+  const Duration doubled = std::min(zone.check_backoff * 2, longest);
+  zone.check_backoff = is_forgotten ? first_pause : std::max(doubled, first_pause);
+  zone.next_check_at = now + zone.check_backoff;
 }
 
-bool ZonePaths::counts(const ZoneLook& look, TargetId target) const {
-  return !faults_.trust_one_target || target == look.witnesses().front();
+bool ZonePaths::ends_check(const ZonePathCheck& look, TargetId target) const {
+  return !faults_.trust_one_target || target == look.samples().front();
 }
 
 void ZonePaths::on_progress(TargetId target, Instant sent_at, Instant now) {
-  const auto found = looks_ == 0 ? by_target_.end() : by_target_.find(target);
+  const auto found = active_checks_ == 0 ? by_target_.end() : by_target_.find(target);
   if (found == by_target_.end()) {
     return;
   }
   Zone& zone = zones_[found->second];
   // An answer to what was sent before says nothing of the path since.
-  if (zone.look && sent_at >= zone.look->sent_at() && counts(*zone.look, target)) {
-    end_look(zone, true, now);
+  if (zone.check && sent_at >= zone.check->sent_at() && ends_check(*zone.check, target)) {
+    end_check(zone, true, now);
   }
 }
 
@@ -209,10 +209,10 @@
   out.push_back({number, probe.target});
 }
 
-void ZonePaths::step_look(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
-  ZoneLook& look = *zones_[index].look;
-  const ZoneLook::Step step = look.step(now);
-  for (const TargetId witness : step.witnesses) {
+void ZonePaths::step_check(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
+  ZonePathCheck& look = *zones_[index].check;
+  const ZonePathCheck::ProbeRound step = look.next_round(now);
+  for (const TargetId witness : step.samples) {
     send({index, witness, false, now, look.attempt()}, out);
   }
   // Last: of what is sent at once, a short queue drops the end.
@@ -221,38 +221,38 @@
   }
 }
 
-void ZonePaths::look_elsewhere(Instant sent_at, Instant now) {
+void ZonePaths::check_other_zones(Instant sent_at, Instant now) {
   for (auto& other : zones_) {
     const bool may_begin =
-        !other.look && !other.cut_since && other.name != own_zone_ && now >= other.look_next_at;
+        !other.check && !other.cut_since && other.name != own_zone_ && now >= other.next_check_at;
     if (may_begin) {
-      begin_look(other, {}, sent_at, now);
+      begin_check(other, {}, sent_at, now);
     }
   }
 }
 
-void ZonePaths::probe_return(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
+void ZonePaths::probe_recovery(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
   Zone& zone = zones_[index];
   // What was heard is kept until it is concluded from.
-  if (now < zone.probe_next_at || zone.targets.empty() || is_back(zone)) {
+  if (now < zone.probe_next_at || zone.targets.empty() || is_recovered(zone)) {
     return;
   }
-  zone.probe_next_at = now + kReturnInterval;
-  zone.heard_before = std::exchange(zone.heard, {});
-  zone.rounds_heard = zone.heard_before.empty() ? 0 : zone.rounds_heard + 1;
-  for (const TargetId target : choose_return_probes(zone)) {
+  zone.probe_next_at = now + kRecoveryProbeInterval;
+  zone.previous_responders = std::exchange(zone.responders, {});
+  zone.answered_rounds = zone.previous_responders.empty() ? 0 : zone.answered_rounds + 1;
+  for (const TargetId target : choose_recovery_probes(zone)) {
     send({index, target, false, now, std::nullopt}, out);
-    ++zone.return_probes;
+    ++zone.recovery_probes;
   }
 }
 
-std::vector<TargetId> ZonePaths::choose_return_probes(Zone& zone) const {
+std::vector<TargetId> ZonePaths::choose_recovery_probes(Zone& zone) const {
   std::vector<TargetId> chosen;
   // One that answered is asked again: the others may be gone.
-  if (!zone.heard_before.empty() && zone_of(zone.heard_before.front()) == &zone) {
-    chosen.push_back(zone.heard_before.front());
+  if (!zone.previous_responders.empty() && zone_of(zone.previous_responders.front()) == &zone) {
+    chosen.push_back(zone.previous_responders.front());
   }
-  for (std::size_t i = 0; i < zone.targets.size() && chosen.size() < kReturnProbes; ++i) {
+  for (std::size_t i = 0; i < zone.targets.size() && chosen.size() < kRecoveryProbes; ++i) {
     zone.next_member = (zone.next_member + 1) % zone.targets.size();
     add_once(chosen, zone.targets[zone.next_member]);
   }
@@ -264,12 +264,12 @@
   absl::erase_if(sent_, [&](const auto& one) { return now - one.second.at > kProbeLifetime; });
   for (std::size_t i = 0; i < zones_.size(); ++i) {
     if (zones_[i].cut_since) {
-      probe_return(i, now, probes);
-    } else if (zones_[i].look) {
-      step_look(i, now, probes);
-      if (zones_[i].look->is_last_round()) {
+      probe_recovery(i, now, probes);
+    } else if (zones_[i].check) {
+      step_check(i, now, probes);
+      if (zones_[i].check->is_last_round()) {
         // What cuts this zone off may cut this balancer off from others, too.
-        look_elsewhere(zones_[i].look->since(), now);
+        check_other_zones(zones_[i].check->since(), now);
       }
     }
   }
@@ -286,25 +286,26 @@
   Zone& zone = zones_[sent.zone];
   const bool is_accepted = answer == ProbeAnswer::kAccepted;
   if (!sent.attempt && zone.cut_since && is_accepted) {
-    add_once(zone.heard, sent.target);
-  } else if (zone.look && sent.at >= zone.look->since() && sent.attempt == zone.look->attempt()) {
-    on_look_answer(zone, sent, answer, now);
+    add_once(zone.responders, sent.target);
+  } else if (zone.check && sent.at >= zone.check->since() &&
+             sent.attempt == zone.check->attempt()) {
+    on_check_answer(zone, sent, answer, now);
   }
 }
 
-void ZonePaths::on_look_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer,
-                               Instant now) {
+void ZonePaths::on_check_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer,
+                                Instant now) {
   const bool is_accepted = answer == ProbeAnswer::kAccepted;
   if (probe.is_reference) {
     if (is_accepted) {
-      zone.look->on_reference_answer(now - probe.at);
+      zone.check->on_reference_answer(now - probe.at);
     }
     return;
   }
   if (!is_accepted) {
-    zone.look->on_refusal();
-  } else if (counts(*zone.look, probe.target)) {
-    end_look(zone, true, now);
+    zone.check->on_refusal();
+  } else if (ends_check(*zone.check, probe.target)) {
+    end_check(zone, true, now);
   }
 }
 
@@ -314,86 +315,87 @@
     return;
   }
   Zone& zone = zones_[found->second.zone];
-  const bool is_of_look = found->second.attempt && zone.look;
+  const bool is_of_look = found->second.attempt && zone.check;
   sent_.erase(found);
   if (is_of_look) {
-    end_look(zone, false, now);
+    end_check(zone, false, now);
   }
 }
 
-void ZonePaths::conclude_look(Zone& zone, bool is_link_congested, Instant now,
-                              std::vector<ZonePathChange>& out) {
-  const ZoneLook& look = *zone.look;
+void ZonePaths::conclude_check(Zone& zone, bool is_link_congested, Instant now,
+                               std::vector<ZonePathChange>& out) {
+  const ZonePathCheck& look = *zone.check;
   // What has ended meanwhile is silent for another reason.
-  const bool are_known = std::all_of(look.witnesses().begin(), look.witnesses().end(),
+  const bool are_known = std::all_of(look.samples().begin(), look.samples().end(),
                                      [&](TargetId target) { return by_target_.contains(target); });
   const bool may_conclude = !is_link_congested && are_known;
-  if (may_conclude && look.is_proven(now)) {
+  if (may_conclude && look.is_silence_proven(now)) {
     out.push_back({zone.name, true, now - look.sent_at(),
-                   static_cast<std::uint32_t>(look.witnesses().size()), look.probes(),
-                   look.refusals(), look.witnesses().front()});
+                   static_cast<std::uint32_t>(look.samples().size()), look.probes(),
+                   look.refusals(), look.samples().front()});
     begin_cut(zone, now);
-  } else if (!may_conclude || look.is_undecided(now)) {
-    end_look(zone, false, now);
+  } else if (!may_conclude || look.is_inconclusive(now)) {
+    end_check(zone, false, now);
   }
 }
 
 void ZonePaths::begin_cut(Zone& zone, Instant now) {
-  zone.look.reset();
-  --looks_;
+  zone.check.reset();
+  --active_checks_;
   zone.cut_since = now;
-  ++cut_;
-  zone.probe_next_at = now + kReturnInterval;
-  zone.heard.clear();
-  zone.heard_before.clear();
-  zone.return_probes = 0;
-  zone.rounds_heard = 0;
-  returning_ -= zone.restored_at ? 1 : 0;
+  ++cut_count_;
+  zone.probe_next_at = now + kRecoveryProbeInterval;
+  zone.responders.clear();
+  zone.previous_responders.clear();
+  zone.recovery_probes = 0;
+  zone.answered_rounds = 0;
+  recovering_count_ -= zone.restored_at ? 1 : 0;
   zone.restored_at.reset();
 }
 
-std::vector<TargetId> ZonePaths::answered_again(const Zone& zone) {
-  std::vector<TargetId> answered = zone.heard_before;
-  for (const TargetId target : zone.heard) {
+std::vector<TargetId> ZonePaths::recent_responders(const Zone& zone) {
+  std::vector<TargetId> answered = zone.previous_responders;
+  for (const TargetId target : zone.responders) {
     add_once(answered, target);
   }
   return answered;
 }
 
-bool ZonePaths::is_back(const Zone& zone) {
-  if (zone.heard.empty() || zone.heard_before.empty()) {
+bool ZonePaths::is_recovered(const Zone& zone) {
+  if (zone.responders.empty() || zone.previous_responders.empty()) {
     return false;
   }
-  const bool several = answered_again(zone).size() >= std::min(kReturnAnswers, zone.targets.size());
-  return several || zone.rounds_heard >= kReturnRounds;
+  const bool several =
+      recent_responders(zone).size() >= std::min(kRecoveryResponders, zone.targets.size());
+  return several || zone.answered_rounds >= kRecoveryRounds;
 }
 
-void ZonePaths::conclude_return(Zone& zone, Instant now, std::vector<ZonePathChange>& out) {
-  if (!zone.targets.empty() && !is_back(zone)) {
+void ZonePaths::conclude_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out) {
+  if (!zone.targets.empty() && !is_recovered(zone)) {
     return;
   }
-  const auto answered = static_cast<std::uint32_t>(answered_again(zone).size());
-  out.push_back({zone.name, false, now - *zone.cut_since, answered, zone.return_probes, 0, 0});
+  const auto answered = static_cast<std::uint32_t>(recent_responders(zone).size());
+  out.push_back({zone.name, false, now - *zone.cut_since, answered, zone.recovery_probes, 0, 0});
   zone.cut_since.reset();
-  --cut_;
-  returning_ += zone.restored_at ? 0 : 1;
+  --cut_count_;
+  recovering_count_ += zone.restored_at ? 0 : 1;
   zone.restored_at = now;
 }
 
-std::vector<ZonePathChange> ZonePaths::conclude(bool is_link_congested, Instant now) {
+std::vector<ZonePathChange> ZonePaths::detect_changes(bool is_link_congested, Instant now) {
   std::vector<ZonePathChange> changes;
-  if (looks_ + cut_ + returning_ == 0) {
+  if (active_checks_ + cut_count_ + recovering_count_ == 0) {
     return changes;
   }
   for (auto& zone : zones_) {
     if (zone.cut_since) {
-      conclude_return(zone, now, changes);
-    } else if (zone.look) {
-      conclude_look(zone, is_link_congested, now, changes);
+      conclude_recovery(zone, now, changes);
+    } else if (zone.check) {
+      conclude_check(zone, is_link_congested, now, changes);
     }
-    if (zone.restored_at && now - *zone.restored_at >= kReturnTime) {
+    if (zone.restored_at && now - *zone.restored_at >= kRampUpTime) {
       zone.restored_at.reset();
-      --returning_;
+      --recovering_count_;
     }
   }
   return changes;
--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "core/steering/target_reachability.h"
-#include "core/steering/zone_look.h"
+#include "core/steering/zone_path_check.h"
 #include "model/steering.h"
 #include "model/time.h"
 
@@ -31,7 +31,7 @@
   std::string zone;
   bool is_cut = false;
   /// From the first unanswered packet to the conclusion, or for how long the path was cut.
-  Duration took{0};
+  Duration duration{0};
   /// Targets that were silent, or that answered again.
   std::uint32_t targets = 0;
   /// Probes of these that were sent.
@@ -60,42 +60,43 @@
   void on_target(const RegisteredTarget& target);
   void on_forgotten(TargetId target);
 
-  /// True when `impairment` would begin a look at the target's zone.
-  [[nodiscard]] bool may_look(TargetId target, Instant now) const;
+  /// True when `doubt` would begin a look at the target's zone.
+  [[nodiscard]] bool may_check(TargetId target, Instant now) const;
   /// A packet that was sent to the target at `sent_at` is not answered in the time that answers
   /// take. `answered` are targets of any zone that answered lately, the latest first.
-  void doubt(TargetId target, Instant sent_at, const std::vector<TargetId>& answered, Instant now);
+  void suspect(TargetId target, Instant sent_at, const std::vector<TargetId>& answered,
+               Instant now);
   /// The target answered something that was sent to it at `sent_at`.
   void on_progress(TargetId target, Instant sent_at, Instant now);
 
-  /// Probes to send now. To be called each `TargetReachability::kStepInterval` while `is_looking`,
-  /// else now and then. Their numbers are above `kFirstProbe`.
+  /// Probes to send now. To be called each `TargetReachability::kStepInterval` while `is_checking`,
+  /// else now and then. Their numbers are above `kProbeNumberBase`.
   [[nodiscard]] std::vector<ProbeRequest> take_probes(Instant now);
   void on_answer(std::uint64_t probe, ProbeAnswer answer, Instant now);
   /// A probe could not be sent: what it would have shown stays open.
   void on_not_sent(std::uint64_t probe, Instant now);
   /// What is newly concluded. Over an own link that is congested, silence says nothing.
-  [[nodiscard]] std::vector<ZonePathChange> conclude(bool is_link_congested, Instant now);
+  [[nodiscard]] std::vector<ZonePathChange> detect_changes(bool is_link_congested, Instant now);
 
   [[nodiscard]] bool is_cut(TargetId target) const {
     // In the usual case there is nothing to look up: this is asked for each target of a choice.
-    return cut_ > 0 && is_beyond_cut(target);
+    return cut_count_ > 0 && is_beyond_cut(target);
   }
   [[nodiscard]] bool is_cut(std::string_view zone) const;
   /// False while a path is just back and the new flow with this hash is not among the growing part
   /// that goes there.
   [[nodiscard]] bool admits(TargetId target, std::uint64_t flow_hash, Instant now) const {
-    return returning_ == 0 || is_admitted(target, flow_hash, now);
+    return recovering_count_ == 0 || is_admitted(target, flow_hash, now);
   }
   /// True while the path to some zone is just back.
-  [[nodiscard]] bool is_returning() const { return returning_ > 0; }
+  [[nodiscard]] bool is_recovering() const { return recovering_count_ > 0; }
   /// True while a look is under way.
-  [[nodiscard]] bool is_looking() const { return looks_ > 0; }
-  [[nodiscard]] std::size_t cut() const { return cut_; }
+  [[nodiscard]] bool is_checking() const { return active_checks_ > 0; }
+  [[nodiscard]] std::size_t cut_count() const { return cut_count_; }
   void set_faults(const ZonePathFaults& faults) { faults_ = faults; }
 
   /// Numbers of probes are above this, so that they are told from those of single targets.
-  static constexpr std::uint64_t kFirstProbe = std::uint64_t{1} << 63U;
+  static constexpr std::uint64_t kProbeNumberBase = std::uint64_t{1} << 63U;
   /// Zones that are judged at most.
   static constexpr std::size_t kMaxZones = 64;
 
@@ -103,19 +104,19 @@
   struct Zone {
     std::string name;
     std::vector<TargetId> targets;
-    std::optional<ZoneLook> look;
+    std::optional<ZonePathCheck> check;
     /// No look before this; each one that came to nothing doubles the pause, up to a bound.
-    Instant look_next_at;
-    Duration look_pause{0};
+    Instant next_check_at;
+    Duration check_backoff{0};
     std::optional<Instant> cut_since;
     Instant probe_next_at;
     std::size_t next_member = 0;
     /// Targets that answered in this round and the one before, while the path is cut.
-    std::vector<TargetId> heard;
-    std::vector<TargetId> heard_before;
-    std::uint32_t return_probes = 0;
+    std::vector<TargetId> responders;
+    std::vector<TargetId> previous_responders;
+    std::uint32_t recovery_probes = 0;
     /// Rounds on end in which something answered.
-    std::uint32_t rounds_heard = 0;
+    std::uint32_t answered_rounds = 0;
     /// When the path was back; nothing once load may return freely.
     std::optional<Instant> restored_at;
   };
@@ -132,26 +133,26 @@
   [[nodiscard]] bool is_beyond_cut(TargetId target) const;
   [[nodiscard]] bool is_admitted(TargetId target, std::uint64_t flow_hash, Instant now) const;
   [[nodiscard]] const Zone* zone_of(TargetId target) const;
-  [[nodiscard]] std::vector<TargetId> choose_return_probes(Zone& zone) const;
+  [[nodiscard]] std::vector<TargetId> choose_recovery_probes(Zone& zone) const;
   std::size_t zone_index(const std::string& name);
-  void begin_look(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at, Instant now);
-  void fill_witnesses(const Zone& zone, std::vector<TargetId>& witnesses) const;
+  void begin_check(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at, Instant now);
+  void add_samples(const Zone& zone, std::vector<TargetId>& witnesses) const;
   [[nodiscard]] std::vector<TargetId> choose_references() const;
-  void end_look(Zone& zone, bool is_answered, Instant now);
-  void step_look(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
-  void look_elsewhere(Instant sent_at, Instant now);
-  void probe_return(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
+  void end_check(Zone& zone, bool is_answered, Instant now);
+  void step_check(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
+  void check_other_zones(Instant sent_at, Instant now);
+  void probe_recovery(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
   void send(const SentProbe& probe, std::vector<ProbeRequest>& out);
   /// True when an answer of the target ends the look: of any, unless a deliberate fault is on.
-  [[nodiscard]] bool counts(const ZoneLook& look, TargetId target) const;
-  void on_look_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer, Instant now);
-  void conclude_look(Zone& zone, bool is_link_congested, Instant now,
-                     std::vector<ZonePathChange>& out);
+  [[nodiscard]] bool ends_check(const ZonePathCheck& look, TargetId target) const;
+  void on_check_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer, Instant now);
+  void conclude_check(Zone& zone, bool is_link_congested, Instant now,
+                      std::vector<ZonePathChange>& out);
   void begin_cut(Zone& zone, Instant now);
   /// Targets that answered in the last two looks whether the path is back.
-  [[nodiscard]] static std::vector<TargetId> answered_again(const Zone& zone);
-  [[nodiscard]] static bool is_back(const Zone& zone);
-  void conclude_return(Zone& zone, Instant now, std::vector<ZonePathChange>& out);
+  [[nodiscard]] static std::vector<TargetId> recent_responders(const Zone& zone);
+  [[nodiscard]] static bool is_recovered(const Zone& zone);
+  void conclude_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out);
 
   std::string own_zone_;
   ZonePathFaults faults_;
@@ -161,11 +162,11 @@
   /// Index into `zones_`.
   absl::flat_hash_map<TargetId, std::size_t> by_target_;
   absl::flat_hash_map<std::uint64_t, SentProbe> sent_;
-  std::uint64_t last_probe_ = kFirstProbe;
-  std::size_t looks_ = 0;
-  std::size_t cut_ = 0;
+  std::uint64_t last_probe_ = kProbeNumberBase;
+  std::size_t active_checks_ = 0;
+  std::size_t cut_count_ = 0;
   /// Zones to which load returns.
-  std::size_t returning_ = 0;
+  std::size_t recovering_count_ = 0;
 };
 
 }  // namespace gorsevalve
--- a/src/model/balancer_place.h
+++ b/src/model/balancer_rank.h
@@ -9,11 +9,11 @@
 
 /// Numbers run from 0 to `count` - 1, and no two balancers have the same one while all of them have
 /// heard the same leader. A `count` of 0 tells nothing.
-struct BalancerPlace {
+struct BalancerRank {
   std::uint32_t number = 0;
   std::uint32_t count = 0;
 
-  friend bool operator==(const BalancerPlace&, const BalancerPlace&) = default;
+  friend bool operator==(const BalancerRank&, const BalancerRank&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -24,7 +24,7 @@
 /// The place of one balancer, as the leader tells it to the replica that serves the balancer.
 struct PlacedBalancer {
   Endpoint balancer;
-  BalancerPlace place;
+  BalancerRank place;
 
   friend bool operator==(const PlacedBalancer&, const PlacedBalancer&) = default;
 
--- a/src/settings/table_reader.h
+++ b/src/settings/table_reader.h
@@ -14,8 +14,8 @@
 
 class TableReader {
  public:
-  /// `pool_position` is the path of the table, "" for the top level. All references must outlive
-  /// the reader.
+  /// `place` is the path of the table, "" for the top level. All references must outlive the
+  /// reader.
   TableReader(const toml::table& table, std::string file, std::string place,
               std::vector<SettingsError>& errors)
       : table_(&table), file_(std::move(file)), place_(std::move(place)), errors_(&errors) {}
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -224,11 +224,12 @@
   for (const auto& reset : resets) {
     send_reset(reset);
   }
-  log_event(LogEvent::kTargetUnreachable, {{"target", unreachable.target},
-                                           {"reason", to_string(unreachable.reason)},
-                                           {"took_ms", unreachable.took / milliseconds(1)},
-                                           {"probes", unreachable.probes},
-                                           {"flows_reset", resets.size()}});
+  log_event(LogEvent::kTargetUnreachable,
+            {{"target", unreachable.target},
+             {"reason", to_string(unreachable.reason)},
+             {"took_ms", unreachable.detection_time / milliseconds(1)},
+             {"probes", unreachable.probes},
+             {"flows_reset", resets.size()}});
 }
 
 void SteeringTask::judge_zone_paths(Instant now) {
@@ -241,7 +242,7 @@
   for (const auto& change : changes) {
     log_event(change.is_cut ? LogEvent::kZonePathCut : LogEvent::kZonePathRestored,
               {{"to_zone", change.zone},
-               {"took_ms", change.took / milliseconds(1)},
+               {"took_ms", change.duration / milliseconds(1)},
                {"targets", change.targets},
                {"probes", change.probes},
                {"refusals", change.refusals},
@@ -359,8 +360,8 @@
   if (!cooled.empty()) {
     log_event(LogEvent::kWarmUpBegan, {{"targets", cooled.size()},
                                        {"first", cooled.front()},
-                                       {"cold", steering_.warm_up().held()},
-                                       {"balancers", steering_.warm_up().place().count}});
+                                       {"cold", steering_.warm_up().size()},
+                                       {"balancers", steering_.warm_up().rank().count}});
   }
   const std::vector<WarmedTarget> warmed = steering_.take_warmed(now);
   if (warmed.empty()) {
@@ -373,7 +374,7 @@
   log_event(LogEvent::kWarmUpEnded, {{"targets", warmed.size()},
                                      {"first", warmed.front().id},
                                      {"flows", flows},
-                                     {"cold", steering_.warm_up().held()}});
+                                     {"cold", steering_.warm_up().size()}});
 }
 
 void SteeringTask::log_freshness(Instant now) {
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -138,7 +138,7 @@
   }
   void on_figures(const std::vector<TargetFigure>& figures) override;
   void on_refusing(const RefusingTargets& refusing, Instant now) override;
-  void on_place(const BalancerPlace& place, Instant now) override {
+  void on_place(const BalancerRank& place, Instant now) override {
     steering_.set_place(place, now);
   }
   void on_lease(Instant /*until*/) override {}
--- a/src/tasks/target_prober.h
+++ b/src/tasks/target_prober.h
@@ -22,7 +22,7 @@
   static constexpr Duration kTimeout = std::chrono::milliseconds(500);
   /// Connections that are being opened at once: five for each suspicion, and some for targets that
   /// may be back.
-  static constexpr std::size_t kMaxOpen = 6 * TargetReachability::kMaxCases;
+  static constexpr std::size_t kMaxOpen = 6 * TargetReachability::kMaxSuspicions;
 
   TargetProber(EventLoop& loop, Callback callback);
   ~TargetProber();
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -35,8 +35,8 @@
 /// Packets that are lost without any trouble: one in a thousand.
 constexpr std::uint64_t kLostOf = 1000;
 /// When callers repeat data that was not acknowledged (the platform's page, "Flows").
-constexpr std::array<Duration, 4> kRepeats = {milliseconds(200), milliseconds(600),
-                                              milliseconds(1400), milliseconds(3000)};
+constexpr std::array<Duration, 4> kRetransmissionTimes = {milliseconds(200), milliseconds(600),
+                                                          milliseconds(1400), milliseconds(3000)};
 
 enum class TargetState { kLives, kSlow, kFull, kDead, kGone, kRestarted };
 
@@ -47,7 +47,7 @@
   std::set<std::size_t> cut_from;
 };
 
-struct CallerFlow {
+struct ClientFlow {
   SteeredFlow flow;
   TargetId target = 0;
   std::size_t balancer = 0;
@@ -89,7 +89,7 @@
     congested_until_.resize(kBalancers);
     next_step_.resize(kBalancers);
     for (std::uint32_t i = 0; i < kFlows; ++i) {
-      CallerFlow flow;
+      ClientFlow flow;
       flow.flow = {{0x64400000 + i, 4000}, kFrontend};
       flow.target = 1 + i % kTargets;
       flow.balancer = random_() % kBalancers;
@@ -103,13 +103,13 @@
     while (now_ < kStart + seconds(25) && violation_.empty()) {
       now_ += kStep;
       if (now_ > kStart + seconds(2) && random_() % 200 == 0) {
-        make_trouble();
+        inject_failure();
       }
       if (congests_links_ && random_() % 200 == 0) {
         congested_until_[random_() % kBalancers] = now_ + milliseconds(50 + random_() % 3000);
       }
       for (auto& flow : flows_) {
-        step_caller(flow);
+        step_client(flow);
       }
       for (std::size_t i = 0; i < kBalancers; ++i) {
         step_balancer(i);
@@ -118,7 +118,7 @@
     return violation_;
   }
 
-  int deaths_told = 0;
+  int flows_reset = 0;
   int conclusions = 0;
   /// From suspicions to conclusions, all together.
   Duration took{0};
@@ -162,7 +162,7 @@
 
   [[nodiscard]] bool is_lost() { return random_() % kLostOf == 0; }
 
-  void make_trouble() {
+  void inject_failure() {
     SimTarget& target = targets_[1 + random_() % kTargets];
     if (now_ - target.changed_at < seconds(6)) {
       return;
@@ -207,7 +207,7 @@
     target.changed_at = now_;
   }
 
-  void step_caller(CallerFlow& flow) {
+  void step_client(ClientFlow& flow) {
     if (flow.answer_at && now_ >= *flow.answer_at) {
       flow.answer_at.reset();
       flow.sent_at.reset();
@@ -223,20 +223,20 @@
       send(flow, 100);
       return;
     }
-    const bool repeats = flow.sent_at && flow.repeats < kRepeats.size() &&
-                         now_ - *flow.sent_at >= kRepeats[flow.repeats];
+    const bool repeats = flow.sent_at && flow.repeats < kRetransmissionTimes.size() &&
+                         now_ - *flow.sent_at >= kRetransmissionTimes[flow.repeats];
     if (repeats) {
       ++flow.repeats;
       send(flow, 100);
     }
     if (flow.sent_at && now_ - *flow.sent_at > seconds(4)) {
-      check_was_told(flow);
-      open_elsewhere(flow);
+      check_client_was_notified(flow);
+      reconnect(flow);
     }
   }
 
   /// The caller gave a request up after four seconds: nobody told it.
-  void check_was_told(const CallerFlow& flow) {
+  void check_client_was_notified(const ClientFlow& flow) {
     const SimTarget& target = targets_[flow.target];
     const bool is_dead = target.state == TargetState::kDead || target.state == TargetState::kGone;
     const bool was_dead = is_dead && *flow.sent_at > target.changed_at;
@@ -249,7 +249,7 @@
     }
   }
 
-  void open_elsewhere(CallerFlow& flow) {
+  void reconnect(ClientFlow& flow) {
     flow.flow.client.port = static_cast<std::uint16_t>(flow.flow.client.port + 1);
     flow.target = 1 + random_() % kTargets;
     flow.balancer = random_() % kBalancers;
@@ -258,7 +258,7 @@
     flow.next_request = now_ + milliseconds(random_() % 400);
   }
 
-  void send(CallerFlow& flow, std::uint32_t data) {
+  void send(ClientFlow& flow, std::uint32_t data) {
     if (is_lost() || now_ < stalled_until_[flow.balancer]) {
       return;
     }
@@ -271,8 +271,8 @@
     balancers_[flow.balancer].set_link_congested(is_congested(flow.balancer), now_);
     const SteeringDecision decision = balancers_[flow.balancer].on_packet(packet, now_);
     if (decision.action == SteeringAction::kReset) {
-      ++deaths_told;
-      open_elsewhere(flow);
+      ++flows_reset;
+      reconnect(flow);
       return;
     }
     const bool arrives =
@@ -305,7 +305,7 @@
     for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
       check_conclusion(i, concluded);
       for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
-        tell(reset);
+        on_flow_reset(reset);
       }
     }
   }
@@ -320,18 +320,18 @@
     });
   }
 
-  void tell(const FlowReset& reset) {
+  void on_flow_reset(const FlowReset& reset) {
     for (auto& flow : flows_) {
       if (flow.flow == reset.flow) {
-        ++deaths_told;
-        open_elsewhere(flow);
+        ++flows_reset;
+        reconnect(flow);
       }
     }
   }
 
   void check_conclusion(std::size_t i, const UnreachableTarget& concluded) {
     ++conclusions;
-    took += concluded.took;
+    took += concluded.detection_time;
     const SimTarget& target = targets_[concluded.target];
     const bool is_settled = now_ - target.changed_at > kSettled;
     if (is_settled && lives(target) && !target.cut_from.contains(i) && is_isolated(i)) {
@@ -360,7 +360,7 @@
   std::vector<Instant> isolated_until_;
   std::vector<Instant> congested_until_;
   std::vector<Instant> next_step_;
-  std::vector<CallerFlow> flows_;
+  std::vector<ClientFlow> flows_;
   std::vector<Answer> answers_;
   std::string violation_;
 };
@@ -383,7 +383,7 @@
       Workload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
-      told += workload.deaths_told;
+      told += workload.flows_reset;
       conclusions += workload.conclusions;
       took += workload.took;
     }
@@ -402,7 +402,7 @@
       CongestedWorkload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
-      told += workload.deaths_told;
+      told += workload.flows_reset;
     }
     CHECK(told > 500);
   }
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -32,17 +32,17 @@
 constexpr std::size_t kBalancersPerZone = 12;
 constexpr TargetId kTargets = 60;
 /// New callers in a millisecond, so that a target gets five a second, as on a heavy day.
-constexpr double kCallersPerStep = 0.3;
-constexpr int kTries = 3;
+constexpr double kClientsPerStep = 0.3;
+constexpr int kMaxAttempts = 3;
 /// What a caller waits before it tries again, and when it gives an opening up.
-constexpr Duration kTryAgainAfter = milliseconds(3);
-constexpr Duration kGivenUpAfter = milliseconds(1400);
-constexpr std::array<Duration, 2> kCopies = {milliseconds(200), milliseconds(600)};
+constexpr Duration kRetryDelay = milliseconds(3);
+constexpr Duration kConnectTimeout = milliseconds(1400);
+constexpr std::array<Duration, 2> kRetransmissionTimes = {milliseconds(200), milliseconds(600)};
 /// From a request to its answer.
 constexpr Duration kWork = milliseconds(30);
 constexpr Duration kProbeStep = TargetReachability::kStepInterval;
 constexpr Duration kTick = milliseconds(250);
-constexpr Duration kFiguresPause = milliseconds(100);
+constexpr Duration kHealthInterval = milliseconds(100);
 
 enum class TargetState { kLives, kFull, kGone };
 
@@ -52,19 +52,19 @@
   return from == to ? microseconds(200) : microseconds(1400);
 }
 
-struct Caller {
+struct Client {
   std::size_t zone = 0;
   std::uint16_t port = 0;
   std::uint32_t address = 0;
   std::size_t balancer = 0;
-  int tries = 0;
-  Instant asked_at;
+  int attempts = 0;
+  Instant started_at;
   /// When the present try began, and what happens to it next.
-  Instant tried_at;
-  std::size_t copies = 0;
+  Instant attempt_started_at;
+  std::size_t retransmissions = 0;
   TargetId target = 0;
-  std::optional<Instant> opens_at;
-  std::optional<Instant> tries_again_at;
+  std::optional<Instant> established_at;
+  std::optional<Instant> retry_at;
 };
 
 /// What callers got.
@@ -86,7 +86,7 @@
 };
 
 /// The time within which all balancers should go round a target that has ended.
-constexpr Duration kKnownWithin = milliseconds(80);
+constexpr Duration kMaxDetectionTime = milliseconds(80);
 
 class Workload {
  public:
@@ -117,28 +117,28 @@
   }
 
   /// From `sent_at` on, a third of all targets are in this state, until `until`.
-  void make_trouble(TargetState trouble, Duration at, Duration until) {
-    trouble_ = trouble;
-    trouble_at_ = kStart + at;
-    trouble_until_ = kStart + until;
+  void inject_failure(TargetState trouble, Duration at, Duration until) {
+    failure_ = trouble;
+    failure_starts_at_ = kStart + at;
+    failure_ends_at_ = kStart + until;
   }
   /// Something on the way from one zone to another refuses in place of targets there.
   void cut_with_refusals(std::size_t from, std::size_t to) { refused_paths_ = {{from, to}}; }
 
   /// A deliberate fault: what one zone's balancers tell counts for all.
-  void tell_all_zones() { tells_all_zones_ = true; }
+  void apply_reports_to_all_zones() { applies_reports_to_all_zones_ = true; }
 
   Outcome run(Duration time) {
     while (now_ < kStart + time) {
       now_ += kStep;
       deliver();
-      if (std::uniform_real_distribution<double>(0, 1)(random_) < kCallersPerStep) {
-        ask();
+      if (std::uniform_real_distribution<double>(0, 1)(random_) < kClientsPerStep) {
+        start_client();
       }
-      for (auto& caller : callers_) {
+      for (auto& caller : clients_) {
         step(caller);
       }
-      std::erase_if(callers_, [](const Caller& caller) { return caller.tries > kTries; });
+      std::erase_if(clients_, [](const Client& caller) { return caller.attempts > kMaxAttempts; });
       for (std::size_t i = 0; i < balancers_.size(); ++i) {
         step_balancer(i);
       }
@@ -163,8 +163,8 @@
   static std::size_t zone_of_balancer(std::size_t i) { return i / kBalancersPerZone; }
 
   [[nodiscard]] TargetState state_of(TargetId target) const {
-    const bool is_in_trouble = (target / kZones) % 3 == 0 && now_ >= trouble_at_;
-    return is_in_trouble && now_ < trouble_until_ ? trouble_ : TargetState::kLives;
+    const bool is_in_trouble = (target / kZones) % 3 == 0 && now_ >= failure_starts_at_;
+    return is_in_trouble && now_ < failure_ends_at_ ? failure_ : TargetState::kLives;
   }
 
   [[nodiscard]] bool is_path_refused(std::size_t balancer, TargetId target) const {
@@ -191,39 +191,39 @@
     }
   }
 
-  void ask() {
-    Caller caller;
+  void start_client() {
+    Client caller;
     caller.zone = random_() % kZones;
     caller.address = 0x64400000 + ++last_caller_;
-    caller.asked_at = now_;
+    caller.started_at = now_;
     ++outcome_.asked;
-    try_again(caller);
-    callers_.push_back(caller);
+    start_attempt(caller);
+    clients_.push_back(caller);
   }
 
-  void try_again(Caller& caller) {
-    caller.tries_again_at.reset();
-    caller.opens_at.reset();
-    if (++caller.tries > kTries) {
+  void start_attempt(Client& caller) {
+    caller.retry_at.reset();
+    caller.established_at.reset();
+    if (++caller.attempts > kMaxAttempts) {
       ++outcome_.refused;
-      outcome_.refused_late += caller.asked_at > trouble_at_ + kKnownWithin ? 1 : 0;
+      outcome_.refused_late += caller.started_at > failure_starts_at_ + kMaxDetectionTime ? 1 : 0;
       return;
     }
-    caller.port = static_cast<std::uint16_t>(4000 + caller.tries);
+    caller.port = static_cast<std::uint16_t>(4000 + caller.attempts);
     caller.balancer = caller.zone * kBalancersPerZone + random_() % kBalancersPerZone;
-    caller.tried_at = now_;
-    caller.copies = 0;
-    send_opening(caller);
+    caller.attempt_started_at = now_;
+    caller.retransmissions = 0;
+    send_syn(caller);
   }
 
-  void send_opening(Caller& caller) {
+  void send_syn(Client& caller) {
     ClientPacket packet;
     packet.flow = {{caller.address, caller.port}, kFrontend};
     packet.opens = true;
-    packet.retransmissions = static_cast<std::uint32_t>(caller.copies);
+    packet.retransmissions = static_cast<std::uint32_t>(caller.retransmissions);
     const SteeringDecision decision = balancers_[caller.balancer].on_packet(packet, now_);
     if (decision.action != SteeringAction::kForward) {
-      caller.tries_again_at = now_ + kTryAgainAfter;
+      caller.retry_at = now_ + kRetryDelay;
       return;
     }
     caller.target = decision.target->id;
@@ -233,33 +233,34 @@
     const Duration round_trip = milliseconds(2) + 2 * one_way(caller.zone, zone);
     if (state == TargetState::kGone || is_path_refused(caller.balancer, caller.target)) {
       ++outcome_.placed_at_gone;
-      outcome_.last_placed_after = now_ - trouble_at_;
-      caller.tries_again_at = now_ + kTryAgainAfter;
-    } else if (state == TargetState::kLives && !caller.opens_at) {
-      caller.opens_at = now_ + round_trip;
+      outcome_.last_placed_after = now_ - failure_starts_at_;
+      caller.retry_at = now_ + kRetryDelay;
+    } else if (state == TargetState::kLives && !caller.established_at) {
+      caller.established_at = now_ + round_trip;
     }
   }
 
-  void step(Caller& caller) {
-    if (caller.tries > kTries) {
+  void step(Client& caller) {
+    if (caller.attempts > kMaxAttempts) {
       return;
     }
-    const bool gives_up = now_ - caller.tried_at >= kGivenUpAfter;
-    const bool tries_again = caller.tries_again_at && now_ >= *caller.tries_again_at;
-    const bool copies = !caller.tries_again_at && caller.copies < kCopies.size() &&
-                        now_ - caller.tried_at >= kCopies[caller.copies];
-    if (caller.opens_at && now_ >= *caller.opens_at) {
+    const bool gives_up = now_ - caller.attempt_started_at >= kConnectTimeout;
+    const bool tries_again = caller.retry_at && now_ >= *caller.retry_at;
+    const bool copies =
+        !caller.retry_at && caller.retransmissions < kRetransmissionTimes.size() &&
+        now_ - caller.attempt_started_at >= kRetransmissionTimes[caller.retransmissions];
+    if (caller.established_at && now_ >= *caller.established_at) {
       finish(caller);
     } else if (tries_again || gives_up) {
-      try_again(caller);
+      start_attempt(caller);
     } else if (copies) {
-      ++caller.copies;
-      send_opening(caller);
+      ++caller.retransmissions;
+      send_syn(caller);
     }
   }
 
   /// The flow is open; its caller is served, and closes it.
-  void finish(Caller& caller) {
+  void finish(Client& caller) {
     ClientPacket packet;
     packet.flow = {{caller.address, caller.port}, kFrontend};
     packet.token = static_cast<FlowToken>(100 + caller.target);
@@ -273,8 +274,8 @@
       balancers_[balancer].on_packet(packet, now_);
     });
     ++outcome_.served;
-    outcome_.slow += now_ - caller.asked_at > milliseconds(100) ? 1 : 0;
-    caller.tries = kTries + 1;
+    outcome_.slow += now_ - caller.started_at > milliseconds(100) ? 1 : 0;
+    caller.attempts = kMaxAttempts + 1;
   }
 
   void step_balancer(std::size_t i) {
@@ -318,8 +319,8 @@
     });
   }
 
-  [[nodiscard]] RefusingTargets as_told(RefusingTargets message, std::size_t zone) const {
-    if (tells_all_zones_) {
+  [[nodiscard]] RefusingTargets with_faults(RefusingTargets message, std::size_t zone) const {
+    if (applies_reports_to_all_zones_) {
       message.zone = zone_name(zone);
     }
     return message;
@@ -341,19 +342,19 @@
         for (std::size_t i = 0; i < kBalancersPerZone; ++i) {
           ++outcome_.messages;
           later(one_way(zone, zone), [this, zone, i, message] {
-            balancers_[zone * kBalancersPerZone + i].on_refusing(as_told(message, zone), now_);
+            balancers_[zone * kBalancersPerZone + i].on_refusing(with_faults(message, zone), now_);
             probe(zone * kBalancersPerZone + i);
           });
         }
       }
     }
-    if (board_.has_trouble() && now_ - figures_at_ >= kFiguresPause) {
-      figures_at_ = now_;
-      tell_figures(board_.conclude(state_, now_));
+    if (board_.has_trouble() && now_ - health_sent_at_ >= kHealthInterval) {
+      health_sent_at_ = now_;
+      send_target_health(board_.conclude(state_, now_));
     }
   }
 
-  void tell_figures(const std::vector<TargetFigure>& figures) {
+  void send_target_health(const std::vector<TargetFigure>& figures) {
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
       later(one_way(0, zone_of_balancer(i)),
             [this, i, figures] { balancers_[i].set_figures(figures, now_); });
@@ -366,15 +367,15 @@
   std::vector<FlowSteering> balancers_;
   std::array<RefusalRelay, kZones> relays_;
   FigureBoard board_;
-  Instant figures_at_ = kStart;
+  Instant health_sent_at_ = kStart;
   std::vector<Event> events_;
-  std::vector<Caller> callers_;
+  std::vector<Client> clients_;
   std::uint32_t last_caller_ = 0;
-  TargetState trouble_ = TargetState::kLives;
-  Instant trouble_at_ = Instant::max();
-  Instant trouble_until_ = Instant::max();
+  TargetState failure_ = TargetState::kLives;
+  Instant failure_starts_at_ = Instant::max();
+  Instant failure_ends_at_ = Instant::max();
   std::vector<std::pair<std::size_t, std::size_t>> refused_paths_;
-  bool tells_all_zones_ = false;
+  bool applies_reports_to_all_zones_ = false;
   std::map<std::pair<std::size_t, std::size_t>, int> placed_;
   Outcome outcome_;
 };
@@ -386,11 +387,11 @@
 }
 
 /// What callers get over some seeds, together.
-Outcome play(const SteeringPolicy& policy, TargetState trouble, Duration until) {
+Outcome run_seeds(const SteeringPolicy& policy, TargetState trouble, Duration until) {
   Outcome sum;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Workload workload(seed, policy);
-    workload.make_trouble(trouble, seconds(4), seconds(4) + until);
+    workload.inject_failure(trouble, seconds(4), seconds(4) + until);
     const Outcome one = workload.run(seconds(8));
     sum.asked += one.asked;
     sum.served += one.served;
@@ -417,8 +418,8 @@
 
 TEST_SUITE("refusal_workload") {
   TEST_CASE("when a third of all targets end at once, callers are soon refused no more") {
-    const Outcome before = play(without_refusal_probes(), TargetState::kGone, seconds(4));
-    const Outcome after = play({}, TargetState::kGone, seconds(4));
+    const Outcome before = run_seeds(without_refusal_probes(), TargetState::kGone, seconds(4));
+    const Outcome after = run_seeds({}, TargetState::kGone, seconds(4));
     print("without probes of refusals", before);
     print("with them", after);
     CHECK(after.refused_late == 0);
@@ -427,8 +428,8 @@
   }
 
   TEST_CASE("when a third of all targets are full for a second, nobody fares worse") {
-    const Outcome before = play(without_refusal_probes(), TargetState::kFull, seconds(1));
-    const Outcome after = play({}, TargetState::kFull, seconds(1));
+    const Outcome before = run_seeds(without_refusal_probes(), TargetState::kFull, seconds(1));
+    const Outcome after = run_seeds({}, TargetState::kFull, seconds(1));
     print("without probes of refusals", before);
     print("with them", after);
     CHECK(after.refused == 0);
@@ -452,7 +453,7 @@
   TEST_CASE("a zone whose targets are believed to refuse by another zone's word is caught") {
     // The deliberate fault: refusals on the way to a zone are told as if the zone itself said so.
     Workload faulty(3, {});
-    faulty.tell_all_zones();
+    faulty.apply_reports_to_all_zones();
     Workload sound(3, {});
     for (Workload* workload : {&faulty, &sound}) {
       workload->cut_with_refusals(0, 1);
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -24,8 +24,8 @@
 using std::chrono::seconds;
 
 constexpr Instant kStart{seconds(1000)};
-constexpr Instant kReturn = kStart + seconds(12);
-constexpr Instant kEnd = kReturn + seconds(9);
+constexpr Instant kZoneRestart = kStart + seconds(12);
+constexpr Instant kEnd = kZoneRestart + seconds(9);
 constexpr Endpoint kFrontend{0xC6120001, 443};
 constexpr std::uint32_t kBalancers = 80;
 constexpr TargetId kTargets = 120;
@@ -35,13 +35,13 @@
 constexpr double kSlack = 5;
 constexpr double kBusyFlowsPerS = 1000;
 
-struct Measured {
+struct Measurements {
   /// Part of what cold targets may take, by the operator's rate.
-  double used = 0;
+  double used_of_rate = 0;
   /// The same, where a warm target's flows are the most that a cold one should get.
   double used_of_share = 0;
   /// Greatest part of its bound that a cold target took in any second.
-  double of_bound = 0;
+  double max_fraction_of_bound = 0;
   /// Most flows that a target took within a second, of the two after the warm-up: targets that
   /// were cold, and all others.
   std::size_t most_after = 0;
@@ -75,14 +75,14 @@
 
   std::string run() {
     at(kStart, [this] { report(); });
-    at(kReturn, [this] { return_cold(); });
+    at(kZoneRestart, [this] { restart_zone(); });
     if (has_new_leader_) {
-      at(kReturn - seconds(2) + milliseconds(pick(3000)), [this] {
+      at(kZoneRestart - seconds(2) + milliseconds(pick(3000)), [this] {
         leader_ = BalancerPlaces();
         leader_.on_elected(now_);
       });
     }
-    at(kStart, [this] { call(); });
+    at(kStart, [this] { start_flow(); });
     while (!events_.empty() && events_.begin()->first < kEnd) {
       now_ = events_.begin()->first;
       const auto action = std::move(events_.begin()->second);
@@ -94,14 +94,14 @@
     return violation_;
   }
 
-  [[nodiscard]] const Measured& measured() const { return measured_; }
+  [[nodiscard]] const Measurements& measured() const { return measured_; }
 
  private:
-  struct BalancerAtWork {
+  struct SimulatedBalancer {
     std::unique_ptr<FlowSteering> steering;
     Endpoint address;
     Instant starts_at;
-    bool is_never_told = false;
+    bool never_receives_rank = false;
     double weight = 1;
   };
 
@@ -121,13 +121,13 @@
   void at(Instant when, std::function<void()> action) { events_.emplace(when, std::move(action)); }
 
   void add_balancer(std::uint32_t i) {
-    BalancerAtWork balancer;
+    SimulatedBalancer balancer;
     balancer.address = {0x0A000000 + i * 7919, 6000};
     balancer.weight = i % 3 == 0 ? 3 : 1;
     // A third starts around the moment in which the zone comes back.
     const bool is_new = pick(3) == 0;
-    balancer.starts_at = is_new ? kReturn - seconds(3) + milliseconds(pick(4000)) : kStart;
-    balancer.is_never_told = pick(20) == 0;
+    balancer.starts_at = is_new ? kZoneRestart - seconds(3) + milliseconds(pick(4000)) : kStart;
+    balancer.never_receives_rank = pick(20) == 0;
     balancer.steering = std::make_unique<FlowSteering>(random_(), "zone-" + std::to_string(i % 3));
     balancer.steering->set_faults(faults_);
     balancers_.push_back(std::move(balancer));
@@ -147,10 +147,10 @@
     at(now_ + milliseconds(500), [this, i] { heartbeat(i); });
     at(now_ + milliseconds(250), [this, i] { (void)balancers_[i].steering->take_warmed(now_); });
     reported_.push_back(balancers_[i].address);
-    if (balancers_[i].is_never_told || pick(5) == 0) {
+    if (balancers_[i].never_receives_rank || pick(5) == 0) {
       return;
     }
-    const BalancerPlace place = leader_.place_of(balancers_[i].address, now_);
+    const BalancerRank place = leader_.place_of(balancers_[i].address, now_);
     at(now_ + milliseconds(pick(2000)),
        [this, i, place] { balancers_[i].steering->set_place(place, now_); });
   }
@@ -161,7 +161,7 @@
     leader_.number_all(now_);
   }
 
-  void return_cold() {
+  void restart_zone() {
     SteeringDelta delta;
     for (TargetId id = 3; id <= kTargets; id += 3) {
       delta.forgotten_targets.push_back(id);
@@ -185,18 +185,18 @@
   std::uint32_t pick_balancer() {
     while (true) {
       const auto i = static_cast<std::uint32_t>(pick(kBalancers));
-      const BalancerAtWork& balancer = balancers_[i];
+      const SimulatedBalancer& balancer = balancers_[i];
       if (balancer.starts_at <= now_ && pick(3) < static_cast<std::uint64_t>(balancer.weight)) {
         return i;
       }
     }
   }
 
-  void call() {
+  void start_flow() {
     // 600 new flows a second, and two thirds more at the busiest moment.
-    const double per_s = now_ > kReturn - seconds(1) ? kBusyFlowsPerS : 600;
+    const double per_s = now_ > kZoneRestart - seconds(1) ? kBusyFlowsPerS : 600;
     const double pause_s = std::exponential_distribution<>(per_s)(random_);
-    at(now_ + Duration(static_cast<std::int64_t>(pause_s * 1e6) + 1), [this] { call(); });
+    at(now_ + Duration(static_cast<std::int64_t>(pause_s * 1e6) + 1), [this] { start_flow(); });
     ClientPacket packet;
     packet.flow = {{0x64400000 + ++last_caller_, 1}, kFrontend};
     packet.opens = true;
@@ -237,7 +237,7 @@
   }
 
   /// The most instants of an ascending list that lie within one second.
-  static std::size_t most_in_a_second(const std::vector<Instant>& instants) {
+  static std::size_t max_in_a_second(const std::vector<Instant>& instants) {
     std::size_t most = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < instants.size(); ++last) {
@@ -261,9 +261,11 @@
 
   void check_bounds() {
     for (TargetId id = kTargets + 3; id <= 2 * kTargets; id += 3) {
-      const std::size_t most = most_in_a_second(taken_between(id, kReturn, kReturn + warm_up_));
+      const std::size_t most =
+          max_in_a_second(taken_between(id, kZoneRestart, kZoneRestart + warm_up_));
       const double bound = rate_ * kOverrun + kSlack;
-      measured_.of_bound = std::max(measured_.of_bound, static_cast<double>(most) / bound);
+      measured_.max_fraction_of_bound =
+          std::max(measured_.max_fraction_of_bound, static_cast<double>(most) / bound);
       if (static_cast<double>(most) > bound) {
         violation_ = "a cold target took " + std::to_string(most) + " flows in a second, rate " +
                      std::to_string(rate_);
@@ -275,17 +277,17 @@
   }
 
   void measure() {
-    const Instant warm = kReturn + warm_up_;
+    const Instant warm = kZoneRestart + warm_up_;
     std::size_t used = 0;
     for (TargetId id = 1; id <= 2 * kTargets; ++id) {
       const bool was_cold = id > kTargets;
-      used += was_cold ? taken_between(id, kReturn, warm).size() : 0;
+      used += was_cold ? taken_between(id, kZoneRestart, warm).size() : 0;
       std::size_t& most = was_cold ? measured_.most_after : measured_.most_of_others;
-      most = std::max(most, most_in_a_second(taken_between(id, warm, warm + seconds(2))));
+      most = std::max(most, max_in_a_second(taken_between(id, warm, warm + seconds(2))));
     }
     const double warm_up_s = std::chrono::duration<double>(warm_up_).count();
     const double per_target_s = static_cast<double>(used) / (kZoneTargets * warm_up_s);
-    measured_.used = per_target_s / rate_;
+    measured_.used_of_rate = per_target_s / rate_;
     measured_.used_of_share = per_target_s / std::min(rate_, kBusyFlowsPerS / kTargets);
   }
 
@@ -299,11 +301,11 @@
   SteeringState state_;
   BalancerPlaces leader_;
   std::vector<Endpoint> reported_;
-  std::vector<BalancerAtWork> balancers_;
+  std::vector<SimulatedBalancer> balancers_;
   std::uint32_t last_caller_ = 0;
   /// When each target took an opening packet.
   std::map<TargetId, std::vector<Instant>> taken_;
-  Measured measured_;
+  Measurements measured_;
   std::string violation_;
 };
 
@@ -321,9 +323,9 @@
       Workload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
-      used += workload.measured().used / kSeeds;
+      used += workload.measured().used_of_rate / kSeeds;
       used_of_share += workload.measured().used_of_share / kSeeds;
-      of_bound = std::max(of_bound, workload.measured().of_bound);
+      of_bound = std::max(of_bound, workload.measured().max_fraction_of_bound);
       most_after += static_cast<double>(workload.measured().most_after) / kSeeds;
       most_of_others += static_cast<double>(workload.measured().most_of_others) / kSeeds;
     }
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -23,18 +23,18 @@
 constexpr Instant kStart{seconds(1000)};
 constexpr Duration kStep = milliseconds(5);
 constexpr Endpoint kRepeatable{0xC6120001, 443};
-constexpr Endpoint kOnce{0xC6120001, 8080};
+constexpr Endpoint kNonIdempotentFrontend{0xC6120001, 8080};
 constexpr std::size_t kZones = 3;
 constexpr TargetId kTargetsOfZone = 6;
 constexpr std::uint32_t kFlowsOfZone = 40;
 /// A cut is concluded within this time: 60 ms until something is sent there, 100 ms until that is
 /// late, 110 ms of probes, and what loss and a look that was answered just before add.
-constexpr Duration kConcluded = milliseconds(1000);
+constexpr Duration kMaxDetectionTime = milliseconds(1000);
 /// The end of a cut is noticed within this time: two looks, and a tick.
-constexpr Duration kNoticed = milliseconds(1200);
+constexpr Duration kMaxRecoveryTime = milliseconds(1200);
 constexpr Duration kTick = milliseconds(250);
 
-enum class Trouble {
+enum class Scenario {
   kNone,
   kSilentCut,
   kRefusingCut,
@@ -48,9 +48,9 @@
   kFullLink,
   kLoss,
 };
-constexpr int kTroubles = 12;
+constexpr int kScenarios = 12;
 
-struct CallerFlow {
+struct ClientFlow {
   SteeredFlow flow;
   TargetId target = 0;
   std::size_t balancer = 0;
@@ -69,9 +69,11 @@
 class ZoneWorkload {
  public:
   ZoneWorkload(std::uint64_t seed, const SteeringFaults& faults)
-      : random_(seed), trouble_(static_cast<Trouble>(seed % kTroubles)), zone_(random_() % kZones) {
+      : random_(seed),
+        scenario_(static_cast<Scenario>(seed % kScenarios)),
+        zone_(random_() % kZones) {
     SteeringState state = make_state();
-    if (trouble_ == Trouble::kEvacuatedAndCut) {
+    if (scenario_ == Scenario::kEvacuatedAndCut) {
       state.evacuated_zones.push_back({zone_name((zone_ + 1) % kZones), 1});
     }
     // A copy of a balancer would look into the state of the first.
@@ -83,9 +85,9 @@
       balancers_.back().set_faults(faults);
     }
     for (std::uint32_t i = 0; i < kFlowsOfZone * kZones; ++i) {
-      CallerFlow flow;
+      ClientFlow flow;
       flow.balancer = i % kZones;
-      flow.flow = {{0x64400000 + i, 4000}, i % 2 == 0 ? kRepeatable : kOnce};
+      flow.flow = {{0x64400000 + i, 4000}, i % 2 == 0 ? kRepeatable : kNonIdempotentFrontend};
       flow.target = 1 + random_() % (kTargetsOfZone * kZones);
       flow.next_request = now_ + milliseconds(random_() % 300);
       flows_.push_back(flow);
@@ -97,17 +99,17 @@
     while (now_ < kStart + seconds(14) && violation_.empty()) {
       now_ += kStep;
       for (auto& flow : flows_) {
-        step_caller(flow);
+        step_client(flow);
       }
       for (std::size_t i = 0; i < kZones; ++i) {
         step_balancer(i);
       }
-      check_times();
+      check_detection_times();
     }
     return violation_;
   }
 
-  std::vector<Duration> concluded_after;
+  std::vector<Duration> detection_times;
   int flows_ended = 0;
 
  private:
@@ -116,7 +118,8 @@
     state.settings.version = 1;
     state.settings.idle_timeout_ms = 60000;
     state.settings.frontends.push_back({"f", kRepeatable, {{"alpha", 1}}, {}, 3000, 100});
-    state.settings.frontends.push_back({"g", kOnce, {{"alpha", 1}}, {}, 3000, 100});
+    state.settings.frontends.push_back(
+        {"g", kNonIdempotentFrontend, {{"alpha", 1}}, {}, 3000, 100});
     state.settings.frontends[1].request_class = RequestClass::kOnceOnly;
     for (TargetId id = 1; id <= kTargetsOfZone * kZones; ++id) {
       RegisteredTarget target;
@@ -131,19 +134,23 @@
     return state;
   }
 
-  [[nodiscard]] bool is_on() const { return now_ >= kBegins && now_ < kEnds; }
-  [[nodiscard]] bool is_troubled(Trouble trouble) const { return is_on() && trouble_ == trouble; }
+  [[nodiscard]] bool is_failure_active() const {
+    return now_ >= kFailureStart && now_ < kFailureEnd;
+  }
+  [[nodiscard]] bool is_active(Scenario trouble) const {
+    return is_failure_active() && scenario_ == trouble;
+  }
   [[nodiscard]] bool is_cutting() const {
-    return trouble_ >= Trouble::kSilentCut && trouble_ <= Trouble::kEvacuatedAndCut;
+    return scenario_ >= Scenario::kSilentCut && scenario_ <= Scenario::kEvacuatedAndCut;
   }
 
   /// True when a packet gets from one zone to the other.
   [[nodiscard]] bool is_open(std::size_t from, std::size_t to) const {
-    if (!is_on() || !is_cutting() || from == to) {
+    if (!is_failure_active() || !is_cutting() || from == to) {
       return true;
     }
-    const std::size_t second = trouble_ == Trouble::kTwoCuts ? (zone_ + 1) % kZones : zone_;
-    if (trouble_ == Trouble::kOneWayCut) {
+    const std::size_t second = scenario_ == Scenario::kTwoCuts ? (zone_ + 1) % kZones : zone_;
+    if (scenario_ == Scenario::kOneWayCut) {
       return to != zone_;
     }
     return from != zone_ && to != zone_ && from != second && to != second;
@@ -153,19 +160,19 @@
     return is_open(balancer, zone) && is_open(zone, balancer);
   }
   [[nodiscard]] bool is_frozen(std::size_t balancer) const {
-    return trouble_ == Trouble::kFrozenBalancer && balancer == zone_ && now_ >= kBegins &&
-           now_ < kBegins + seconds(2);
+    return scenario_ == Scenario::kFrozenBalancer && balancer == zone_ && now_ >= kFailureStart &&
+           now_ < kFailureStart + seconds(2);
   }
   [[nodiscard]] bool is_dark(TargetId id) const {
-    return is_troubled(Trouble::kDarkRack) && zone_of(id) == zone_ && id % 2 == 0;
+    return is_active(Scenario::kDarkRack) && zone_of(id) == zone_ && id % 2 == 0;
   }
   [[nodiscard]] bool is_lost(std::size_t balancer) {
-    const bool is_full = is_troubled(Trouble::kFullLink) && balancer == zone_;
-    const std::uint64_t of_100 = is_full ? 80 : (is_troubled(Trouble::kLoss) ? 10 : 0);
+    const bool is_full = is_active(Scenario::kFullLink) && balancer == zone_;
+    const std::uint64_t of_100 = is_full ? 80 : (is_active(Scenario::kLoss) ? 10 : 0);
     return random_() % 100 < of_100;
   }
 
-  void step_caller(CallerFlow& flow) {
+  void step_client(ClientFlow& flow) {
     if (flow.answer_at && now_ >= *flow.answer_at) {
       flow.answer_at.reset();
       flow.sent_at.reset();
@@ -186,7 +193,7 @@
     }
   }
 
-  void open(CallerFlow& flow) {
+  void open(ClientFlow& flow) {
     flow.flow.client.port = static_cast<std::uint16_t>(flow.flow.client.port + 1);
     flow.sent_at.reset();
     flow.answer_at.reset();
@@ -209,7 +216,7 @@
     }
   }
 
-  void send(CallerFlow& flow, std::uint32_t data) {
+  void send(ClientFlow& flow, std::uint32_t data) {
     const std::size_t balancer = flow.balancer;
     if (is_frozen(balancer) || is_lost(balancer)) {
       return;
@@ -234,8 +241,8 @@
                          !is_dark(flow.target) && !is_lost(balancer);
     if (arrives && !flow.answer_at) {
       const bool is_there = zone_of(flow.target) == zone_;
-      const bool is_slow = is_troubled(Trouble::kSlowZone) && is_there;
-      const bool is_busy = is_troubled(Trouble::kBusyZone) && is_there;
+      const bool is_slow = is_active(Scenario::kSlowZone) && is_there;
+      const bool is_busy = is_active(Scenario::kBusyZone) && is_there;
       const std::uint64_t work = 20 + random_() % 60;
       flow.answer_at = now_ + milliseconds(is_slow ? 900 + work : is_busy ? work * 8 : work);
     }
@@ -253,35 +260,35 @@
         balancers_[i].on_tick(now_);
       }
       if (is_tick || balancers_[i].is_probing()) {
-        look_after_targets(i);
+        run_probes(i);
       }
     }
     deliver_answers(i);
   }
 
-  void look_after_targets(std::size_t i) {
+  void run_probes(std::size_t i) {
     for (const auto& probe : balancers_[i].take_probes(now_)) {
       const auto id = static_cast<TargetId>(probe.address.port - 8000);
-      const bool is_refused = is_troubled(Trouble::kRefusingCut) && !is_reachable(i, id);
+      const bool is_refused = is_active(Scenario::kRefusingCut) && !is_reachable(i, id);
       const bool is_heard = is_reachable(i, id) && !is_dark(id) && !is_lost(i) && !is_lost(i);
       if (is_refused || is_heard) {
-        const bool is_busy = is_troubled(Trouble::kBusyZone) && zone_of(id) == zone_;
+        const bool is_busy = is_active(Scenario::kBusyZone) && zone_of(id) == zone_;
         answers_.push_back({i, probe.number,
                             is_refused ? ProbeAnswer::kRefused : ProbeAnswer::kAccepted,
                             now_ + milliseconds(is_busy ? 30 : 1 + random_() % 3)});
       }
     }
     // Half of the balancers do not know the rate of their link.
-    const bool is_congested = is_troubled(Trouble::kFullLink) && i == zone_ && knows_link_;
+    const bool is_congested = is_active(Scenario::kFullLink) && i == zone_ && knows_link_;
     for (const auto& change : balancers_[i].evaluate_zone_paths(is_congested, now_)) {
       check_change(i, change);
     }
     for (const auto& reset : balancers_[i].reset_flows_to_unreachable_zones(now_)) {
-      tell(reset);
+      on_zone_path_reset(reset);
     }
     for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
       for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
-        tell_of_target(reset);
+        on_target_reset(reset);
       }
     }
   }
@@ -303,22 +310,22 @@
       violation_ = "balancer " + std::to_string(i) + " takes the open path to zone " + change.zone +
                    " for cut";
     }
-    if (change.is_cut && is_on()) {
-      concluded_after.push_back(now_ - kBegins);
+    if (change.is_cut && is_failure_active()) {
+      detection_times.push_back(now_ - kFailureStart);
     }
     if (!change.is_cut && !is_reached) {
       violation_ = "balancer " + std::to_string(i) + " takes the cut path for open";
     }
   }
 
-  void check_reset(const CallerFlow& flow) {
-    const bool just_back = now_ >= kEnds && now_ < kEnds + kNoticed;
+  void check_reset(const ClientFlow& flow) {
+    const bool just_back = now_ >= kFailureEnd && now_ < kFailureEnd + kMaxRecoveryTime;
     if (is_reachable(flow.balancer, flow.target) && !just_back) {
       violation_ = "a flow of target " + std::to_string(flow.target) + " that lives was reset";
     }
   }
 
-  void tell(const FlowReset& reset) {
+  void on_zone_path_reset(const FlowReset& reset) {
     for (auto& flow : flows_) {
       if (flow.flow != reset.flow) {
         continue;
@@ -327,14 +334,14 @@
       check_reset(flow);
       // What the balancer saw of it; a request may begin at the same moment.
       const bool is_under_way = flow.sent_at && *flow.sent_at < now_;
-      if (flow.flow.frontend == kOnce && is_under_way) {
+      if (flow.flow.frontend == kNonIdempotentFrontend && is_under_way) {
         violation_ = "a request that runs at most once was broken off";
       }
       open(flow);
     }
   }
 
-  void tell_of_target(const FlowReset& reset) {
+  void on_target_reset(const FlowReset& reset) {
     for (auto& flow : flows_) {
       if (flow.flow == reset.flow) {
         open(flow);
@@ -343,9 +350,9 @@
   }
 
   /// Cuts are concluded and their ends noticed in time, by all.
-  void check_times() {
-    const bool is_late = is_on() && now_ > kBegins + kConcluded;
-    const bool is_over = now_ > kEnds + kNoticed;
+  void check_detection_times() {
+    const bool is_late = is_failure_active() && now_ > kFailureStart + kMaxDetectionTime;
+    const bool is_over = now_ > kFailureEnd + kMaxRecoveryTime;
     for (std::size_t i = 0; i < kZones && (is_late || is_over); ++i) {
       for (std::size_t zone = 0; zone < kZones; ++zone) {
         const bool is_cut = balancers_[i].zone_paths().is_cut(zone_name(zone));
@@ -368,11 +375,11 @@
     Instant at;
   };
 
-  static constexpr Instant kBegins = kStart + seconds(4);
-  static constexpr Instant kEnds = kStart + seconds(9);
+  static constexpr Instant kFailureStart = kStart + seconds(4);
+  static constexpr Instant kFailureEnd = kStart + seconds(9);
 
   std::mt19937_64 random_;
-  Trouble trouble_;
+  Scenario scenario_;
   bool knows_link_ = random_() % 2 == 0;
   /// The zone, or the balancer, that is in trouble.
   std::size_t zone_;
@@ -380,17 +387,17 @@
   std::vector<FlowSteering> balancers_;
   std::array<Instant, kZones> next_step_{};
   std::array<Instant, kZones> next_tick_{};
-  std::vector<CallerFlow> flows_;
+  std::vector<ClientFlow> flows_;
   std::vector<Answer> answers_;
   std::string violation_;
 };
 
 /// The workload with one trouble at all seeds.
-template <Trouble trouble>
-class TroubledWorkload : public ZoneWorkload {
+template <Scenario trouble>
+class ScenarioWorkload : public ZoneWorkload {
  public:
-  TroubledWorkload(std::uint64_t seed, const SteeringFaults& faults)
-      : ZoneWorkload(seed * kTroubles + static_cast<std::uint64_t>(trouble), faults) {}
+  ScenarioWorkload(std::uint64_t seed, const SteeringFaults& faults)
+      : ZoneWorkload(seed * kScenarios + static_cast<std::uint64_t>(trouble), faults) {}
 };
 
 }  // namespace
@@ -403,8 +410,8 @@
       ZoneWorkload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(),
-                    "seed " << seed << ", trouble " << seed % kTroubles << ": " << violation);
-      times.insert(times.end(), workload.concluded_after.begin(), workload.concluded_after.end());
+                    "seed " << seed << ", trouble " << seed % kScenarios << ": " << violation);
+      times.insert(times.end(), workload.detection_times.begin(), workload.detection_times.end());
       flows_ended += workload.flows_ended;
     }
     std::sort(times.begin(), times.end());
@@ -419,10 +426,10 @@
   TEST_CASE("each deliberate fault is caught") {
     SteeringFaults without_reference;
     without_reference.zone_paths.ignore_references = true;
-    CHECK(is_caught<TroubledWorkload<Trouble::kFullLink>>(without_reference));
+    CHECK(is_caught<ScenarioWorkload<Scenario::kFullLink>>(without_reference));
     SteeringFaults trusting;
     trusting.zone_paths.trust_one_target = true;
-    CHECK(is_caught<TroubledWorkload<Trouble::kDarkRack>>(trusting));
+    CHECK(is_caught<ScenarioWorkload<Scenario::kDarkRack>>(trusting));
   }
 }
 
--- a/tests/unit/test_target_reachability.cc
+++ b/tests/unit/test_target_reachability.cc
@@ -30,7 +30,7 @@
       if (now >= next_step_) {
         next_step_ = now + TargetReachability::kStepInterval;
         send_probes();
-        const auto concluded = reachability.conclude(now);
+        const auto concluded = reachability.detect_unreachable(now);
         all.insert(all.end(), concluded.begin(), concluded.end());
       }
     }
@@ -92,7 +92,7 @@
     CHECK(concluded[0].reason == UnreachableReason::kSilent);
     CHECK(concluded[0].probes == 3);
     // Callers wait for this, on top of the 200 ms after which they repeat data.
-    CHECK(concluded[0].took <= milliseconds(150));
+    CHECK(concluded[0].detection_time <= milliseconds(150));
     CHECK(targets.reachability.is_unreachable(kSuspected));
     CHECK_FALSE(targets.reachability.is_unreachable(kReference));
   }
@@ -144,14 +144,14 @@
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(150)).empty());
-    targets.reachability.on_silent_flow(kSuspected, kStart);
+    targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
     const auto concluded = targets.run(milliseconds(50));
     REQUIRE(concluded.size() == 1);
     CHECK(concluded[0].reason == UnreachableReason::kRefused);
     targets.behaviour[3] = Behaviour::kRefuses;
     targets.reachability.suspect(3, {kReference}, targets.now);
     targets.run(milliseconds(10));
-    targets.reachability.on_silent_flow(3, targets.now);
+    targets.reachability.on_unacknowledged_flow(3, targets.now);
     targets.behaviour[3] = Behaviour::kAccepts;
     CHECK(targets.run(milliseconds(500)).empty());
   }
@@ -215,7 +215,7 @@
       targets.reachability.suspect(id, {}, targets.now);
     }
     targets.run(milliseconds(200));
-    CHECK(targets.probes.size() == TargetReachability::kMaxCases);
+    CHECK(targets.probes.size() == TargetReachability::kMaxSuspicions);
   }
 
   TEST_CASE("silence on a congested link proves nothing, and is looked at again on a free one") {
@@ -232,7 +232,7 @@
     CHECK(concluded[0].reason == UnreachableReason::kSilent);
     CHECK(concluded[0].probes == 3);
     // No later than with a suspicion that begins when the link is free.
-    CHECK(kStart + concluded[0].took <= free_at + milliseconds(150));
+    CHECK(kStart + concluded[0].detection_time <= free_at + milliseconds(150));
   }
 
   TEST_CASE("a suspicion that meets congestion in the middle counts none of its earlier probes") {
@@ -272,7 +272,7 @@
     CHECK(targets.run(milliseconds(350)).empty());
     // The caller sends its data for the third time, 400 ms after the second one.
     REQUIRE(targets.reachability.is_probing());
-    targets.reachability.on_silent_flow(kSuspected, kStart);
+    targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
     CHECK(targets.run(milliseconds(50)).size() == 1);
     // Without such a flow the suspicion ends.
     targets.behaviour[3] = Behaviour::kRefuses;
@@ -288,7 +288,7 @@
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(200)).empty());
-    targets.reachability.on_silent_flow(kSuspected, kStart - milliseconds(100));
+    targets.reachability.on_unacknowledged_flow(kSuspected, kStart - milliseconds(100));
     CHECK(targets.run(milliseconds(1500)).empty());
   }
 
@@ -306,7 +306,7 @@
     targets.reachability.set_link_congested(true, targets.now);
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(150)).empty());
-    targets.reachability.on_silent_flow(kSuspected, kStart);
+    targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
     const auto concluded = targets.run(milliseconds(50));
     REQUIRE(concluded.size() == 1);
     CHECK(concluded[0].reason == UnreachableReason::kRefused);
--- a/tests/unit/test_target_refusals.cc
+++ b/tests/unit/test_target_refusals.cc
@@ -31,8 +31,8 @@
     const auto probes = refusals.take_probes(kStart);
     REQUIRE(probes.size() == 1);
     CHECK(probes[0].target == kTarget);
-    CHECK(probes[0].number > TargetRefusals::kFirstProbe);
-    CHECK(probes[0].number < ZonePaths::kFirstProbe);
+    CHECK(probes[0].number > TargetRefusals::kProbeNumberBase);
+    CHECK(probes[0].number < ZonePaths::kProbeNumberBase);
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart));
     refusals.on_answer(probes[0].number, ProbeAnswer::kRefused, kStart + milliseconds(2));
     CHECK(refusals.is_refusing(kTarget, kStart + milliseconds(2)));
@@ -83,13 +83,13 @@
 
   TEST_CASE("what others tell ends by itself, and sooner when an opening is answered") {
     TargetRefusals refusals;
-    refusals.on_told(kTarget, kStart);
+    refusals.on_remote_refusal(kTarget, kStart);
     CHECK(refusals.is_refusing(kTarget, kStart + milliseconds(499)));
-    CHECK_FALSE(refusals.is_refusing(kTarget, kStart + TargetRefusals::kHeldFor));
+    CHECK_FALSE(refusals.is_refusing(kTarget, kStart + TargetRefusals::kRefusalLifetime));
     CHECK(refusals.take_probes(kStart).empty());
-    refusals.on_opened(kTarget, kStart - milliseconds(5));
+    refusals.on_established(kTarget, kStart - milliseconds(5));
     CHECK(refusals.is_refusing(kTarget, kStart + milliseconds(1)));
-    refusals.on_opened(kTarget, kStart + milliseconds(5));
+    refusals.on_established(kTarget, kStart + milliseconds(5));
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart + milliseconds(6)));
   }
 
@@ -99,7 +99,7 @@
       refusals.on_overdue(id, kStart);
     }
     const auto probes = refusals.take_probes(kStart);
-    CHECK(probes.size() == TargetRefusals::kMaxCases);
+    CHECK(probes.size() == TargetRefusals::kMaxProbedTargets);
     for (const auto& probe : probes) {
       refusals.on_not_sent(probe.number);
     }
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -28,7 +28,7 @@
 std::vector<Instant> placed(WarmUpBudget& budget, Instant from, Instant to) {
   std::vector<Instant> result;
   for (Instant now = from; now < to; now += milliseconds(10)) {
-    if (budget.admission(kCold, now) == WarmUpAdmission::kTurn) {
+    if (budget.admission(kCold, now) == WarmUpAdmission::kOwnTurn) {
       budget.on_placed(kCold, now);
       result.push_back(now);
     }
@@ -41,8 +41,8 @@
   std::size_t sum = 0;
   for (std::uint32_t number = 0; number < count; ++number) {
     WarmUpBudget budget;
-    budget.set_place({number, count}, kStart);
-    budget.begin(cold_target(flows_per_s, seconds(20)), kStart);
+    budget.set_rank({number, count}, kStart);
+    budget.add(cold_target(flows_per_s, seconds(20)), kStart);
     sum += placed(budget, kStart, kStart + seconds(10)).size();
   }
   return sum;
@@ -121,47 +121,47 @@
 
   TEST_CASE("turns that nobody used are not saved up") {
     WarmUpBudget budget;
-    budget.set_place({0, 1}, kStart);
-    budget.begin(cold_target(1, seconds(20)), kStart);
+    budget.set_rank({0, 1}, kStart);
+    budget.add(cold_target(1, seconds(20)), kStart);
     CHECK(placed(budget, kStart + seconds(10), kStart + seconds(11)).size() <= 2);
   }
 
   TEST_CASE("without a place, or with an old one, a cold target takes nothing from here") {
     WarmUpBudget budget;
-    budget.begin(cold_target(100, seconds(100)), kStart);
+    budget.add(cold_target(100, seconds(100)), kStart);
     CHECK(placed(budget, kStart, kStart + seconds(5)).empty());
-    budget.set_place({0, 1}, kStart + seconds(5));
+    budget.set_rank({0, 1}, kStart + seconds(5));
     CHECK(!placed(budget, kStart + seconds(5), kStart + seconds(6)).empty());
-    budget.set_place({0, 0}, kStart + seconds(30));
+    budget.set_rank({0, 0}, kStart + seconds(30));
     CHECK(!placed(budget, kStart + seconds(30), kStart + seconds(31)).empty());
     CHECK(placed(budget, kStart + seconds(36), kStart + seconds(40)).empty());
   }
 
   TEST_CASE("places that cannot be true change nothing or little, and are counted") {
     WarmUpBudget budget;
-    budget.begin(cold_target(10, seconds(100)), kStart);
-    budget.set_place({3, 80}, kStart);
-    budget.set_place({80, 80}, kStart);
-    budget.set_place({0, 4000000000U}, kStart);
-    CHECK(budget.place() == BalancerPlace{3, 80});
-    CHECK(budget.counters().places_doubted == 2);
+    budget.add(cold_target(10, seconds(100)), kStart);
+    budget.set_rank({3, 80}, kStart);
+    budget.set_rank({80, 80}, kStart);
+    budget.set_rank({0, 4000000000U}, kStart);
+    CHECK(budget.rank() == BalancerRank{3, 80});
+    CHECK(budget.counters().implausible_ranks == 2);
     // A count that falls to less than half is believed by half until lost balancers are forgotten.
-    budget.set_place({0, 1}, kStart + seconds(1));
-    CHECK(budget.place() == BalancerPlace{0, 40});
-    budget.set_place({0, 1}, kStart + seconds(2));
-    CHECK(budget.place() == BalancerPlace{0, 40});
-    CHECK(budget.counters().places_doubted == 4);
-    budget.set_place({0, 1}, kStart + seconds(61));
-    CHECK(budget.place() == BalancerPlace{0, 1});
+    budget.set_rank({0, 1}, kStart + seconds(1));
+    CHECK(budget.rank() == BalancerRank{0, 40});
+    budget.set_rank({0, 1}, kStart + seconds(2));
+    CHECK(budget.rank() == BalancerRank{0, 40});
+    CHECK(budget.counters().implausible_ranks == 4);
+    budget.set_rank({0, 1}, kStart + seconds(61));
+    CHECK(budget.rank() == BalancerRank{0, 1});
   }
 
   TEST_CASE("one flow a turn, also while numbers change without pause") {
     WarmUpBudget budget;
-    budget.begin(cold_target(5, seconds(100)), kStart);
+    budget.add(cold_target(5, seconds(100)), kStart);
     std::size_t flows = 0;
     for (int step = 0; step < 1000; ++step) {
       const Instant now = kStart + milliseconds(10) * step;
-      budget.set_place({static_cast<std::uint32_t>(step * 31 % 80), 80}, now);
+      budget.set_rank({static_cast<std::uint32_t>(step * 31 % 80), 80}, now);
       flows += placed(budget, now, now + milliseconds(10)).size();
     }
     // A round of 80 takes 20 s, and half of one passes at least between two flows.
@@ -170,19 +170,19 @@
 
   TEST_CASE("a target that is warm or forgotten costs nothing") {
     WarmUpBudget budget;
-    budget.set_place({0, 1}, kStart);
-    budget.begin(cold_target(100, seconds(2)), kStart);
-    CHECK(budget.admission(kCold + 1, kStart) == WarmUpAdmission::kFree);
+    budget.set_rank({0, 1}, kStart);
+    budget.add(cold_target(100, seconds(2)), kStart);
+    CHECK(budget.admission(kCold + 1, kStart) == WarmUpAdmission::kUnrestricted);
     const auto flows =
         static_cast<std::uint32_t>(placed(budget, kStart, kStart + seconds(2)).size());
     CHECK(flows > 100);
-    CHECK(budget.admission(kCold, kStart + seconds(2)) == WarmUpAdmission::kFree);
+    CHECK(budget.admission(kCold, kStart + seconds(2)) == WarmUpAdmission::kUnrestricted);
     const auto warmed = budget.take_warmed(kStart + seconds(2));
     REQUIRE(warmed.size() == 1);
     CHECK(warmed[0].id == kCold);
     CHECK(warmed[0].flows == flows);
     CHECK(budget.is_empty());
-    budget.begin(cold_target(100, seconds(9)), kStart);
+    budget.add(cold_target(100, seconds(9)), kStart);
     budget.forget(kCold);
     CHECK(budget.is_empty());
   }
@@ -261,28 +261,28 @@
     test.steering.set_place({0, 1}, test.now);
     test.steering.apply(upsert(target(2, 9000)), test.now);
     test.now += milliseconds(1300);
-    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kNoTurn) {
+    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOtherTurn) {
       test.now += milliseconds(10);
     }
     ClientPacket packet;
     packet.flow = {{0x64500000, 1}, kFrontend};
     packet.opens = true;
     REQUIRE(test.steering.on_packet(packet, test.now).target->id == 1);
-    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kTurn) {
+    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOwnTurn) {
       test.now += milliseconds(10);
     }
     packet.retransmissions = 2;
     const SteeringDecision again = test.steering.on_packet(packet, test.now);
     REQUIRE(again.target->id == 2);
     CHECK(test.steering.warm_up().counters().placed == 1);
-    CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kNoTurn);
+    CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kOtherTurn);
   }
 
   TEST_CASE("new settings change the rate of targets that are cold, or lift the bound") {
     const SteeringState state = pool_of({target(1, 0)}, 1000);
     Fixture test(state);
     test.steering.apply(upsert(target(2, 60000)), test.now);
-    CHECK(test.steering.warm_up().holds(2));
+    CHECK(test.steering.warm_up().contains(2));
     SteeringDelta lifted;
     lifted.has_settings = true;
     lifted.version = 2;
@@ -294,12 +294,12 @@
 
   TEST_CASE("placing at warm targets allocates nothing for a budget") {
     WarmUpBudget budget;
-    budget.set_place({0, 1}, kStart);
-    budget.begin(cold_target(5, seconds(20)), kStart);
+    budget.set_rank({0, 1}, kStart);
+    budget.add(cold_target(5, seconds(20)), kStart);
     const std::uint64_t before = allocation_count();
     std::uint32_t free = 0;
     for (TargetId id = 100; id < 1100; ++id) {
-      free += budget.admission(id, kStart) == WarmUpAdmission::kFree ? 1 : 0;
+      free += budget.admission(id, kStart) == WarmUpAdmission::kUnrestricted ? 1 : 0;
       budget.on_placed(id, kStart);
     }
     CHECK(free == 1000);
@@ -336,7 +336,7 @@
     control_cluster::Cluster cluster;
     cluster.run(seconds(3));
     REQUIRE(cluster.leader() != 0);
-    std::vector<BalancerPlace> told(3);
+    std::vector<BalancerRank> told(3);
     for (int turn = 0; turn < 6; ++turn) {
       for (std::uint32_t i = 1; i <= 3; ++i) {
         NodeHeartbeat heartbeat;
--- a/tests/unit/test_zone_paths.cc
+++ b/tests/unit/test_zone_paths.cc
@@ -61,7 +61,7 @@
       if (now >= next_step_) {
         next_step_ = now + TargetReachability::kStepInterval;
         send_probes();
-        const auto changes = paths.conclude(is_link_congested, now);
+        const auto changes = paths.detect_changes(is_link_congested, now);
         all.insert(all.end(), changes.begin(), changes.end());
       }
       deliver_answers();
@@ -69,7 +69,7 @@
     return all;
   }
 
-  void doubt(TargetId target) { paths.doubt(target, now, answered, now); }
+  void suspect(TargetId target) { paths.suspect(target, now, answered, now); }
 
   ZonePaths paths{"near"};
   std::map<TargetId, Behaviour> behaviour;
@@ -133,7 +133,7 @@
         zones.behaviour[id] = random() % 2 == 0 ? Behaviour::kSilent : Behaviour::kAccepts;
       }
       zones.behaviour[9] = Behaviour::kSilent;
-      zones.doubt(9);
+      zones.suspect(9);
       CHECK(zones.run(milliseconds(600)).empty());
     }
   }
@@ -141,8 +141,8 @@
   TEST_CASE("a zone that falls silent is concluded cut within 150 ms of the first doubt") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
-    zones.doubt(9);
-    CHECK(zones.paths.is_looking());
+    zones.suspect(9);
+    CHECK(zones.paths.is_checking());
     const auto changes = zones.run(milliseconds(150));
     REQUIRE(changes.size() == 1);
     CHECK(changes[0].zone == "far");
@@ -155,23 +155,23 @@
     CHECK(zones.paths.is_cut("far"));
     CHECK_FALSE(zones.paths.is_cut(TargetId{1}));
     CHECK_FALSE(zones.paths.is_cut(TargetId{17}));
-    CHECK(zones.paths.cut() == 1);
+    CHECK(zones.paths.cut_count() == 1);
   }
 
   TEST_CASE("refusals count like silence, and one that accepts ends the look") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kRefuses);
     SUBCASE("all refuse") {
-      zones.doubt(9);
+      zones.suspect(9);
       const auto changes = zones.run(milliseconds(150));
       REQUIRE(changes.size() == 1);
       CHECK(changes[0].refusals == 3 + 2 * kTargetsOfZone);
     }
     SUBCASE("one accepts: it was a machine, or a rack") {
       zones.behaviour[12] = Behaviour::kAccepts;
-      zones.doubt(9);
+      zones.suspect(9);
       CHECK(zones.run(milliseconds(500)).empty());
-      CHECK_FALSE(zones.paths.is_looking());
+      CHECK_FALSE(zones.paths.is_checking());
     }
   }
 
@@ -179,12 +179,12 @@
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     zones.set_zone("farther", Behaviour::kSilent);
-    zones.doubt(9);
+    zones.suspect(9);
     const auto changes = zones.run(milliseconds(250));
     REQUIRE(changes.size() == 2);
     CHECK(changes[0].zone == "far");
     CHECK(changes[1].zone == "farther");
-    CHECK(zones.paths.cut() == 2);
+    CHECK(zones.paths.cut_count() == 2);
   }
 
   TEST_CASE("nothing is concluded where silence proves nothing") {
@@ -202,10 +202,10 @@
     SUBCASE("no near target answered lately") {
       std::erase_if(zones.answered, [](TargetId id) { return id <= kTargetsOfZone; });
     }
-    zones.doubt(9);
+    zones.suspect(9);
     CHECK(zones.run(seconds(3)).empty());
-    CHECK_FALSE(zones.paths.is_looking());
-    CHECK(zones.paths.cut() == 0);
+    CHECK_FALSE(zones.paths.is_checking());
+    CHECK(zones.paths.cut_count() == 0);
   }
 
   TEST_CASE("a balancer that stands still between its probes blames no zone") {
@@ -214,7 +214,7 @@
         ProbedZones zones;
         // Longer than the near ones take, as between regions.
         zones.round_trip = milliseconds(24);
-        zones.doubt(9);
+        zones.suspect(9);
         auto changes = zones.run(milliseconds(pause_at));
         zones.stands_still_until = zones.now + milliseconds(pause);
         const auto later = zones.run(milliseconds(pause + 500));
@@ -228,42 +228,42 @@
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     const Instant sent_at = zones.now;
-    zones.doubt(9);
+    zones.suspect(9);
     zones.run(milliseconds(40));
     zones.paths.on_progress(10, sent_at - milliseconds(1), zones.now);
-    CHECK(zones.paths.is_looking());
+    CHECK(zones.paths.is_checking());
     zones.paths.on_progress(10, sent_at + milliseconds(1), zones.now);
-    CHECK_FALSE(zones.paths.is_looking());
+    CHECK_FALSE(zones.paths.is_checking());
     CHECK(zones.run(milliseconds(150)).empty());
   }
 
   TEST_CASE("the own zone and a zone of one target are not judged, nor without an own zone") {
     ProbedZones zones;
-    CHECK_FALSE(zones.paths.may_look(1, zones.now));
+    CHECK_FALSE(zones.paths.may_check(1, zones.now));
     RegisteredTarget lonely = make_target(1);
     lonely.id = 90;
     lonely.zone = "island";
     zones.paths.on_target(lonely);
-    zones.doubt(90);
-    CHECK_FALSE(zones.paths.is_looking());
+    zones.suspect(90);
+    CHECK_FALSE(zones.paths.is_checking());
     ZonePaths nowhere{""};
     nowhere.on_target(make_target(9));
-    CHECK_FALSE(nowhere.may_look(9, kStart));
+    CHECK_FALSE(nowhere.may_check(9, kStart));
   }
 
   TEST_CASE("looks that are answered become rarer, and a cut is found again after a quiet while") {
     ProbedZones zones;
     for (int i = 0; i < 400; ++i) {
-      zones.doubt(9);
+      zones.suspect(9);
       zones.run(milliseconds(25));
     }
     // 10 s: pauses of 0.25, 0.5 and then 1 s, each look three probes.
     CHECK(zones.probes["far"] <= 12 * 3);
     zones.run(seconds(13));
-    zones.doubt(9);
+    zones.suspect(9);
     zones.run(milliseconds(50));
     zones.run(milliseconds(250));
-    CHECK(zones.paths.may_look(9, zones.now));
+    CHECK(zones.paths.may_check(9, zones.now));
   }
 
   TEST_CASE("where nothing near answers, looks stay small and become rarer") {
@@ -272,7 +272,7 @@
       zones.set_zone(zone, Behaviour::kSilent);
     }
     for (int i = 0; i < 400; ++i) {
-      zones.doubt(9);
+      zones.suspect(9);
       CHECK(zones.run(milliseconds(25)).empty());
     }
     // 10 s: pauses of 0.1 to 3.2 s, each look three probes there and one near.
@@ -284,7 +284,7 @@
   TEST_CASE("a path is back when several targets answer twice on end, and load returns slowly") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
-    zones.doubt(9);
+    zones.suspect(9);
     REQUIRE(zones.run(milliseconds(150)).size() == 1);
     SUBCASE("one target that answers now and then does not bring it back") {
       for (int look = 0; look < 10; ++look) {
@@ -330,9 +330,9 @@
       zones.set_zone("far", Behaviour::kAccepts);
       REQUIRE(zones.run(milliseconds(600)).size() == 1);
       zones.set_zone("far", Behaviour::kSilent);
-      zones.doubt(9);
+      zones.suspect(9);
       REQUIRE(zones.run(milliseconds(150)).size() == 1);
-      CHECK(zones.paths.cut() == 1);
+      CHECK(zones.paths.cut_count() == 1);
       CHECK(zones.paths.admits(9, 0, zones.now));
     }
   }
@@ -345,10 +345,10 @@
       target.zone = "z" + std::to_string(id);
       paths.on_target(target);
     }
-    CHECK(paths.may_look(ZonePaths::kMaxZones, kStart));
-    CHECK_FALSE(paths.may_look(ZonePaths::kMaxZones + 1, kStart));
+    CHECK(paths.may_check(ZonePaths::kMaxZones, kStart));
+    CHECK_FALSE(paths.may_check(ZonePaths::kMaxZones + 1, kStart));
     paths.on_forgotten(1);
-    CHECK_FALSE(paths.may_look(1, kStart));
+    CHECK_FALSE(paths.may_check(1, kStart));
   }
 }
 
