--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -135,7 +135,8 @@
   }
   board_.add(report.observations, now);
   places_.on_reported(report.balancers, now);
-  const std::vector<Endpoint> may_stop = MembershipController::may_stop(state_.fleet(), nodes_);
+  const std::vector<Endpoint> may_stop =
+      MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
   output_.send_node(from,
                     ReportReply{report.sequence, may_stop, figures_after(report.figures_edition),
                                 places_.places_of(report.balancers, now)});
@@ -158,7 +159,7 @@
   if (replica_->is_leader()) {
     send_to_replicas(shared);
   }
-  publisher_.send_to_all(shared);
+  publisher_.broadcast(shared);
 }
 
 void ControlNode::send_to_replicas(const SharedNodeMessage& message) {
@@ -185,7 +186,7 @@
     send_to_replicas(std::make_shared<const NodeMessage>(message));
   }
   for (const auto& message : due.to_balancers) {
-    publisher_.send_to_all(std::make_shared<const NodeMessage>(message));
+    publisher_.broadcast(std::make_shared<const NodeMessage>(message));
   }
 }
 
@@ -246,7 +247,8 @@
   lead_registrations(now);
   lead_figures(now);
   places_.number_all(now);
-  const std::vector<Endpoint> stop = MembershipController::may_stop(state_.fleet(), nodes_);
+  const std::vector<Endpoint> stop =
+      MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
   may_stop_ = std::set<Endpoint>(stop.begin(), stop.end());
   if (pending_members_ > replica_->commit_index()) {
     return;
@@ -291,7 +293,8 @@
   // what it proposed itself.
   const bool is_decided = last_evacuation_.term != replica_->term() ||
                           last_evacuation_.index <= replica_->commit_index();
-  return replica_->has_lease(now) && is_decided && is_in_force(state_.fleet().steering, command);
+  return replica_->has_lease(now) && is_decided &&
+         is_already_applied(state_.fleet().steering, command);
 }
 
 std::optional<Proposal> ControlNode::propose_entry(EntryType type, Bytes payload, Instant now) {
@@ -315,7 +318,7 @@
 }
 
 std::optional<Endpoint> ControlNode::other_leader(Instant now) const {
-  if (replica_->is_leader() || !replica_->hears_leader(now)) {
+  if (replica_->is_leader() || !replica_->has_leader_contact(now)) {
     return std::nullopt;
   }
   return replica_->leader_address();
@@ -332,7 +335,7 @@
   }
   relay_refusals(now);
   nodes_.drop_older(now, kNodeMemory);
-  publisher_.drop_silent(now);
+  publisher_.drop_timed_out(now);
   publisher_.push(now);
   tell_waiting(now);
   std::erase_if(waiting_nodes_,
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -127,7 +127,7 @@
   [[nodiscard]] const ControlState& state() const { return state_; }
   [[nodiscard]] const NodeRegistry& nodes() const { return nodes_; }
   /// How many balancers get updates from this replica.
-  [[nodiscard]] std::size_t balancers_served() const { return publisher_.followers(); }
+  [[nodiscard]] std::size_t balancers_served() const { return publisher_.subscriber_count(); }
   /// What balancers are told of targets.
   [[nodiscard]] const TargetFigures& figures() const { return figures_; }
 
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -40,7 +40,7 @@
   bool accept_before_commit = false;
   bool send_older_revisions = false;
   /// What was handed to the network counts as under way, whatever the balancer says.
-  bool trust_own_sends = false;
+  bool assume_sends_delivered = false;
 };
 
 }  // namespace gorsevalve
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -58,10 +58,10 @@
 
 ControlState::ControlState(std::uint32_t partitions) {
   fleet_.partitions = partitions;
-  reset_indexes();
+  rebuild_derived_state();
 }
 
-void ControlState::reset_indexes() {
+void ControlState::rebuild_derived_state() {
   tokens_ = TokenIndex(fleet_.steering);
   fleet_digest_ = FleetDigest(fleet_);
   digest_ = fleet_digest_.value(fleet_);
@@ -95,25 +95,25 @@
   auto change = steering_delta(fleet_.steering, command.settings);
   if (change) {
     steering_text_ = std::move(command.text);
-    add_steering(index, std::move(*change));
+    add_steering_delta(index, std::move(*change));
   }
 }
 
 void ControlState::apply_registrations(LogIndex index, const RegistrationCommand& command) {
   auto change = steering_delta(fleet_.steering, command, tokens_);
   if (change) {
-    add_steering(index, std::move(*change));
+    add_steering_delta(index, std::move(*change));
   }
 }
 
 void ControlState::apply_evacuation(LogIndex index, const EvacuationCommand& command) {
   auto change = steering_delta(fleet_.steering, command, index);
   if (change) {
-    add_steering(index, std::move(*change));
+    add_steering_delta(index, std::move(*change));
   }
 }
 
-void ControlState::add_steering(LogIndex index, SteeringDelta change) {
+void ControlState::add_steering_delta(LogIndex index, SteeringDelta change) {
   FleetDelta delta;
   delta.base = fleet_.revision;
   delta.revision = index;
@@ -128,7 +128,7 @@
   SubmissionOutcome result{command.id, false, fleet_.settings_revision, {}};
   if (command.base_revision != fleet_.settings_revision) {
     result.winner = history_.empty() ? SubmissionId{} : history_.back().submission;
-    remember(std::move(result));
+    record_outcome(std::move(result));
     return;
   }
   sort_services(command.settings);
@@ -139,13 +139,13 @@
   settings_text_ = std::move(command.text);
   history_.push_back({index, command.id, command.author, command.submitted_at_s,
                       XXH3_64bits(settings_text_.data(), settings_text_.size())});
-  if (history_.size() > kHistory) {
+  if (history_.size() > kMaxHistory) {
     history_.erase(history_.begin());
   }
   result.accepted = true;
   result.revision = index;
   result.winner = command.id;
-  remember(std::move(result));
+  record_outcome(std::move(result));
 }
 
 void ControlState::apply_members(LogIndex index, const MembersCommand& command) {
@@ -163,27 +163,27 @@
   apply_delta(fleet_, delta, fleet_digest_);
   digest_ = fleet_digest_.value(fleet_);
   deltas_.push_back(std::move(delta));
-  if (deltas_.size() > kDeltas) {
+  if (deltas_.size() > kMaxDeltas) {
     deltas_.pop_front();
   }
 }
 
-void ControlState::remember(SubmissionOutcome outcome) {
-  outcome_numbers_[outcome.id] = forgotten_outcomes_ + outcomes_.size();
+void ControlState::record_outcome(SubmissionOutcome outcome) {
+  outcome_positions_[outcome.id] = evicted_outcomes_ + outcomes_.size();
   outcomes_.push_back(std::move(outcome));
-  if (outcomes_.size() > kOutcomes) {
-    outcome_numbers_.erase(outcomes_.front().id);
+  if (outcomes_.size() > kMaxOutcomes) {
+    outcome_positions_.erase(outcomes_.front().id);
     outcomes_.pop_front();
-    ++forgotten_outcomes_;
+    ++evicted_outcomes_;
   }
 }
 
 std::optional<SubmissionOutcome> ControlState::outcome(const SubmissionId& id) const {
-  const auto found = outcome_numbers_.find(id);
-  if (found == outcome_numbers_.end()) {
+  const auto found = outcome_positions_.find(id);
+  if (found == outcome_positions_.end()) {
     return std::nullopt;
   }
-  return outcomes_[found->second - forgotten_outcomes_];
+  return outcomes_[found->second - evicted_outcomes_];
 }
 
 const FleetDelta* ControlState::delta_after(Revision revision) const {
@@ -206,16 +206,16 @@
     return;
   }
   fleet_ = std::move(saved->fleet);
-  reset_indexes();
+  rebuild_derived_state();
   settings_text_ = std::move(saved->settings_text);
   steering_text_ = std::move(saved->steering_text);
   history_ = std::move(saved->history);
   outcomes_.clear();
-  outcome_numbers_.clear();
-  forgotten_outcomes_ = 0;
+  outcome_positions_.clear();
+  evicted_outcomes_ = 0;
   deltas_.clear();
   for (auto& outcome : saved->outcomes) {
-    remember(std::move(outcome));
+    record_outcome(std::move(outcome));
   }
 }
 
--- a/src/core/control/control_state.h
+++ b/src/core/control/control_state.h
@@ -73,10 +73,10 @@
 class ControlState : public ReplicatedState {
  public:
   /// Outcomes of submissions that are remembered.
-  static constexpr std::size_t kOutcomes = 4096;
+  static constexpr std::size_t kMaxOutcomes = 4096;
   /// Deltas that are kept for nodes that lag.
-  static constexpr std::size_t kDeltas = 256;
-  static constexpr std::size_t kHistory = 128;
+  static constexpr std::size_t kMaxDeltas = 256;
+  static constexpr std::size_t kMaxHistory = 128;
 
   explicit ControlState(std::uint32_t partitions);
 
@@ -101,12 +101,12 @@
   void apply_steering(LogIndex index, SteeringCommand command);
   void apply_registrations(LogIndex index, const RegistrationCommand& command);
   void apply_evacuation(LogIndex index, const EvacuationCommand& command);
-  void add_steering(LogIndex index, SteeringDelta change);
-  void remember(SubmissionOutcome outcome);
+  void add_steering_delta(LogIndex index, SteeringDelta change);
+  void record_outcome(SubmissionOutcome outcome);
   /// Applies a change, and keeps it for nodes that lag.
   void add_delta(FleetDelta delta);
   /// Builds what is derived from the state anew.
-  void reset_indexes();
+  void rebuild_derived_state();
 
   FleetState fleet_;
   FleetDigest fleet_digest_;
@@ -116,8 +116,8 @@
   std::string steering_text_;
   std::vector<RevisionInfo> history_;
   std::deque<SubmissionOutcome> outcomes_;
-  std::map<SubmissionId, std::size_t> outcome_numbers_;
-  std::size_t forgotten_outcomes_ = 0;
+  std::map<SubmissionId, std::size_t> outcome_positions_;
+  std::size_t evicted_outcomes_ = 0;
   std::deque<FleetDelta> deltas_;
 };
 
--- a/src/core/control/evacuation.cc
+++ b/src/core/control/evacuation.cc
@@ -6,8 +6,8 @@
 
 namespace gorsevalve {
 
-std::string_view to_string(EvacuationOrder order) {
-  return order == EvacuationOrder::kEvacuate ? "evacuate" : "restore";
+std::string_view to_string(EvacuationAction order) {
+  return order == EvacuationAction::kEvacuate ? "evacuate" : "restore";
 }
 
 const EvacuatedZone* find_evacuation(const SteeringState& state, std::string_view zone) {
@@ -17,20 +17,20 @@
   return found == state.evacuated_zones.end() ? nullptr : &*found;
 }
 
-bool is_in_force(const SteeringState& state, const EvacuationCommand& command) {
+bool is_already_applied(const SteeringState& state, const EvacuationCommand& command) {
   const bool is_evacuated = find_evacuation(state, command.zone) != nullptr;
-  return is_evacuated == (command.order == EvacuationOrder::kEvacuate);
+  return is_evacuated == (command.action == EvacuationAction::kEvacuate);
 }
 
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const EvacuationCommand& command, Revision since) {
-  if (is_in_force(state, command)) {
+  if (is_already_applied(state, command)) {
     return std::nullopt;
   }
   SteeringDelta delta;
   delta.has_evacuations = true;
   delta.evacuated_zones = state.evacuated_zones;
-  if (command.order == EvacuationOrder::kRestore) {
+  if (command.action == EvacuationAction::kRestore) {
     std::erase_if(delta.evacuated_zones,
                   [&](const EvacuatedZone& evacuated) { return evacuated.zone == command.zone; });
     return delta;
--- a/src/core/control/evacuation.h
+++ b/src/core/control/evacuation.h
@@ -11,7 +11,7 @@
 
 namespace gorsevalve {
 
-enum class EvacuationOrder : std::uint8_t {
+enum class EvacuationAction : std::uint8_t {
   /// The zone's targets get no new flows from now on.
   kEvacuate = 0,
   /// They get new flows again.
@@ -19,17 +19,17 @@
 };
 
 /// Name of an order in logs.
-std::string_view to_string(EvacuationOrder order);
+std::string_view to_string(EvacuationAction order);
 
 struct EvacuationCommand {
   std::string zone;
-  EvacuationOrder order = EvacuationOrder::kEvacuate;
+  EvacuationAction action = EvacuationAction::kEvacuate;
 
   friend bool operator==(const EvacuationCommand&, const EvacuationCommand&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& zone& order;
+    archive& zone& action;
   }
 };
 
@@ -37,7 +37,7 @@
 const EvacuatedZone* find_evacuation(const SteeringState& state, std::string_view zone);
 
 /// True when the state is already what the command asks for.
-bool is_in_force(const SteeringState& state, const EvacuationCommand& command);
+bool is_already_applied(const SteeringState& state, const EvacuationCommand& command);
 
 /// The change that a command makes to a state as revision `since`; nothing when it is in force.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
--- a/src/core/control/fleet_delta.cc
+++ b/src/core/control/fleet_delta.cc
@@ -7,7 +7,7 @@
 namespace gorsevalve {
 namespace {
 
-void apply_settings_part(FleetState& fleet, const FleetDelta& delta) {
+void apply_settings_delta(FleetState& fleet, const FleetDelta& delta) {
   auto& services = fleet.settings.services;
   const auto replaced = [&](const Service& service) {
     const auto same_address = [&](const Service& other) {
@@ -26,7 +26,7 @@
   fleet.settings_revision = delta.revision;
 }
 
-void apply_members_part(FleetState& fleet, const MembersCommand& command, Revision revision) {
+void apply_members_command(FleetState& fleet, const MembersCommand& command, Revision revision) {
   fleet.previous_members = fleet.members;
   auto& members = fleet.members;
   std::erase_if(members, [&](const Member& member) {
@@ -54,10 +54,10 @@
     return false;
   }
   if (delta.has_settings) {
-    apply_settings_part(fleet, delta);
+    apply_settings_delta(fleet, delta);
   }
   if (delta.members) {
-    apply_members_part(fleet, *delta.members, delta.revision);
+    apply_members_command(fleet, *delta.members, delta.revision);
   }
   if (delta.steering) {
     apply_steering_delta(fleet.steering, *delta.steering);
--- a/src/core/control/fleet_digest.cc
+++ b/src/core/control/fleet_digest.cc
@@ -20,7 +20,7 @@
 }
 
 /// What is not among the elements.
-struct Remainder {
+struct ScalarFields {
   Revision revision = 0;
   Revision settings_revision = 0;
   Revision members_revision = 0;
@@ -42,24 +42,24 @@
 
 FleetDigest::FleetDigest(const FleetState& fleet) {
   for (const auto& service : fleet.settings.services) {
-    elements_ += element_digest(ElementKind::kService, service);
+    element_sum_ += element_digest(ElementKind::kService, service);
   }
   for (const auto& frontend : fleet.steering.settings.frontends) {
-    elements_ += element_digest(ElementKind::kFrontend, frontend);
+    element_sum_ += element_digest(ElementKind::kFrontend, frontend);
   }
   for (const auto& [id, target] : fleet.steering.targets) {
-    elements_ += element_digest(ElementKind::kTarget, target);
+    element_sum_ += element_digest(ElementKind::kTarget, target);
   }
 }
 
-void FleetDigest::remove_replaced(const FleetState& fleet, const FleetDelta& delta) {
+void FleetDigest::subtract_replaced(const FleetState& fleet, const FleetDelta& delta) {
   std::set<Endpoint> services(delta.removed_services.begin(), delta.removed_services.end());
   for (const auto& service : delta.upserted_services) {
     services.insert(service.address);
   }
   for (const auto& service : fleet.settings.services) {
     if (services.contains(service.address)) {
-      elements_ -= element_digest(ElementKind::kService, service);
+      element_sum_ -= element_digest(ElementKind::kService, service);
     }
   }
   if (!delta.steering) {
@@ -72,7 +72,7 @@
   }
   for (const auto& address : frontends) {
     if (const Frontend* before = find_frontend(fleet.steering.settings, address)) {
-      elements_ -= element_digest(ElementKind::kFrontend, *before);
+      element_sum_ -= element_digest(ElementKind::kFrontend, *before);
     }
   }
   std::set<TargetId> targets(delta.steering->forgotten_targets.begin(),
@@ -82,36 +82,36 @@
   }
   for (const TargetId id : targets) {
     if (const RegisteredTarget* before = find_target(fleet.steering, id)) {
-      elements_ -= element_digest(ElementKind::kTarget, *before);
+      element_sum_ -= element_digest(ElementKind::kTarget, *before);
     }
   }
 }
 
 void FleetDigest::add_changed(const FleetDelta& delta) {
   for (const auto& service : delta.upserted_services) {
-    elements_ += element_digest(ElementKind::kService, service);
+    element_sum_ += element_digest(ElementKind::kService, service);
   }
   if (!delta.steering) {
     return;
   }
   for (const auto& frontend : delta.steering->upserted_frontends) {
-    elements_ += element_digest(ElementKind::kFrontend, frontend);
+    element_sum_ += element_digest(ElementKind::kFrontend, frontend);
   }
   for (const auto& target : delta.steering->upserted_targets) {
-    elements_ += element_digest(ElementKind::kTarget, target);
+    element_sum_ += element_digest(ElementKind::kTarget, target);
   }
 }
 
 std::uint64_t FleetDigest::value(const FleetState& fleet) const {
-  const Remainder remainder{fleet.revision,
-                            fleet.settings_revision,
-                            fleet.members_revision,
-                            fleet.members_epoch,
-                            fleet.partitions,
-                            fleet.settings.deployment,
-                            fleet.steering.settings.version,
-                            fleet.steering.settings.idle_timeout_ms,
-                            elements_};
+  const ScalarFields remainder{fleet.revision,
+                               fleet.settings_revision,
+                               fleet.members_revision,
+                               fleet.members_epoch,
+                               fleet.partitions,
+                               fleet.settings.deployment,
+                               fleet.steering.settings.version,
+                               fleet.steering.settings.idle_timeout_ms,
+                               element_sum_};
   Bytes bytes = encode_archive(remainder);
   const auto append = [&bytes](const Bytes& more) {
     bytes.insert(bytes.end(), more.begin(), more.end());
@@ -129,7 +129,7 @@
   if (!is_based_on(fleet, delta)) {
     return false;
   }
-  digest.remove_replaced(fleet, delta);
+  digest.subtract_replaced(fleet, delta);
   digest.add_changed(delta);
   return apply_delta(fleet, delta);
 }
--- a/src/core/control/fleet_digest.h
+++ b/src/core/control/fleet_digest.h
@@ -13,7 +13,7 @@
   explicit FleetDigest(const FleetState& fleet);
 
   /// Takes out the elements that a change replaces; `fleet` is the state before it.
-  void remove_replaced(const FleetState& fleet, const FleetDelta& delta);
+  void subtract_replaced(const FleetState& fleet, const FleetDelta& delta);
   /// Adds the elements that a change brings.
   void add_changed(const FleetDelta& delta);
   /// The digest of `fleet`, whose elements were added.
@@ -21,7 +21,7 @@
 
  private:
   /// Sum over services, frontends and targets.
-  std::uint64_t elements_ = 0;
+  std::uint64_t element_sum_ = 0;
 };
 
 /// Digest of a state from nothing.
--- a/src/core/control/log_entry.h
+++ b/src/core/control/log_entry.h
@@ -21,7 +21,7 @@
 
 enum class EntryType : std::uint8_t {
   /// Written by a new leader, to commit what earlier terms left.
-  kNone = 0,
+  kNoOp = 0,
   /// A SettingsCommand.
   kSettings = 1,
   /// A MembersCommand.
@@ -39,7 +39,7 @@
 struct LogEntry {
   Term term = 0;
   LogIndex index = 0;
-  EntryType type = EntryType::kNone;
+  EntryType type = EntryType::kNoOp;
   Bytes payload;
 
   friend bool operator==(const LogEntry&, const LogEntry&) = default;
--- a/src/core/control/membership.cc
+++ b/src/core/control/membership.cc
@@ -13,7 +13,7 @@
   return found == fleet.members.end() ? nullptr : &*found;
 }
 
-bool is_settled_at(const NodeEntry* entry, Revision members_revision) {
+bool has_completed_handover(const NodeEntry* entry, Revision members_revision) {
   return entry != nullptr && entry->status.settled_revision >= members_revision;
 }
 
@@ -21,12 +21,12 @@
 
 void MembershipController::on_elected(Instant now) {
   elected_at_ = now;
-  watched_revision_ = 0;
-  planned_since_.reset();
+  handover_revision_ = 0;
+  batch_started_at_.reset();
 }
 
-void MembershipController::add_lost(const FleetState& fleet, const NodeRegistry& nodes, Instant now,
-                                    MembersCommand& change) const {
+void MembershipController::add_timed_out_members(const FleetState& fleet, const NodeRegistry& nodes,
+                                                 Instant now, MembersCommand& change) const {
   if (now - elected_at_ < control_timing::kMemberTimeout) {
     return;
   }
@@ -41,8 +41,8 @@
   }
 }
 
-bool MembershipController::add_planned(const FleetState& fleet, const NodeRegistry& nodes,
-                                       Instant now, MembersCommand& change) const {
+bool MembershipController::add_joins_and_leaves(const FleetState& fleet, const NodeRegistry& nodes,
+                                                Instant now, MembersCommand& change) const {
   bool any = false;
   for (const auto& [address, entry] : nodes.nodes()) {
     if (now - entry.heard_at > control_timing::kMemberTimeout) {
@@ -62,7 +62,8 @@
   return any;
 }
 
-void MembershipController::remember_removed(const FleetState& fleet, const MembersCommand& change) {
+void MembershipController::record_removed_incarnations(const FleetState& fleet,
+                                                       const MembersCommand& change) {
   for (const auto& address : change.removed) {
     if (const Member* member = find_member(fleet, address)) {
       removed_incarnations_.insert(member->incarnation);
@@ -70,47 +71,48 @@
   }
 }
 
-bool MembershipController::is_settled(const FleetState& fleet, const NodeRegistry& nodes) {
+bool MembershipController::is_handover_complete(const FleetState& fleet,
+                                                const NodeRegistry& nodes) {
   return std::all_of(fleet.members.begin(), fleet.members.end(), [&](const Member& member) {
-    return is_settled_at(nodes.find(member.address), fleet.members_revision);
+    return has_completed_handover(nodes.find(member.address), fleet.members_revision);
   });
 }
 
 std::optional<MembersCommand> MembershipController::next_change(const FleetState& fleet,
                                                                 const NodeRegistry& nodes,
                                                                 Instant now) {
-  if (watched_revision_ != fleet.members_revision) {
-    watched_revision_ = fleet.members_revision;
-    watched_since_ = now;
+  if (handover_revision_ != fleet.members_revision) {
+    handover_revision_ = fleet.members_revision;
+    handover_started_at_ = now;
   }
   MembersCommand change;
-  add_lost(fleet, nodes, now, change);
+  add_timed_out_members(fleet, nodes, now, change);
   if (!change.removed.empty()) {
-    remember_removed(fleet, change);
+    record_removed_incarnations(fleet, change);
     return change;
   }
-  const bool settled =
-      is_settled(fleet, nodes) || now - watched_since_ > control_timing::kSettleTimeout;
-  if (!settled || !add_planned(fleet, nodes, now, change)) {
-    planned_since_.reset();
+  const bool settled = is_handover_complete(fleet, nodes) ||
+                       now - handover_started_at_ > control_timing::kHandoverTimeout;
+  if (!settled || !add_joins_and_leaves(fleet, nodes, now, change)) {
+    batch_started_at_.reset();
     return std::nullopt;
   }
   // Changes that come together go together: one transfer instead of several.
-  planned_since_ = planned_since_.value_or(now);
-  if (now - *planned_since_ < control_timing::kMembersBatch) {
+  batch_started_at_ = batch_started_at_.value_or(now);
+  if (now - *batch_started_at_ < control_timing::kMembershipBatchWindow) {
     return std::nullopt;
   }
-  planned_since_.reset();
+  batch_started_at_.reset();
   return change;
 }
 
-std::vector<Endpoint> MembershipController::may_stop(const FleetState& fleet,
-                                                     const NodeRegistry& nodes) {
+std::vector<Endpoint> MembershipController::members_safe_to_stop(const FleetState& fleet,
+                                                                 const NodeRegistry& nodes) {
   std::vector<Endpoint> result;
   const bool settled =
       std::all_of(fleet.members.begin(), fleet.members.end(), [&](const Member& member) {
         return member.state == MemberState::kLeaving ||
-               is_settled_at(nodes.find(member.address), fleet.members_revision);
+               has_completed_handover(nodes.find(member.address), fleet.members_revision);
       });
   if (!settled) {
     return result;
--- a/src/core/control/membership.h
+++ b/src/core/control/membership.h
@@ -25,24 +25,25 @@
                                                           const NodeRegistry& nodes, Instant now);
 
   /// Leaving members that may end: every other member has settled without them.
-  [[nodiscard]] static std::vector<Endpoint> may_stop(const FleetState& fleet,
-                                                      const NodeRegistry& nodes);
+  [[nodiscard]] static std::vector<Endpoint> members_safe_to_stop(const FleetState& fleet,
+                                                                  const NodeRegistry& nodes);
 
   /// True when every active member that is heard has finished the handovers of the present
   /// revision.
-  [[nodiscard]] static bool is_settled(const FleetState& fleet, const NodeRegistry& nodes);
+  [[nodiscard]] static bool is_handover_complete(const FleetState& fleet,
+                                                 const NodeRegistry& nodes);
 
  private:
-  void add_lost(const FleetState& fleet, const NodeRegistry& nodes, Instant now,
-                MembersCommand& change) const;
-  bool add_planned(const FleetState& fleet, const NodeRegistry& nodes, Instant now,
-                   MembersCommand& change) const;
-  void remember_removed(const FleetState& fleet, const MembersCommand& change);
+  void add_timed_out_members(const FleetState& fleet, const NodeRegistry& nodes, Instant now,
+                             MembersCommand& change) const;
+  bool add_joins_and_leaves(const FleetState& fleet, const NodeRegistry& nodes, Instant now,
+                            MembersCommand& change) const;
+  void record_removed_incarnations(const FleetState& fleet, const MembersCommand& change);
 
   Instant elected_at_;
-  Revision watched_revision_ = 0;
-  Instant watched_since_;
-  std::optional<Instant> planned_since_;
+  Revision handover_revision_ = 0;
+  Instant handover_started_at_;
+  std::optional<Instant> batch_started_at_;
   /// Removed processes. One that runs comes back as another member; until it does, late reports
   /// about it count for nothing.
   std::set<std::uint64_t> removed_incarnations_;
--- a/src/core/control/replica.cc
+++ b/src/core/control/replica.cc
@@ -12,12 +12,12 @@
 constexpr Duration kJoinInterval = std::chrono::milliseconds(500);
 /// A replica that heard of no leader for this long asks to be taken in, even where it believes that
 /// it is a voter.
-constexpr Duration kOutsiderAfter = std::chrono::milliseconds(3000);
+constexpr Duration kLeaderContactTimeout = std::chrono::milliseconds(3000);
 /// A voter that confirmed nothing to the leader for this long may be removed.
-constexpr Duration kVoterLostAfter = std::chrono::milliseconds(2000);
+constexpr Duration kVoterTimeout = std::chrono::milliseconds(2000);
 /// Election timeouts after which a leader that no majority confirmed since steps down. Two: its
 /// clients look for another one soon.
-constexpr int kUnconfirmedTimeouts = 2;
+constexpr int kQuorumLossTimeouts = 2;
 /// The same for one that has not committed anything yet. Longer, since its followers may first
 /// need much of the log, and another election would cost them as much again.
 constexpr int kFirstCommitTimeouts = 6;
@@ -28,15 +28,15 @@
                  ReplicaStorage& storage, ReplicaOutput& output, ReplicatedState& state,
                  Instant now)
     : config_(std::move(config)),
-      first_replicas_(std::move(first_replicas)),
+      initial_replicas_(std::move(first_replicas)),
       storage_(storage),
       output_(output),
       state_(state),
-      random_(config_.random_seed),
+      rng_(config_.random_seed),
       hard_state_(stored.hard_state),
       snapshot_(std::move(stored.snapshot)),
       entries_(std::move(stored.entries)),
-      leader_heard_at_(now),
+      last_leader_contact_(now),
       started_at_(now) {
   if (snapshot_) {
     state_.restore(snapshot_->state);
@@ -46,14 +46,14 @@
   // What was committed stays so: it can be shown before there is a leader again.
   commit_index_ = std::max(commit_index_, std::min(stored.committed, last_index()));
   apply_committed();
-  find_replicas();
+  load_replica_set();
   // A restarted replica does not know when it last heard from a leader, so it behaves as if it had
-  // just heard from one: `leader_heard_at_` is now.
+  // just heard from one: `last_leader_contact_` is now.
   reset_election_timer(now);
   if (hard_state_.leader == config_.id) {
     // It led its term itself and has just started, so nobody has a lease, and it need not wait.
-    agreed_term_ = hard_state_.term;
-    election_at_ = now;
+    released_lease_term_ = hard_state_.term;
+    election_deadline_ = now;
   }
 }
 
@@ -76,7 +76,7 @@
   return found == nullptr ? 0 : found->term;
 }
 
-void Replica::find_replicas() {
+void Replica::load_replica_set() {
   for (auto found = entries_.rbegin(); found != entries_.rend(); ++found) {
     if (found->type == EntryType::kReplicas) {
       replicas_ = decode_archive<ReplicaSet>(found->payload).value_or(ReplicaSet{});
@@ -84,7 +84,7 @@
       return;
     }
   }
-  replicas_ = snapshot_ ? snapshot_->replicas : first_replicas_;
+  replicas_ = snapshot_ ? snapshot_->replicas : initial_replicas_;
   replicas_index_ = snapshot_index();
 }
 
@@ -104,16 +104,16 @@
   if (failed_) {
     return false;
   }
-  if (hard_state_unsaved_) {
+  if (hard_state_dirty_) {
     frame.hard_state = hard_state_;
   }
   frame.committed = commit_index_;
   if (storage_.append(frame)) {
-    hard_state_unsaved_ = false;
+    hard_state_dirty_ = false;
     return true;
   }
-  hard_state_unsaved_ = hard_state_unsaved_ || frame.hard_state.has_value();
-  failed_ = !storage_.can_try_again();
+  hard_state_dirty_ = hard_state_dirty_ || frame.hard_state.has_value();
+  failed_ = !storage_.can_retry();
   return false;
 }
 
@@ -121,11 +121,11 @@
   if (is_leader()) {
     return has_lease(now);
   }
-  return hears_leader(now) && leader_has_lease_ && applied_index_ >= leader_commit_;
+  return has_leader_contact(now) && leader_has_lease_ && applied_index_ >= leader_commit_;
 }
 
-bool Replica::hears_leader(Instant now) const {
-  return leader_ && now - leader_heard_at_ < config_.timing.election_timeout;
+bool Replica::has_leader_contact(Instant now) const {
+  return leader_ && now - last_leader_contact_ < config_.timing.election_timeout;
 }
 
 void Replica::become_follower(Term term, Instant now) {
@@ -140,7 +140,7 @@
   role_ = ReplicaRole::kFollower;
 }
 
-void Replica::refuse_older_leader(const ReplicaMessage& message) {
+void Replica::reject_stale_leader(const ReplicaMessage& message) {
   // Nobody votes for this replica while that leader lives, so the leader must learn of the term.
   const bool from_leader = std::holds_alternative<AppendRequest>(message.body) ||
                            std::holds_alternative<SnapshotRequest>(message.body);
@@ -152,7 +152,7 @@
 
 bool Replica::accepts_term(const ReplicaMessage& message, Instant now) {
   if (message.term < hard_state_.term) {
-    refuse_older_leader(message);
+    reject_stale_leader(message);
     return false;
   }
   const auto* vote_request = std::get_if<VoteRequest>(&message.body);
@@ -163,10 +163,10 @@
   // A vote request within the lease of a leader is not even looked at, so that a replica that was
   // cut off cannot depose a leader that works.
   const bool leader_lives =
-      is_leader() ? has_lease(now) : now - leader_heard_at_ < config_.timing.election_timeout;
+      is_leader() ? has_lease(now) : now - last_leader_contact_ < config_.timing.election_timeout;
   const bool looks_at_vote =
-      !leader_lives || config_.faults.vote_while_leader_lives ||
-      (vote_request != nullptr && vote_request->agreed_term >= hard_state_.term);
+      !leader_lives || config_.faults.vote_despite_live_leader ||
+      (vote_request != nullptr && vote_request->released_lease_term >= hard_state_.term);
   if (vote_request != nullptr && !looks_at_vote) {
     return false;
   }
@@ -199,7 +199,7 @@
   return last_index() < index ? std::nullopt : std::optional(index);
 }
 
-Instant Replica::majority_confirmed_at(Instant now) const {
+Instant Replica::majority_acked_send_time(Instant now) const {
   std::vector<Instant> confirmed;
   for (const auto& replica : replicas_.replicas) {
     if (!replica.voter) {
@@ -210,7 +210,7 @@
       continue;
     }
     const auto found = progress_.find(replica.id);
-    confirmed.push_back(found == progress_.end() ? Instant{} : found->second.confirmed_at);
+    confirmed.push_back(found == progress_.end() ? Instant{} : found->second.acked_send_time);
   }
   if (confirmed.size() < replicas_.majority()) {
     return Instant{};
@@ -220,11 +220,11 @@
 }
 
 bool Replica::has_lease(Instant now) const {
-  if (!is_leader() || commit_index_ < leader_start_) {
+  if (!is_leader() || commit_index_ < term_start_index_) {
     return false;
   }
   return config_.faults.ignore_leader_lease ||
-         now < majority_confirmed_at(now) + config_.timing.lease();
+         now < majority_acked_send_time(now) + config_.timing.lease();
 }
 
 std::optional<Endpoint> Replica::leader_address() const {
@@ -246,10 +246,10 @@
         replicate_to(replica, now);
       }
     }
-    change_replicas(now);
-    const Instant confirmed_at = std::max(majority_confirmed_at(now), leader_since_);
+    propose_replica_change(now);
+    const Instant confirmed_at = std::max(majority_acked_send_time(now), leader_since_);
     const int timeouts =
-        commit_index_ >= leader_start_ ? kUnconfirmedTimeouts : kFirstCommitTimeouts;
+        commit_index_ >= term_start_index_ ? kQuorumLossTimeouts : kFirstCommitTimeouts;
     if (now - confirmed_at > timeouts * config_.timing.election_timeout) {
       become_follower(hard_state_.term, now);
       leader_.reset();
@@ -257,30 +257,30 @@
     return;
   }
   if (!replicas_.is_voter(config_.id)) {
-    ask_to_join(now);
+    request_admission(now);
     return;
   }
-  if (now - leader_heard_at_ > kOutsiderAfter) {
+  if (now - last_leader_contact_ > kLeaderContactTimeout) {
     // Perhaps the others removed this replica while it was away.
     send_join_requests(now);
   }
-  if (now >= election_at_) {
+  if (now >= election_deadline_) {
     start_election(true, now);
   }
 }
 
-void Replica::ask_to_join(Instant now) {
+void Replica::request_admission(Instant now) {
   const bool admitted = replicas_.find(config_.id) != nullptr;
-  if (!admitted || now - leader_heard_at_ > kOutsiderAfter) {
+  if (!admitted || now - last_leader_contact_ > kLeaderContactTimeout) {
     send_join_requests(now);
   }
 }
 
 void Replica::send_join_requests(Instant now) {
-  if (now < next_join_) {
+  if (now < next_join_request_at_) {
     return;
   }
-  next_join_ = now + kJoinInterval;
+  next_join_request_at_ = now + kJoinInterval;
   std::set<Endpoint> asked(config_.seeds.begin(), config_.seeds.end());
   for (const auto& replica : replicas_.replicas) {
     asked.insert(replica.address);
@@ -291,33 +291,34 @@
   }
 }
 
-void Replica::note_lost_leader(const ReplicaMessage& message, const JoinRequest& request,
-                               Instant now) {
+void Replica::detect_replaced_leader(const ReplicaMessage& message, const JoinRequest& request,
+                                     Instant now) {
   const ReplicaInfo* leader = replicas_.find(hard_state_.leader);
   const bool is_replaced = leader != nullptr && leader->address == request.address &&
                            leader->id != message.from && leader->id != config_.id;
-  const bool waits = !leader_ && agreed_term_ != hard_state_.term && replicas_.is_voter(config_.id);
+  const bool waits =
+      !leader_ && released_lease_term_ != hard_state_.term && replicas_.is_voter(config_.id);
   if (is_replaced && waits && now - started_at_ < control_timing::kRestartWindow) {
     // Nobody holds a lease of this term any more, so this replica need not wait.
-    agreed_term_ = hard_state_.term;
-    election_at_ = now;
+    released_lease_term_ = hard_state_.term;
+    election_deadline_ = now;
   }
 }
 
 void Replica::handle(const ReplicaMessage& message, const JoinRequest& request, Instant now) {
-  note_lost_leader(message, request, now);
+  detect_replaced_leader(message, request, now);
   if (is_leader() && replicas_.find(message.from) == nullptr) {
     joining_[message.from] = request.address;
   }
 }
 
-void Replica::change_replicas(Instant now) {
+void Replica::propose_replica_change(Instant now) {
   // One change at a time, and only after an entry of the own term is committed (Raft, section 4.1,
   // with the correction of 2015).
   if (!has_lease(now) || replicas_index_ > commit_index_) {
     return;
   }
-  if (take_in_joining(now)) {
+  if (admit_joining_replica(now)) {
     return;
   }
   ReplicaSet changed = replicas_;
@@ -332,7 +333,7 @@
   // and the fewer voters bear as many losses. It is taken in again when it comes back.
   const auto voters = std::count_if(changed.replicas.begin(), changed.replicas.end(),
                                     [](const ReplicaInfo& replica) { return replica.voter; });
-  const ReplicaInfo* lost = lost_voter(now);
+  const ReplicaInfo* lost = unreachable_voter(now);
   if (voters % 2 == 0 && voters > 2 && lost != nullptr) {
     std::erase_if(changed.replicas,
                   [id = lost->id](const ReplicaInfo& replica) { return replica.id == id; });
@@ -340,7 +341,7 @@
   }
 }
 
-bool Replica::take_in_joining(Instant now) {
+bool Replica::admit_joining_replica(Instant now) {
   while (!joining_.empty()) {
     const ReplicaId id = joining_.begin()->first;
     const Endpoint address = joining_.begin()->second;
@@ -359,8 +360,8 @@
   return false;
 }
 
-const ReplicaInfo* Replica::lost_voter(Instant now) const {
-  if (now - leader_since_ < kVoterLostAfter) {
+const ReplicaInfo* Replica::unreachable_voter(Instant now) const {
+  if (now - leader_since_ < kVoterTimeout) {
     return nullptr;
   }
   const auto found = std::find_if(replicas_.replicas.begin(), replicas_.replicas.end(),
@@ -368,7 +369,7 @@
                                     const auto progress = progress_.find(replica.id);
                                     return replica.voter && replica.id != config_.id &&
                                            (progress == progress_.end() ||
-                                            now - progress->second.confirmed_at > kVoterLostAfter);
+                                            now - progress->second.acked_send_time > kVoterTimeout);
                                   });
   return found == replicas_.replicas.end() ? nullptr : &*found;
 }
--- a/src/core/control/replica.h
+++ b/src/core/control/replica.h
@@ -24,7 +24,7 @@
   virtual ~ReplicaStorage() = default;
   /// True when a refused write left the storage as it was (a full disk, say): the replica lives on
   /// without acknowledging anything, and tries again.
-  [[nodiscard]] virtual bool can_try_again() const { return false; }
+  [[nodiscard]] virtual bool can_retry() const { return false; }
   [[nodiscard]] virtual bool append(const LogFrame& frame) = 0;
   [[nodiscard]] virtual bool replace_with_snapshot(const Snapshot& snapshot,
                                                    const LogFrame& frame) = 0;
@@ -51,7 +51,7 @@
 /// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
 struct ReplicaFaults {
   bool vote_without_log_check = false;
-  bool vote_while_leader_lives = false;
+  bool vote_despite_live_leader = false;
   bool commit_without_majority = false;
   bool ignore_leader_lease = false;
   bool keep_identity_on_empty_disk = false;
@@ -85,10 +85,10 @@
 class Replica {
  public:
   /// Entries after the last snapshot that lead to a new one.
-  static constexpr std::size_t kSnapshotEntries = 1024;
+  static constexpr std::size_t kSnapshotEntryThreshold = 1024;
   /// Octets of entries after the last snapshot that lead to a new one: bounds the log on disk and
   /// the time to replay it.
-  static constexpr std::size_t kSnapshotOctets = 4U << 20U;
+  static constexpr std::size_t kSnapshotByteThreshold = 4U << 20U;
 
   /// All references must outlive the replica. `stored` is what the storage held at the start.
   Replica(ReplicaConfig config, ReplicaSet first_replicas, StoredReplica stored,
@@ -111,7 +111,7 @@
   /// a follower by what it heard within an election timeout from a leader that had its lease.
   [[nodiscard]] bool is_current(Instant now) const;
   /// True when this replica follows a leader that it heard within an election timeout.
-  [[nodiscard]] bool hears_leader(Instant now) const;
+  [[nodiscard]] bool has_leader_contact(Instant now) const;
   /// Gives up leadership in favour of the follower that has most of the log.
   void transfer_leadership(Instant now);
   /// Address of the present leader, if it is known.
@@ -135,13 +135,14 @@
     LogIndex next_index = 1;
     LogIndex match_index = 0;
     /// Latest send time that it confirmed.
-    Instant confirmed_at;
+    Instant acked_send_time;
     Instant last_sent;
-    /// First entry that was sent and not confirmed, which goes again at `resend_at`; 0 for none.
-    LogIndex unconfirmed_from = 0;
-    Instant resend_at;
+    /// First entry that was sent and not confirmed, which goes again at `retransmit_at`; 0 for
+    /// none.
+    LogIndex first_unacked_index = 0;
+    Instant retransmit_at;
     /// The snapshot goes again then, unless it is confirmed.
-    Instant next_snapshot;
+    Instant snapshot_retransmit_at;
     /// The follower refused: empty appends look for where the logs agree.
     bool is_probing = false;
   };
@@ -153,22 +154,23 @@
   void handle(const ReplicaMessage& message, const SnapshotRequest& request, Instant now);
   /// A new identity at the address of the term's leader: that leader's process is gone, since two
   /// processes never share an address.
-  void note_lost_leader(const ReplicaMessage& message, const JoinRequest& request, Instant now);
+  void detect_replaced_leader(const ReplicaMessage& message, const JoinRequest& request,
+                              Instant now);
   void handle(const ReplicaMessage& message, const JoinRequest& request, Instant now);
   void handle(const ReplicaMessage& message, const LeadershipTransfer& transfer, Instant now);
 
   void follow_leader(const ReplicaMessage& message, Instant now);
   /// Adds the entries that are not there yet, in place of others from the first difference on.
-  bool take_entries(const AppendRequest& request);
-  void refuse_older_leader(const ReplicaMessage& message);
+  bool store_entries(const AppendRequest& request);
+  void reject_stale_leader(const ReplicaMessage& message);
   [[nodiscard]] bool accepts_term(const ReplicaMessage& message, Instant now);
-  [[nodiscard]] bool log_is_current(const VoteRequest& request) const;
+  [[nodiscard]] bool candidate_log_is_up_to_date(const VoteRequest& request) const;
   void become_follower(Term term, Instant now);
   void become_leader(Instant now);
   void start_election(bool pre_vote, Instant now);
   /// Stops leading because the disk refuses writes.
-  void step_down_without_disk(Instant now);
-  void count_vote(bool pre_vote, Instant now);
+  void step_down_after_write_failure(Instant now);
+  void check_vote_majority(bool pre_vote, Instant now);
   void reset_election_timer(Instant now);
 
   void replicate_to(const ReplicaInfo& replica, Instant now);
@@ -181,31 +183,31 @@
   bool persist(LogFrame& frame);
   bool persist_hard_state();
   void maybe_snapshot();
-  void find_replicas();
-  void change_replicas(Instant now);
-  [[nodiscard]] bool take_in_joining(Instant now);
-  /// A voter that has confirmed nothing for kVoterLostAfter, or nullptr.
-  [[nodiscard]] const ReplicaInfo* lost_voter(Instant now) const;
+  void load_replica_set();
+  void propose_replica_change(Instant now);
+  [[nodiscard]] bool admit_joining_replica(Instant now);
+  /// A voter that has confirmed nothing for kVoterTimeout, or nullptr.
+  [[nodiscard]] const ReplicaInfo* unreachable_voter(Instant now) const;
   [[nodiscard]] const ReplicaInfo* caught_up_learner() const;
-  void ask_to_join(Instant now);
+  void request_admission(Instant now);
   void send_join_requests(Instant now);
 
   [[nodiscard]] const LogEntry* entry(LogIndex index) const;
   [[nodiscard]] Term term_at(LogIndex index) const;
   [[nodiscard]] LogIndex snapshot_index() const { return snapshot_ ? snapshot_->index : 0; }
-  [[nodiscard]] Instant majority_confirmed_at(Instant now) const;
+  [[nodiscard]] Instant majority_acked_send_time(Instant now) const;
   void send(const Endpoint& to, Term term, ReplicaMessage message);
 
   ReplicaConfig config_;
-  ReplicaSet first_replicas_;
+  ReplicaSet initial_replicas_;
   ReplicaStorage& storage_;
   ReplicaOutput& output_;
   ReplicatedState& state_;
-  std::mt19937_64 random_;
+  std::mt19937_64 rng_;
 
   HardState hard_state_;
   /// The storage refused the present hard state: the next frame repeats it.
-  bool hard_state_unsaved_ = false;
+  bool hard_state_dirty_ = false;
   std::optional<Snapshot> snapshot_;
   std::vector<LogEntry> entries_;
   ReplicaSet replicas_;
@@ -217,27 +219,27 @@
   LogIndex commit_index_ = 0;
   LogIndex applied_index_ = 0;
   /// Octets of the applied entries after the last snapshot.
-  std::size_t applied_octets_ = 0;
+  std::size_t applied_bytes_ = 0;
   std::optional<ReplicaId> leader_;
   /// Highest commit index that the leader told.
   LogIndex leader_commit_ = 0;
   /// The leader had its lease when it sent what came last. Without it another leader may have
   /// committed more.
   bool leader_has_lease_ = false;
-  Instant leader_heard_at_;
+  Instant last_leader_contact_;
   Instant leader_since_;
   Instant started_at_;
-  Instant election_at_;
+  Instant election_deadline_;
   bool in_pre_vote_ = false;
   /// Highest term whose leader is known to hold no lease: see VoteRequest::agreed_term.
-  Term agreed_term_ = 0;
+  Term released_lease_term_ = 0;
   std::set<ReplicaId> votes_;
   std::map<ReplicaId, Progress> progress_;
   /// Index of the first entry of the own term as leader.
-  LogIndex leader_start_ = 0;
+  LogIndex term_start_index_ = 0;
   /// Replicas that asked to be taken in.
   std::map<ReplicaId, Endpoint> joining_;
-  Instant next_join_;
+  Instant next_join_request_at_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/control/replica_election.cc
+++ b/src/core/control/replica_election.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A replica whose disk refuses writes waits longer before it stands for election again.
-constexpr Duration kDisklessPause = std::chrono::milliseconds(1500);
+constexpr Duration kWriteFailureBackoff = std::chrono::milliseconds(1500);
 /// A replica that knows after its start that nobody holds a lease asks for pre-votes this often,
 /// since others may start with it.
 constexpr Duration kRestartPreVoteInterval = std::chrono::milliseconds(50);
@@ -17,10 +17,10 @@
 
 void Replica::reset_election_timer(Instant now) {
   std::uniform_int_distribution<std::int64_t> spread(0, config_.timing.election_timeout.count());
-  election_at_ = now + config_.timing.election_timeout + Duration(spread(random_));
+  election_deadline_ = now + config_.timing.election_timeout + Duration(spread(rng_));
 }
 
-bool Replica::log_is_current(const VoteRequest& request) const {
+bool Replica::candidate_log_is_up_to_date(const VoteRequest& request) const {
   const Term own_term = term_at(last_index());
   if (request.last_term != own_term) {
     return request.last_term > own_term;
@@ -34,12 +34,12 @@
   // A pre-vote changes nothing, so it is repeated soon: after a restart of all, voters refuse until
   // an election timeout after their own start. A split vote is repeated sooner than a lost leader
   // is noticed, too.
-  const Duration wait = election_at_ - now;
-  election_at_ = now + (pre_vote ? wait / 4 : wait / 2);
-  const bool is_restarting =
-      agreed_term_ == hard_state_.term && now - started_at_ < control_timing::kRestartWindow;
+  const Duration wait = election_deadline_ - now;
+  election_deadline_ = now + (pre_vote ? wait / 4 : wait / 2);
+  const bool is_restarting = released_lease_term_ == hard_state_.term &&
+                             now - started_at_ < control_timing::kRestartWindow;
   if (pre_vote && is_restarting) {
-    election_at_ = now + kRestartPreVoteInterval;
+    election_deadline_ = now + kRestartPreVoteInterval;
   }
   role_ = ReplicaRole::kCandidate;
   leader_.reset();
@@ -50,22 +50,22 @@
     if (!persist_hard_state()) {
       // Nobody has seen the new term, so it never was.
       hard_state_ = before;
-      step_down_without_disk(now);
+      step_down_after_write_failure(now);
       return;
     }
   }
   const Term term = pre_vote ? hard_state_.term + 1 : hard_state_.term;
   const VoteRequest request{pre_vote, last_index(), term_at(last_index()), config_.address,
-                            agreed_term_};
+                            released_lease_term_};
   for (const auto& replica : replicas_.replicas) {
     if (replica.voter && replica.id != config_.id) {
       send(replica.address, term, {0, 0, request});
     }
   }
-  count_vote(pre_vote, now);
+  check_vote_majority(pre_vote, now);
 }
 
-void Replica::count_vote(bool pre_vote, Instant now) {
+void Replica::check_vote_majority(bool pre_vote, Instant now) {
   if (votes_.size() < replicas_.majority()) {
     return;
   }
@@ -80,21 +80,22 @@
   role_ = ReplicaRole::kLeader;
   leader_ = config_.id;
   leader_since_ = now;
-  agreed_term_ = 0;
+  released_lease_term_ = 0;
   hard_state_.leader = config_.id;
-  hard_state_unsaved_ = true;
+  hard_state_dirty_ = true;
   progress_.clear();
   for (const auto& replica : replicas_.replicas) {
     progress_[replica.id].next_index = last_index() + 1;
   }
-  leader_start_ = last_index() + 1;
-  append_as_leader({hard_state_.term, leader_start_, EntryType::kNone, {}}, now);
+  term_start_index_ = last_index() + 1;
+  append_as_leader({hard_state_.term, term_start_index_, EntryType::kNoOp, {}}, now);
 }
 
 void Replica::handle(const ReplicaMessage& message, const VoteRequest& request, Instant now) {
   // The candidate counts votes by its own set, so a vote of a replica with a new disk, whose
   // identity is in no set, counts nowhere.
-  const bool current = log_is_current(request) || config_.faults.vote_without_log_check;
+  const bool current =
+      candidate_log_is_up_to_date(request) || config_.faults.vote_without_log_check;
   VoteReply reply{request.pre_vote, false};
   if (request.pre_vote) {
     // Of two candidates with equal logs the one with the greater id goes on; the other one gives
@@ -106,7 +107,7 @@
     reply.granted = current && message.term > hard_state_.term && !goes_on;
     if (reply.granted && !is_leader()) {
       role_ = ReplicaRole::kFollower;
-      election_at_ = std::max(election_at_, now + config_.timing.election_timeout / 2);
+      election_deadline_ = std::max(election_deadline_, now + config_.timing.election_timeout / 2);
     }
     send(request.address, reply.granted ? message.term : hard_state_.term, {0, 0, reply});
     return;
@@ -129,16 +130,16 @@
                        message.term == expected && replicas_.is_voter(message.from);
   if (matches && reply.granted) {
     votes_.insert(message.from);
-    count_vote(reply.pre_vote, now);
+    check_vote_majority(reply.pre_vote, now);
   }
 }
 
-void Replica::step_down_without_disk(Instant now) {
+void Replica::step_down_after_write_failure(Instant now) {
   transfer_leadership(now);
   role_ = ReplicaRole::kFollower;
   leader_.reset();
   reset_election_timer(now);
-  election_at_ += kDisklessPause;
+  election_deadline_ += kWriteFailureBackoff;
 }
 
 void Replica::transfer_leadership(Instant now) {
@@ -149,7 +150,7 @@
   LogIndex best_index = 0;
   for (const auto& replica : replicas_.replicas) {
     const Progress& progress = progress_[replica.id];
-    const bool lives = now - progress.confirmed_at < config_.timing.election_timeout;
+    const bool lives = now - progress.acked_send_time < config_.timing.election_timeout;
     if (replica.voter && replica.id != config_.id && lives && progress.match_index >= best_index) {
       best = &replica;
       best_index = progress.match_index;
@@ -168,7 +169,7 @@
                      Instant now) {
   const bool from_leader = leader_ == message.from && message.term == hard_state_.term;
   if (from_leader && role_ == ReplicaRole::kFollower && replicas_.is_voter(config_.id)) {
-    agreed_term_ = message.term;
+    released_lease_term_ = message.term;
     start_election(false, now);
   }
 }
--- a/src/core/control/replica_log.cc
+++ b/src/core/control/replica_log.cc
@@ -11,9 +11,9 @@
 namespace {
 
 /// Octets of payload in one AppendRequest.
-constexpr std::size_t kAppendSize = 256 * 1024;
+constexpr std::size_t kMaxAppendBytes = 256 * 1024;
 /// Append intervals after which what was not confirmed is sent again.
-constexpr int kResendIntervals = 5;
+constexpr int kRetransmitIntervals = 5;
 
 std::int64_t to_us(Instant instant) { return instant.time_since_epoch().count(); }
 Instant from_us(std::int64_t us) { return Instant(Duration(us)); }
@@ -25,12 +25,12 @@
   LogFrame frame;
   frame.entries.push_back(std::move(entry));
   if (!persist(frame)) {
-    step_down_without_disk(now);
+    step_down_after_write_failure(now);
     return;
   }
   entries_.push_back(std::move(frame.entries.back()));
   if (changes_replicas) {
-    find_replicas();
+    load_replica_set();
   }
   advance_commit(now);
   replicate_to_all(now);
@@ -46,10 +46,10 @@
 
 void Replica::send_snapshot(const ReplicaInfo& replica, Instant now) {
   Progress& progress = progress_[replica.id];
-  if (now < progress.next_snapshot) {
+  if (now < progress.snapshot_retransmit_at) {
     return;
   }
-  progress.next_snapshot = now + kResendIntervals * config_.timing.append_interval;
+  progress.snapshot_retransmit_at = now + kRetransmitIntervals * config_.timing.append_interval;
   send(replica.address, hard_state_.term,
        {0, 0, SnapshotRequest{config_.address, *snapshot_, to_us(now)}});
 }
@@ -57,8 +57,8 @@
 void Replica::replicate_to(const ReplicaInfo& replica, Instant now) {
   Progress& progress = progress_[replica.id];
   progress.last_sent = now;
-  if (progress.unconfirmed_from != 0 && now >= progress.resend_at) {
-    progress.next_index = std::min(progress.next_index, progress.unconfirmed_from);
+  if (progress.first_unacked_index != 0 && now >= progress.retransmit_at) {
+    progress.next_index = std::min(progress.next_index, progress.first_unacked_index);
   }
   if (progress.next_index <= snapshot_index()) {
     send_snapshot(replica, now);
@@ -71,16 +71,17 @@
   request.commit_index = commit_index_;
   request.sent_at_us = to_us(now);
   request.has_lease = has_lease(now);
-  std::size_t size = progress.is_probing ? kAppendSize : 0;
-  for (LogIndex index = progress.next_index; index <= last_index() && size < kAppendSize; ++index) {
+  std::size_t size = progress.is_probing ? kMaxAppendBytes : 0;
+  for (LogIndex index = progress.next_index; index <= last_index() && size < kMaxAppendBytes;
+       ++index) {
     request.entries.push_back(*entry(index));
     size += request.entries.back().payload.size();
   }
   if (!request.entries.empty()) {
     // What is under way does not go again with the next append: a large entry would go many times.
-    if (progress.unconfirmed_from == 0 || progress.next_index <= progress.unconfirmed_from) {
-      progress.unconfirmed_from = progress.next_index;
-      progress.resend_at = now + kResendIntervals * config_.timing.append_interval;
+    if (progress.first_unacked_index == 0 || progress.next_index <= progress.first_unacked_index) {
+      progress.first_unacked_index = progress.next_index;
+      progress.retransmit_at = now + kRetransmitIntervals * config_.timing.append_interval;
     }
     progress.next_index = request.entries.back().index + 1;
   }
@@ -108,7 +109,7 @@
   if (committed > commit_index_ && term_at(committed) == hard_state_.term) {
     commit_index_ = committed;
     apply_committed();
-    change_replicas(now);
+    propose_replica_change(now);
     if (!replicas_.is_voter(config_.id)) {
       role_ = ReplicaRole::kFollower;
       return;
@@ -123,21 +124,22 @@
     ++applied_index_;
     const LogEntry* committed = entry(applied_index_);
     state_.apply(*committed);
-    applied_octets_ += committed->payload.size();
+    applied_bytes_ += committed->payload.size();
   }
   maybe_snapshot();
 }
 
 void Replica::maybe_snapshot() {
-  if (applied_index_ - snapshot_index() < kSnapshotEntries && applied_octets_ < kSnapshotOctets) {
+  if (applied_index_ - snapshot_index() < kSnapshotEntryThreshold &&
+      applied_bytes_ < kSnapshotByteThreshold) {
     return;
   }
-  applied_octets_ = 0;
+  applied_bytes_ = 0;
   Snapshot snapshot;
   snapshot.index = applied_index_;
   snapshot.term = term_at(applied_index_);
   snapshot.state = state_.save();
-  snapshot.replicas = snapshot_ ? snapshot_->replicas : first_replicas_;
+  snapshot.replicas = snapshot_ ? snapshot_->replicas : initial_replicas_;
   for (const auto& one : entries_) {
     if (one.index <= applied_index_ && one.type == EntryType::kReplicas) {
       snapshot.replicas = decode_archive<ReplicaSet>(one.payload).value_or(snapshot.replicas);
@@ -148,10 +150,10 @@
       entries_.end());
   if (!storage_.replace_with_snapshot(snapshot,
                                       {hard_state_, std::nullopt, rest, snapshot.index})) {
-    failed_ = !storage_.can_try_again();
+    failed_ = !storage_.can_retry();
     return;
   }
-  hard_state_unsaved_ = false;
+  hard_state_dirty_ = false;
   snapshot_ = std::move(snapshot);
   entries_ = std::move(rest);
 }
@@ -165,13 +167,13 @@
   if (hard_state_.leader != message.from) {
     // Goes to disk with the next entries.
     hard_state_.leader = message.from;
-    hard_state_unsaved_ = true;
+    hard_state_dirty_ = true;
   }
-  leader_heard_at_ = now;
+  last_leader_contact_ = now;
   reset_election_timer(now);
 }
 
-bool Replica::take_entries(const AppendRequest& request) {
+bool Replica::store_entries(const AppendRequest& request) {
   LogFrame frame;
   for (const auto& incoming : request.entries) {
     const bool covered = incoming.index <= snapshot_index();
@@ -192,7 +194,7 @@
   }
   entries_.resize(frame.entries.front().index - snapshot_index() - 1);
   std::move(frame.entries.begin(), frame.entries.end(), std::back_inserter(entries_));
-  find_replicas();
+  load_replica_set();
   return true;
 }
 
@@ -208,7 +210,7 @@
     // What is committed here is the same at the leader.
     reply.index = std::min(request.previous_index, commit_index_ + 1);
   } else {
-    if (!take_entries(request)) {
+    if (!store_entries(request)) {
       return;
     }
     reply.accepted = true;
@@ -230,14 +232,14 @@
   // A copy: what is committed here may change the set.
   const ReplicaInfo replica = *known;
   Progress& progress = progress_[message.from];
-  progress.confirmed_at = std::max(progress.confirmed_at, from_us(reply.sent_at_us));
+  progress.acked_send_time = std::max(progress.acked_send_time, from_us(reply.sent_at_us));
   if (reply.accepted) {
     progress.is_probing = false;
     progress.match_index = std::max(progress.match_index, reply.index);
     progress.next_index = std::max(progress.next_index, progress.match_index + 1);
     const bool all_confirmed = progress.match_index + 1 >= progress.next_index;
-    progress.unconfirmed_from = all_confirmed ? 0 : progress.match_index + 1;
-    progress.resend_at = now + kResendIntervals * config_.timing.append_interval;
+    progress.first_unacked_index = all_confirmed ? 0 : progress.match_index + 1;
+    progress.retransmit_at = now + kRetransmitIntervals * config_.timing.append_interval;
     advance_commit(now);
     if (progress.next_index <= last_index()) {
       replicate_to(replica, now);
@@ -245,7 +247,7 @@
   } else if (reply.index > 0 && reply.index < progress.next_index) {
     // Refusals of what was sent before the last step back name no smaller index: they are ignored.
     progress.next_index = std::max(reply.index, progress.match_index + 1);
-    progress.unconfirmed_from = 0;
+    progress.first_unacked_index = 0;
     progress.is_probing = true;
     replicate_to(replica, now);
   }
@@ -263,16 +265,16 @@
     }
     if (!storage_.replace_with_snapshot(snapshot,
                                         {hard_state_, std::nullopt, rest, snapshot.index})) {
-      failed_ = !storage_.can_try_again();
+      failed_ = !storage_.can_retry();
       return;
     }
-    hard_state_unsaved_ = false;
+    hard_state_dirty_ = false;
     snapshot_ = snapshot;
     entries_ = std::move(rest);
     commit_index_ = snapshot.index;
     applied_index_ = snapshot.index;
     state_.restore(snapshot.state);
-    find_replicas();
+    load_replica_set();
   }
   const AppendReply reply{true, snapshot.index, request.sent_at_us};
   send(request.leader, hard_state_.term, {0, 0, reply});
--- a/src/core/control/replica_messages.h
+++ b/src/core/control/replica_messages.h
@@ -20,11 +20,11 @@
   Endpoint address;
   /// The leader of this term agrees to the election and holds no lease any more, nor does any
   /// earlier one: it asked for the election, or it is the candidate and was restarted. 0 for none.
-  Term agreed_term = 0;
+  Term released_lease_term = 0;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& pre_vote& last_index& last_term& address& agreed_term;
+    archive& pre_vote& last_index& last_term& address& released_lease_term;
   }
 };
 
--- a/src/core/control/timing.h
+++ b/src/core/control/timing.h
@@ -32,9 +32,9 @@
 /// majority-backed leader confirmed.
 constexpr Duration kBalancerLease = timing::kLease;
 /// The membership changes of this time are put into one.
-constexpr Duration kMembersBatch = milliseconds(200);
+constexpr Duration kMembershipBatchWindow = milliseconds(200);
 /// A planned membership change waits at most this long for the one before it to settle.
-constexpr Duration kSettleTimeout = seconds(10);
+constexpr Duration kHandoverTimeout = seconds(10);
 
 static_assert(kLeaderLease < kElectionTimeout);
 // A new owner may lack records only until leases of lost owners have ended, whichever replica
--- a/src/core/control/update_progress.cc
+++ b/src/core/control/update_progress.cc
@@ -5,60 +5,60 @@
 
 /// An update that is not confirmed after this long was lost: longer than the pause between two
 /// heartbeats and a way there and back.
-constexpr Duration kConfirmationTimeout = std::chrono::milliseconds(700);
+constexpr Duration kAckTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
 
-bool UpdateProgress::is_overtaken(const NodeHeartbeat& heartbeat) const {
+bool UpdateProgress::is_out_of_order(const NodeHeartbeat& heartbeat) const {
   return heartbeat.member.incarnation == incarnation_ && heartbeat.sequence < sequence_;
 }
 
 void UpdateProgress::on_heartbeat(const NodeHeartbeat& heartbeat, Instant now) {
-  if (is_overtaken(heartbeat)) {
+  if (is_out_of_order(heartbeat)) {
     return;
   }
   sequence_ = heartbeat.sequence;
   if (heartbeat.member.incarnation != incarnation_ || heartbeat.session != session_) {
     incarnation_ = heartbeat.member.incarnation;
     session_ = heartbeat.session;
-    sent_ = 0;
-    awaited_ = 0;
+    sent_revision_ = 0;
+    unacked_revision_ = 0;
     return;
   }
-  if (awaited_ == 0 || heartbeat.revision < awaited_) {
+  if (unacked_revision_ == 0 || heartbeat.revision < unacked_revision_) {
     return;
   }
-  awaited_ = 0;
-  if (heartbeat.revision < sent_) {
+  unacked_revision_ = 0;
+  if (heartbeat.revision < sent_revision_) {
     // Not the earliest update after it, so the wait is rather too long, by one heartbeat at most.
-    await(sent_, now);
+    start_ack_timer(sent_revision_, now);
   }
 }
 
 void UpdateProgress::on_pushed(Revision revision, Instant now) {
-  sent_ = revision;
-  if (awaited_ == 0) {
-    await(revision, now);
+  sent_revision_ = revision;
+  if (unacked_revision_ == 0) {
+    start_ack_timer(revision, now);
   }
 }
 
-void UpdateProgress::on_repaired(Revision revision, Instant now) {
-  sent_ = revision;
-  await(revision, now);
+void UpdateProgress::on_catch_up_sent(Revision revision, Instant now) {
+  sent_revision_ = revision;
+  start_ack_timer(revision, now);
 }
 
-void UpdateProgress::on_in_force(Revision revision) {
-  sent_ = revision;
-  awaited_ = 0;
+void UpdateProgress::on_applied(Revision revision) {
+  sent_revision_ = revision;
+  unacked_revision_ = 0;
 }
 
-bool UpdateProgress::is_under_way(Revision revision, Instant now) const {
-  return awaited_ != 0 && sent_ == revision && now - awaited_since_ < kConfirmationTimeout;
+bool UpdateProgress::is_in_flight(Revision revision, Instant now) const {
+  return unacked_revision_ != 0 && sent_revision_ == revision && now - unacked_since_ < kAckTimeout;
 }
 
-void UpdateProgress::await(Revision revision, Instant now) {
-  awaited_ = revision;
-  awaited_since_ = now;
+void UpdateProgress::start_ack_timer(Revision revision, Instant now) {
+  unacked_revision_ = revision;
+  unacked_since_ = now;
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/update_progress.h
+++ b/src/core/control/update_progress.h
@@ -20,32 +20,32 @@
   void on_heartbeat(const NodeHeartbeat& heartbeat, Instant now);
   /// True when this heartbeat was sent before the latest one of the same process: it came by
   /// another connection.
-  [[nodiscard]] bool is_overtaken(const NodeHeartbeat& heartbeat) const;
+  [[nodiscard]] bool is_out_of_order(const NodeHeartbeat& heartbeat) const;
   /// What leads up to this revision was sent after an earlier update.
   void on_pushed(Revision revision, Instant now);
   /// All that the balancer lacks up to this revision was sent, whatever was sent before.
-  void on_repaired(Revision revision, Instant now);
+  void on_catch_up_sent(Revision revision, Instant now);
   /// The balancer has this revision in force, and lacks nothing that is held here: nothing is under
   /// way. It may be ahead.
-  void on_in_force(Revision revision);
+  void on_applied(Revision revision);
 
   /// Latest revision that was sent; 0 for none.
-  [[nodiscard]] Revision sent() const { return sent_; }
+  [[nodiscard]] Revision sent_revision() const { return sent_revision_; }
   /// True while updates up to `revision` were sent so lately that they may still arrive. Judged by
   /// the oldest update that is not confirmed: later ones are of no use without it.
-  [[nodiscard]] bool is_under_way(Revision revision, Instant now) const;
+  [[nodiscard]] bool is_in_flight(Revision revision, Instant now) const;
 
  private:
-  void await(Revision revision, Instant now);
+  void start_ack_timer(Revision revision, Instant now);
 
   std::uint64_t incarnation_ = 0;
   std::uint32_t session_ = 0;
   /// Sequence of the latest heartbeat.
   std::uint64_t sequence_ = 0;
-  Revision sent_ = 0;
+  Revision sent_revision_ = 0;
   /// The earliest revision that was sent and is not confirmed, and when it was sent; 0 for none.
-  Revision awaited_ = 0;
-  Instant awaited_since_;
+  Revision unacked_revision_ = 0;
+  Instant unacked_since_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/control/update_publisher.cc
+++ b/src/core/control/update_publisher.cc
@@ -10,7 +10,7 @@
 
 /// Updates that are kept for other balancers, by the revisions that these have: more than differ
 /// between balancers that are all in touch.
-constexpr std::size_t kSharedUpdates = 16;
+constexpr std::size_t kMaxCachedUpdates = 16;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
                                  ControlOutput& output)
     : state_(state), nodes_(nodes), output_(output) {}
 
-bool UpdatePublisher::is_followed_by(const Endpoint& address, Instant now) const {
+bool UpdatePublisher::is_subscribed(const Endpoint& address, Instant now) const {
   const NodeEntry* entry = nodes_.find(address);
   return entry != nullptr && entry->is_local &&
          now - entry->heard_at < control_timing::kMemberTimeout;
@@ -26,44 +26,46 @@
 
 void UpdatePublisher::on_heartbeat(const Endpoint& from, const NodeHeartbeat& heartbeat,
                                    Instant now) {
-  const auto known = followers_.find(from);
-  if (known != followers_.end() && known->second.is_overtaken(heartbeat)) {
+  const auto known = subscribers_.find(from);
+  if (known != subscribers_.end() && known->second.is_out_of_order(heartbeat)) {
     return;
   }
   if (!heartbeat.wants_update) {
     // It follows another replica or looks for one. Pushes would find no connection after a while,
     // and would count as sent when it comes back.
-    if (!faults_.trust_own_sends) {
-      followers_.erase(from);
+    if (!faults_.assume_sends_delivered) {
+      subscribers_.erase(from);
     }
     return;
   }
   const Revision revision = state_.fleet().revision;
-  UpdateProgress& progress = followers_[from];
+  UpdateProgress& progress = subscribers_[from];
   progress.on_heartbeat(heartbeat, now);
   const bool is_same = heartbeat.revision == revision && heartbeat.digest == state_.digest();
   const bool is_ahead = heartbeat.revision > revision && !faults_.send_older_revisions;
   if (is_same || is_ahead) {
-    progress.on_in_force(heartbeat.revision);
+    progress.on_applied(heartbeat.revision);
     return;
   }
-  const bool is_under_way = progress.is_under_way(revision, now) && !heartbeat.has_gap;
-  const bool counts_as_sent = faults_.trust_own_sends && progress.sent() == revision;
+  const bool is_under_way = progress.is_in_flight(revision, now) && !heartbeat.has_gap;
+  const bool counts_as_sent =
+      faults_.assume_sends_delivered && progress.sent_revision() == revision;
   const bool may_arrive = heartbeat.revision < revision && (is_under_way || counts_as_sent);
   if (!may_arrive) {
-    answer(from, heartbeat, progress, now);
+    send_catch_up(from, heartbeat, progress, now);
   }
 }
 
-void UpdatePublisher::answer(const Endpoint& to, const NodeHeartbeat& heartbeat,
-                             UpdateProgress& progress, Instant now) {
-  if (progress.sent() > heartbeat.revision) {
-    output_.on_update_repeated({to, heartbeat.revision, progress.sent(), heartbeat.has_gap});
+void UpdatePublisher::send_catch_up(const Endpoint& to, const NodeHeartbeat& heartbeat,
+                                    UpdateProgress& progress, Instant now) {
+  if (progress.sent_revision() > heartbeat.revision) {
+    output_.on_update_repeated(
+        {to, heartbeat.revision, progress.sent_revision(), heartbeat.has_gap});
   }
   if (send_update(to, heartbeat.revision, heartbeat.digest)) {
-    progress.on_repaired(state_.fleet().revision, now);
+    progress.on_catch_up_sent(state_.fleet().revision, now);
   } else {
-    followers_.erase(to);
+    subscribers_.erase(to);
   }
 }
 
@@ -72,7 +74,7 @@
   // A node whose state differs at the same revision gets all of it.
   const bool whole = revision == 0 || revision > fleet.revision ||
                      (revision == fleet.revision && digest != state_.digest());
-  return output_.send_shared(to, update_from(revision, whole));
+  return output_.send_shared(to, cached_update(revision, whole));
 }
 
 std::optional<FleetUpdate> UpdatePublisher::changes_after(Revision revision) const {
@@ -89,18 +91,18 @@
   return update;
 }
 
-SharedNodeMessage UpdatePublisher::update_from(Revision revision, bool whole) {
+SharedNodeMessage UpdatePublisher::cached_update(Revision revision, bool whole) {
   const FleetState& fleet = state_.fleet();
-  if (shared_revision_ != fleet.revision || shared_updates_.size() > kSharedUpdates) {
-    shared_updates_.clear();
-    shared_revision_ = fleet.revision;
+  if (cached_revision_ != fleet.revision || update_cache_.size() > kMaxCachedUpdates) {
+    update_cache_.clear();
+    cached_revision_ = fleet.revision;
   }
-  const auto known = shared_updates_.find(whole ? 0 : revision);
-  if (known != shared_updates_.end()) {
+  const auto known = update_cache_.find(whole ? 0 : revision);
+  if (known != update_cache_.end()) {
     return known->second;
   }
   std::optional<FleetUpdate> changes = whole ? std::nullopt : changes_after(revision);
-  SharedNodeMessage& shared = shared_updates_[changes ? revision : 0];
+  SharedNodeMessage& shared = update_cache_[changes ? revision : 0];
   if (changes) {
     shared = std::make_shared<const NodeMessage>(std::move(*changes));
   } else if (shared == nullptr) {
@@ -119,35 +121,35 @@
     return;
   }
   pushed_revision_ = revision;
-  for (auto one = followers_.begin(); one != followers_.end();) {
+  for (auto one = subscribers_.begin(); one != subscribers_.end();) {
     const bool is_here = push_to(one->first, one->second, now);
-    one = is_here ? std::next(one) : followers_.erase(one);
+    one = is_here ? std::next(one) : subscribers_.erase(one);
   }
 }
 
 bool UpdatePublisher::push_to(const Endpoint& address, UpdateProgress& progress, Instant now) {
   const Revision revision = state_.fleet().revision;
-  if (progress.sent() >= revision) {
+  if (progress.sent_revision() >= revision) {
     return true;
   }
-  if (!is_followed_by(address, now)) {
+  if (!is_subscribed(address, now)) {
     return false;
   }
-  if (!send_update(address, progress.sent(), 0) && !faults_.trust_own_sends) {
+  if (!send_update(address, progress.sent_revision(), 0) && !faults_.assume_sends_delivered) {
     return false;
   }
   progress.on_pushed(revision, now);
   return true;
 }
 
-void UpdatePublisher::send_to_all(const SharedNodeMessage& message) {
-  for (const auto& [address, progress] : followers_) {
+void UpdatePublisher::broadcast(const SharedNodeMessage& message) {
+  for (const auto& [address, progress] : subscribers_) {
     output_.send_shared(address, message);
   }
 }
 
-void UpdatePublisher::drop_silent(Instant now) {
-  std::erase_if(followers_, [&](const auto& one) { return !is_followed_by(one.first, now); });
+void UpdatePublisher::drop_timed_out(Instant now) {
+  std::erase_if(subscribers_, [&](const auto& one) { return !is_subscribed(one.first, now); });
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/update_publisher.h
+++ b/src/core/control/update_publisher.h
@@ -28,21 +28,21 @@
   /// Sends a new revision to all followers, once.
   void push(Instant now);
   /// Sends something else to all followers.
-  void send_to_all(const SharedNodeMessage& message);
+  void broadcast(const SharedNodeMessage& message);
   /// Forgets balancers that were not heard for long.
-  void drop_silent(Instant now);
+  void drop_timed_out(Instant now);
 
   /// How many balancers follow this replica.
-  [[nodiscard]] std::size_t followers() const { return followers_.size(); }
+  [[nodiscard]] std::size_t subscriber_count() const { return subscribers_.size(); }
 
   void set_faults(const ControlFaults& faults) { faults_ = faults; }
 
  private:
   /// Sends a balancer all that it lacks, whatever was sent before.
-  void answer(const Endpoint& to, const NodeHeartbeat& heartbeat, UpdateProgress& progress,
-              Instant now);
+  void send_catch_up(const Endpoint& to, const NodeHeartbeat& heartbeat, UpdateProgress& progress,
+                     Instant now);
   /// True while the balancer counts as following this replica.
-  [[nodiscard]] bool is_followed_by(const Endpoint& address, Instant now) const;
+  [[nodiscard]] bool is_subscribed(const Endpoint& address, Instant now) const;
   /// Sends one balancer what it was not sent yet; false when it has no connection, or was not heard
   /// for long, so that it does not follow this replica any more. It asks when it comes back.
   bool push_to(const Endpoint& address, UpdateProgress& progress, Instant now);
@@ -51,17 +51,17 @@
   /// The changes after a revision; nothing when they are not known any more.
   [[nodiscard]] std::optional<FleetUpdate> changes_after(Revision revision) const;
   /// The update that takes a balancer from a revision, or from nothing, to the present one.
-  SharedNodeMessage update_from(Revision revision, bool whole);
+  SharedNodeMessage cached_update(Revision revision, bool whole);
 
   const ControlState& state_;
   const NodeRegistry& nodes_;
   ControlOutput& output_;
   ControlFaults faults_;
-  std::map<Endpoint, UpdateProgress> followers_;
+  std::map<Endpoint, UpdateProgress> subscribers_;
   Revision pushed_revision_ = 0;
   /// Updates to the present revision by the revision that they follow; 0 for the whole state.
-  std::map<Revision, SharedNodeMessage> shared_updates_;
-  Revision shared_revision_ = 0;
+  std::map<Revision, SharedNodeMessage> update_cache_;
+  Revision cached_revision_ = 0;
 };
 
 }  // namespace gorsevalve
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -58,7 +58,7 @@
   switch (reply.status) {
     case SteeringStatus::kAcknowledged:
       return {200, "application/json",
-              json{{"zone", command.zone}, {"order", to_string(command.order)}}.dump()};
+              json{{"zone", command.zone}, {"order", to_string(command.action)}}.dump()};
     case SteeringStatus::kNotLeader:
       return {421, "application/json", not_leader_body(reply.leader)};
     case SteeringStatus::kUnknown:
@@ -299,7 +299,7 @@
 void ControlAdmin::on_evacuation(Number number, const HttpRequest& request) {
   const EvacuationCommand command{
       request.path.substr(kEvacuationPrefix.size()),
-      request.method == "PUT" ? EvacuationOrder::kEvacuate : EvacuationOrder::kRestore};
+      request.method == "PUT" ? EvacuationAction::kEvacuate : EvacuationAction::kRestore};
   main_loop_.post([this, number, command] {
     control_.order_evacuation(command, [this, number, command](const SteeringReply& reply) {
       const HttpResponse response = to_response(command, reply);
--- a/src/sim/deliberate_faults.cc
+++ b/src/sim/deliberate_faults.cc
@@ -30,7 +30,7 @@
        [](SimFaults& faults) { faults.replica.vote_without_log_check = true; },
        {"controls_killed", "leader_isolated", "region_cut", "everything"}},
       {"vote_while_leader_lives",
-       [](SimFaults& faults) { faults.replica.vote_while_leader_lives = true; },
+       [](SimFaults& faults) { faults.replica.vote_despite_live_leader = true; },
        {"leader_half_cut"}},
       {"commit_without_majority",
        [](SimFaults& faults) { faults.replica.commit_without_majority = true; },
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -302,7 +302,7 @@
     return false;
   }
   const ControlNode& node = controls_[*leading]->node();
-  return MembershipController::is_settled(node.state().fleet(), node.nodes());
+  return MembershipController::is_handover_complete(node.state().fleet(), node.nodes());
 }
 
 void World::deliver(const Endpoint& to, const SimMessage& message) {
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -159,7 +159,7 @@
     log_event(was_leader_ ? LogEvent::kBecameLeader : LogEvent::kLostLeadership,
               {{"term", replica.term()}});
   }
-  const bool hears_leader = replica.is_leader() || replica.hears_leader(now);
+  const bool hears_leader = replica.is_leader() || replica.has_leader_contact(now);
   if (hears_leader != heard_leader_) {
     heard_leader_ = hears_leader;
     log_event(hears_leader ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
@@ -262,7 +262,7 @@
   }
   const bool is_held = node_->holds(command, now);
   log_event(LogEvent::kEvacuationOrdered,
-            {{"zone", command.zone}, {"order", to_string(command.order)}, {"held", is_held}});
+            {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", is_held}});
   if (is_held) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
     return;
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -131,7 +131,7 @@
   [[nodiscard]] bool append(const LogFrame& frame) override;
   [[nodiscard]] bool replace_with_snapshot(const Snapshot& snapshot,
                                            const LogFrame& frame) override;
-  [[nodiscard]] bool can_try_again() const override { return !storage_damaged_; }
+  [[nodiscard]] bool can_retry() const override { return !storage_damaged_; }
   bool check(const StorageResult<void>& result);
 
   EventLoop& loop_;
--- a/src/tasks/waiting_proposals.cc
+++ b/src/tasks/waiting_proposals.cc
@@ -20,7 +20,7 @@
     log_event(LogEvent::kSteeringDecided, fields);
   } else if (const auto* evacuation = std::get_if<EvacuationCommand>(&waiting.subject)) {
     fields["zone"] = evacuation->zone;
-    fields["order"] = to_string(evacuation->order);
+    fields["order"] = to_string(evacuation->action);
     fields["pools_without_targets"] = pools_without_targets(node.state().fleet());
     log_event(LogEvent::kEvacuationDecided, fields);
   } else {
--- a/tests/sim/test_following_workload.cc
+++ b/tests/sim/test_following_workload.cc
@@ -20,17 +20,17 @@
 using std::chrono::milliseconds;
 using namespace control_cluster;
 
-constexpr Duration kTurn = milliseconds(20);
+constexpr Duration kStep = milliseconds(20);
 constexpr Duration kRunTime = std::chrono::seconds(40);
 /// Bound within which a change must be in force.
-constexpr Duration kInForceWithin = std::chrono::seconds(3);
+constexpr Duration kMaxUpdateDelay = std::chrono::seconds(3);
 /// As FrameNetwork gives up a connection without an answer.
-constexpr Duration kGivenUpAfter = milliseconds(1500);
+constexpr Duration kConnectionTimeout = milliseconds(1500);
 constexpr std::uint32_t kReplicas = 3;
 constexpr std::uint32_t kBalancers = 4;
 constexpr std::uint32_t kFirstBalancer = 100;
 
-struct FollowingFaults {
+struct WorkloadFaults {
   ControlFaults control;
   ControlClientFaults client;
 };
@@ -38,23 +38,23 @@
 /// A connection between a balancer and a replica. A new one works, unless the balancer is cut off.
 struct Link {
   bool is_open = false;
-  bool is_silent_up = false;
-  bool is_silent_down = false;
+  bool drops_to_replica = false;
+  bool drops_to_balancer = false;
   /// When each end first sent something after which nothing came.
   std::optional<Instant> replica_unanswered_since;
   std::optional<Instant> balancer_unanswered_since;
 };
 
-bool is_given_up(const std::optional<Instant>& unanswered_since, Instant now) {
-  return unanswered_since && now - *unanswered_since > kGivenUpAfter;
+bool is_timed_out(const std::optional<Instant>& unanswered_since, Instant now) {
+  return unanswered_since && now - *unanswered_since > kConnectionTimeout;
 }
 
 class Workload;
 
 /// One balancer with its links.
-class LinkedBalancer : public ControlClientOutput {
+class SimulatedBalancer : public ControlClientOutput {
  public:
-  LinkedBalancer(Workload& workload, std::uint32_t number, const ControlClientFaults& faults);
+  SimulatedBalancer(Workload& workload, std::uint32_t number, const ControlClientFaults& faults);
 
   void on_tick(Instant now);
   /// From a replica; false when it knows that it was dropped.
@@ -71,8 +71,8 @@
   [[nodiscard]] Revision revision() const { return client_.fleet().revision; }
 
   std::array<Link, kReplicas + 1> links;
-  bool is_cut_up = false;
-  bool is_cut_down = false;
+  bool is_outbound_blocked = false;
+  bool is_inbound_blocked = false;
   /// When something was done to it last.
   Instant disturbed_at;
 
@@ -85,7 +85,7 @@
 
 class Workload {
  public:
-  Workload(std::uint64_t seed, const FollowingFaults& faults) : random(seed) {
+  Workload(std::uint64_t seed, const WorkloadFaults& faults) : random(seed) {
     for (std::uint32_t i = 1; i <= kReplicas; ++i) {
       cluster.node(i).set_faults(faults.control);
       cluster.output(i).to_balancer = [this, i](const Endpoint& to, const NodeMessage& message) {
@@ -93,7 +93,7 @@
       };
     }
     for (std::uint32_t i = 0; i < kBalancers; ++i) {
-      balancers_.push_back(std::make_unique<LinkedBalancer>(*this, i, faults.client));
+      balancers_.push_back(std::make_unique<SimulatedBalancer>(*this, i, faults.client));
     }
   }
 
@@ -101,16 +101,16 @@
   std::string run() {
     const Instant end = cluster.now() + kRunTime;
     while (cluster.now() < end && violation_.empty()) {
-      change();
-      harm();
+      propose_change();
+      inject_fault();
       for (auto& balancer : balancers_) {
         balancer->on_tick(cluster.now());
       }
-      cluster.run(kTurn);
+      cluster.run(kStep);
       for (auto& balancer : balancers_) {
         balancer->deliver(cluster.now());
       }
-      check();
+      check_update_delay();
     }
     return violation_;
   }
@@ -121,29 +121,30 @@
   std::mt19937_64 random;
 
  private:
-  void change() {
+  void propose_change() {
     const std::uint32_t leader = cluster.leader();
     if (leader == 0) {
       return;
     }
     const FleetState& fleet = cluster.node(leader).state().fleet();
-    if (fleet.revision > newest_) {
-      newest_ = fleet.revision;
-      committed_[newest_] = cluster.now();
+    if (fleet.revision > latest_revision_) {
+      latest_revision_ = fleet.revision;
+      committed_[latest_revision_] = cluster.now();
     }
     if (below(10) == 0) {
       register_target(cluster.node(leader), 1000 + ++changes_, cluster.now());
     }
   }
 
-  void harm() {
-    if (cluster.now() >= thawed_at_) {
+  void inject_fault() {
+    if (cluster.now() >= frozen_until_) {
       cluster.frozen = 0;
     }
     for (auto& balancer : balancers_) {
-      if (cluster.now() >= healed_at_ && (balancer->is_cut_up || balancer->is_cut_down)) {
-        balancer->is_cut_up = false;
-        balancer->is_cut_down = false;
+      if (cluster.now() >= isolated_until_ &&
+          (balancer->is_outbound_blocked || balancer->is_inbound_blocked)) {
+        balancer->is_outbound_blocked = false;
+        balancer->is_inbound_blocked = false;
         balancer->disturbed_at = cluster.now();
       }
     }
@@ -152,63 +153,63 @@
     }
     switch (below(5)) {
       case 0:
-        freeze();
+        freeze_replica();
         break;
       case 1:
-        cut();
+        isolate_balancer();
         break;
       case 2:
-        reset();
+        reset_connections();
         break;
       default:
-        silence();
+        blackhole_connections();
         break;
     }
   }
 
-  void freeze() {
+  void freeze_replica() {
     if (cluster.frozen == 0) {
       cluster.frozen = static_cast<std::uint32_t>(1 + below(kReplicas));
-      thawed_at_ = cluster.now() + milliseconds(200 + below(3000));
+      frozen_until_ = cluster.now() + milliseconds(200 + below(3000));
     }
   }
 
-  void cut() {
-    LinkedBalancer& balancer = *balancers_[below(kBalancers)];
+  void isolate_balancer() {
+    SimulatedBalancer& balancer = *balancers_[below(kBalancers)];
     const std::uint64_t ways = 1 + below(3);
-    balancer.is_cut_up = (ways & 1U) != 0;
-    balancer.is_cut_down = (ways & 2U) != 0;
+    balancer.is_outbound_blocked = (ways & 1U) != 0;
+    balancer.is_inbound_blocked = (ways & 2U) != 0;
     balancer.disturbed_at = Instant::max();
-    healed_at_ = cluster.now() + milliseconds(500 + below(4000));
+    isolated_until_ = cluster.now() + milliseconds(500 + below(4000));
   }
 
-  void reset() {
+  void reset_connections() {
     const std::uint64_t replica = 1 + below(kReplicas);
     for (auto& balancer : balancers_) {
       balancer->links[replica] = {};
     }
   }
 
-  void silence() {
+  void blackhole_connections() {
     const std::uint64_t ways = 1 + below(3);
     for (auto& balancer : balancers_) {
       for (auto& link : balancer->links) {
         const bool is_meant = link.is_open && below(2) == 0;
-        link.is_silent_up = link.is_silent_up || (is_meant && (ways & 1U) != 0);
-        link.is_silent_down = link.is_silent_down || (is_meant && (ways & 2U) != 0);
+        link.drops_to_replica = link.drops_to_replica || (is_meant && (ways & 1U) != 0);
+        link.drops_to_balancer = link.drops_to_balancer || (is_meant && (ways & 2U) != 0);
       }
     }
   }
 
-  void check() {
+  void check_update_delay() {
     for (std::uint32_t i = 0; i < kBalancers; ++i) {
-      const LinkedBalancer& balancer = *balancers_[i];
+      const SimulatedBalancer& balancer = *balancers_[i];
       const auto missing = committed_.upper_bound(balancer.revision());
       if (missing == committed_.end() || balancer.disturbed_at == Instant::max()) {
         continue;
       }
       const Duration behind = cluster.now() - std::max(missing->second, balancer.disturbed_at);
-      if (behind > kInForceWithin) {
+      if (behind > kMaxUpdateDelay) {
         violation_ = "balancer " + std::to_string(i) + " lacks revision " +
                      std::to_string(missing->first) + " for " + std::to_string(behind.count()) +
                      " us";
@@ -216,18 +217,18 @@
     }
   }
 
-  std::vector<std::unique_ptr<LinkedBalancer>> balancers_;
+  std::vector<std::unique_ptr<SimulatedBalancer>> balancers_;
   /// When each revision was first seen to be committed.
   std::map<Revision, Instant> committed_;
-  Revision newest_ = 0;
+  Revision latest_revision_ = 0;
   TargetId changes_ = 0;
-  Instant thawed_at_;
-  Instant healed_at_;
+  Instant frozen_until_;
+  Instant isolated_until_;
   std::string violation_;
 };
 
-LinkedBalancer::LinkedBalancer(Workload& workload, std::uint32_t number,
-                               const ControlClientFaults& faults)
+SimulatedBalancer::SimulatedBalancer(Workload& workload, std::uint32_t number,
+                                     const ControlClientFaults& faults)
     : disturbed_at(kStart),
       workload_(workload),
       address_{kFirstBalancer + number, 6000},
@@ -237,46 +238,46 @@
   client_.set_faults(faults);
 }
 
-void LinkedBalancer::on_tick(Instant now) { client_.on_tick(0, now); }
+void SimulatedBalancer::on_tick(Instant now) { client_.on_tick(0, now); }
 
-void LinkedBalancer::send_control(const Endpoint& replica, const NodeMessage& message) {
+void SimulatedBalancer::send_control(const Endpoint& replica, const NodeMessage& message) {
   const Instant now = workload_.cluster.now();
   Link& link = links[replica.address];
-  if (!link.is_open || is_given_up(link.balancer_unanswered_since, now)) {
+  if (!link.is_open || is_timed_out(link.balancer_unanswered_since, now)) {
     link = {};
     link.is_open = true;
   }
   link.balancer_unanswered_since = link.balancer_unanswered_since.value_or(now);
-  if (is_cut_up || link.is_silent_up || replica.address == workload_.cluster.frozen) {
+  if (is_outbound_blocked || link.drops_to_replica || replica.address == workload_.cluster.frozen) {
     return;
   }
   link.replica_unanswered_since.reset();
   workload_.cluster.node(replica.address).on_node_message(address_, message, now);
 }
 
-bool LinkedBalancer::receive(std::uint32_t replica, const NodeMessage& message, Instant now) {
+bool SimulatedBalancer::receive(std::uint32_t replica, const NodeMessage& message, Instant now) {
   Link& link = links[replica];
-  if (is_given_up(link.replica_unanswered_since, now)) {
+  if (is_timed_out(link.replica_unanswered_since, now)) {
     link = {};
   }
   if (!link.is_open) {
     return false;
   }
   link.replica_unanswered_since = link.replica_unanswered_since.value_or(now);
-  if (!is_cut_down && !link.is_silent_down) {
+  if (!is_inbound_blocked && !link.drops_to_balancer) {
     arriving_.emplace_back(replica, message);
   }
   return true;
 }
 
-void LinkedBalancer::deliver(Instant now) {
+void SimulatedBalancer::deliver(Instant now) {
   for (const auto& [replica, message] : std::exchange(arriving_, {})) {
     links[replica].balancer_unanswered_since.reset();
     client_.on_message({replica, 7000}, message, now);
   }
 }
 
-std::vector<TargetObservation> LinkedBalancer::take_observations() {
+std::vector<TargetObservation> SimulatedBalancer::take_observations() {
   const auto& targets = client_.fleet().steering.targets;
   if (targets.empty() || workload_.below(2) == 0) {
     return {};
@@ -298,8 +299,8 @@
 
   TEST_CASE("the two deliberate faults together are caught") {
     // Each alone is made good by the other end: that is what both are for.
-    FollowingFaults faults;
-    faults.control.trust_own_sends = true;
+    WorkloadFaults faults;
+    faults.control.assume_sends_delivered = true;
     faults.client.trust_any_message = true;
     CHECK(is_caught<Workload>(faults));
   }
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -37,9 +37,9 @@
     std::vector<std::pair<Endpoint, NodeMessage>> to_nodes;
     std::vector<SharedNodeMessage> shared;
     /// There is no connection to any balancer: what is sent to one is dropped, and that is known.
-    bool has_no_balancer = false;
+    bool is_balancer_disconnected = false;
     /// What this replica reports to others is lost, and that is not known.
-    bool loses_reports = false;
+    bool drops_reports = false;
     /// Carries what goes to balancers in place of `to_nodes`; false when it is dropped for certain.
     std::function<bool(const Endpoint& to, const NodeMessage& message)> to_balancer;
     void send(const Endpoint& to, const ReplicaMessage& message) override {
@@ -47,13 +47,13 @@
     }
     bool send_node(const Endpoint& to, const NodeMessage& message) override {
       const bool is_to_balancer = to.address > 3;
-      if (is_to_balancer && has_no_balancer) {
+      if (is_to_balancer && is_balancer_disconnected) {
         return false;
       }
       if (is_to_balancer && to_balancer) {
         return to_balancer(to, message);
       }
-      if (loses_reports && std::holds_alternative<ReplicaReport>(message)) {
+      if (drops_reports && std::holds_alternative<ReplicaReport>(message)) {
         return true;
       }
       to_nodes.emplace_back(to, message);
@@ -111,12 +111,12 @@
   /// A process that stands still, and what is sent to it is lost; 0 for none.
   std::uint32_t frozen = 0;
   /// Replicas to which everything gets lost, by their number.
-  std::array<bool, 4> lost_to{};
+  std::array<bool, 4> drops_messages_to{};
   /// Loses all that was sent and has not arrived.
-  void drop_under_way() { queue_.clear(); }
+  void drop_in_flight() { queue_.clear(); }
 
  private:
-  struct Letter {
+  struct QueuedMessage {
     std::uint32_t to = 0;
     std::optional<ReplicaMessage> replica;
     std::optional<NodeMessage> node;
@@ -126,7 +126,7 @@
   void deliver() {
     for (int round = 0; round < 10; ++round) {
       for (const auto& letter : std::exchange(queue_, {})) {
-        if (letter.to < 1 || letter.to > 3 || letter.to == frozen || lost_to[letter.to]) {
+        if (letter.to < 1 || letter.to > 3 || letter.to == frozen || drops_messages_to[letter.to]) {
           continue;
         }
         const Endpoint from{static_cast<std::uint32_t>(letter.from), 7000};
@@ -143,13 +143,13 @@
   MemoryStorage storage_;
   std::array<Output, 4> outputs_;
   std::array<std::unique_ptr<ControlNode>, 4> nodes_;
-  std::vector<Letter> queue_;
+  std::vector<QueuedMessage> queue_;
 };
 
 /// A balancer that follows the state at one replica of a cluster, with messages that can be lost.
-class FollowingBalancer : public ControlClientOutput {
+class SubscribedBalancer : public ControlClientOutput {
  public:
-  explicit FollowingBalancer(Cluster& cluster) : cluster_(cluster) {
+  explicit SubscribedBalancer(Cluster& cluster) : cluster_(cluster) {
     client_.set_timing({milliseconds(500), milliseconds(800), milliseconds(100)});
   }
 
@@ -159,8 +159,8 @@
   void on_fleet(const FleetState& /*fleet*/, Instant /*now*/) override {}
   void on_lease(Instant /*until*/) override {}
   void on_expelled(Instant /*now*/) override {}
-  void on_behind(const Endpoint& /*replica*/, Revision /*revisions*/) override { ++told_behind; }
-  void on_update_refused(const RefusedUpdate& /*update*/) override { ++refused; }
+  void on_behind(const Endpoint& /*replica*/, Revision /*revisions*/) override { ++behind_events; }
+  void on_update_refused(const RefusedUpdate& /*update*/) override { ++refused_updates; }
 
   /// Lets time pass, and carries messages each 20 ms.
   void run(Duration time) {
@@ -170,18 +170,18 @@
     }
   }
 
-  /// Carries what waits in both directions; updates do not arrive while `loses_updates` is set.
+  /// Carries what waits in both directions; updates do not arrive while `drops_updates` is set.
   void exchange() {
     client_.on_tick(0, cluster_.now());
     for (const auto& [replica, message] : std::exchange(to_replica_, {})) {
-      if (replica == questions_lost_to) {
+      if (replica == drops_heartbeats_to) {
         continue;
       }
       cluster_.node(replica.address).on_node_message(kAddress, message, cluster_.now());
     }
     for (std::uint32_t i = 1; i <= 3; ++i) {
       for (const auto& [to, message] : std::exchange(cluster_.output(i).to_nodes, {})) {
-        const bool is_lost = loses_updates && std::holds_alternative<FleetUpdate>(message);
+        const bool is_lost = drops_updates && std::holds_alternative<FleetUpdate>(message);
         if (to == kAddress && !is_lost) {
           client_.on_message({i, 7000}, message, cluster_.now());
         }
@@ -190,7 +190,7 @@
   }
 
   /// The chosen replica tells figures of targets.
-  void tell_figures(std::uint64_t edition) {
+  void receive_target_health(std::uint64_t edition) {
     client_.on_message(*replica(), TargetFigures{edition, {}}, cluster_.now());
   }
 
@@ -198,11 +198,11 @@
   /// The replica that it follows; nothing while it looks for one.
   [[nodiscard]] std::optional<Endpoint> replica() const { return client_.replica(); }
 
-  bool loses_updates = false;
+  bool drops_updates = false;
   /// What the balancer sends to this replica does not arrive.
-  std::optional<Endpoint> questions_lost_to;
-  int told_behind = 0;
-  int refused = 0;
+  std::optional<Endpoint> drops_heartbeats_to;
+  int behind_events = 0;
+  int refused_updates = 0;
 
  private:
   static constexpr Endpoint kAddress{99, 6000};
@@ -215,7 +215,7 @@
                         *this};
 };
 
-inline RegisteredTarget announce(std::uint64_t sequence) {
+inline RegisteredTarget make_announcement(std::uint64_t sequence) {
   RegisteredTarget target;
   target.id = 5;
   target.pool = "alpha";
@@ -227,7 +227,7 @@
 /// Makes a revision by a new target; false when the replica cannot.
 inline bool register_target(ControlNode& leader, TargetId id, Instant now) {
   RegistrationCommand command;
-  command.announced.push_back(announce(1));
+  command.announced.push_back(make_announcement(1));
   command.announced.back().id = id;
   return leader.propose(command, now).has_value();
 }
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -22,7 +22,7 @@
     // stayed behind for 9 s, since each later update counted as under way and did not fit.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
-    FollowingBalancer balancer(cluster);
+    SubscribedBalancer balancer(cluster);
     Duration longest_behind{0};
     Duration behind{0};
     for (int turn = 0; turn < 650; ++turn) {
@@ -30,7 +30,7 @@
         REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
       }
       // Updates of a tenth of a second get lost, once.
-      balancer.loses_updates = turn >= 150 && turn < 156;
+      balancer.drops_updates = turn >= 150 && turn < 156;
       cluster.run(milliseconds(20));
       balancer.exchange();
       const Revision newest = cluster.node(leader).state().fleet().revision;
@@ -38,18 +38,18 @@
       longest_behind = turn < 100 ? Duration{0} : std::max(longest_behind, behind);
     }
     CHECK(longest_behind <= milliseconds(1000));
-    CHECK(balancer.refused > 0);
+    CHECK(balancer.refused_updates > 0);
   }
 
   TEST_CASE("a balancer whose updates all get lost says so and asks again, boundedly") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
-    FollowingBalancer balancer(cluster);
+    SubscribedBalancer balancer(cluster);
     for (int turn = 0; turn < 100; ++turn) {
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
-    balancer.loses_updates = true;
+    balancer.drops_updates = true;
     for (int turn = 0; turn < 500; ++turn) {
       if (turn % 5 == 0) {
         REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
@@ -58,9 +58,9 @@
       balancer.exchange();
     }
     // Ten seconds: about once in each 1.5 s or more.
-    CHECK(balancer.told_behind >= 3);
-    CHECK(balancer.told_behind <= 7);
-    balancer.loses_updates = false;
+    CHECK(balancer.behind_events >= 3);
+    CHECK(balancer.behind_events <= 7);
+    balancer.drops_updates = false;
     for (int turn = 0; turn < 60; ++turn) {
       cluster.run(milliseconds(20));
       balancer.exchange();
@@ -73,13 +73,15 @@
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
-    CHECK(cluster.node(follower).hear(announce(1), cluster.now()) == AnnouncementStatus::kForward);
-    REQUIRE(cluster.node(leader).hear(announce(1), cluster.now()) == AnnouncementStatus::kNews);
-    REQUIRE(register_target(cluster.node(leader), announce(1).id, cluster.now()));
+    CHECK(cluster.node(follower).hear(make_announcement(1), cluster.now()) ==
+          AnnouncementStatus::kForward);
+    REQUIRE(cluster.node(leader).hear(make_announcement(1), cluster.now()) ==
+            AnnouncementStatus::kNews);
+    REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
     // From now on the target is heard by a follower only, and stays ready for long.
     for (std::uint64_t sequence = 2; sequence < 20; ++sequence) {
-      CHECK(cluster.node(follower).hear(announce(sequence), cluster.now()) ==
+      CHECK(cluster.node(follower).hear(make_announcement(sequence), cluster.now()) ==
             AnnouncementStatus::kHeld);
       cluster.run(std::chrono::seconds(1));
     }
@@ -102,7 +104,7 @@
         }
         ForwardedRegistrations said;
         for (TargetId id = 1; id <= targets; ++id) {
-          RegisteredTarget target = announce(1);
+          RegisteredTarget target = make_announcement(1);
           target.id = 1000 * i + id;
           REQUIRE(cluster.node(i).hear(target, cluster.now()) == AnnouncementStatus::kForward);
           said.announced.push_back(target);
@@ -113,7 +115,7 @@
       CHECK(cluster.node(leader).replica().commit_index() == before + 1);
       for (std::uint32_t i = 1; i <= 3; ++i) {
         CHECK(cluster.node(i).state().fleet().steering.targets.size() == 2 * targets);
-        RegisteredTarget target = announce(1);
+        RegisteredTarget target = make_announcement(1);
         target.id = 1000 * (leader == 1 ? 2 : 1) + targets;
         CHECK(cluster.node(i).holds(target));
       }
@@ -124,7 +126,7 @@
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
-    REQUIRE(register_target(cluster.node(leader), announce(1).id, cluster.now()));
+    REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
     const TargetLife life = cluster.node(follower).life_to_end(5, std::nullopt, 1);
     REQUIRE(cluster.node(follower).hear_end(life, cluster.now()) == AnnouncementStatus::kForward);
@@ -134,7 +136,7 @@
     CHECK(cluster.node(follower).holds(life));
     CHECK(cluster.node(follower).hear_end(life, cluster.now()) == AnnouncementStatus::kHeld);
     // A late copy of the announcement does not bring it back.
-    cluster.node(follower).forward({{announce(9)}, {}});
+    cluster.node(follower).forward({{make_announcement(9)}, {}});
     cluster.run(milliseconds(200));
     CHECK(cluster.node(leader).holds(life));
   }
@@ -144,9 +146,9 @@
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
     cluster.frozen = leader;
-    cluster.lost_to[6 - leader - follower] = true;
+    cluster.drops_messages_to[6 - leader - follower] = true;
     cluster.run(std::chrono::seconds(3));
-    CHECK(cluster.node(follower).hear(announce(1), cluster.now()) ==
+    CHECK(cluster.node(follower).hear(make_announcement(1), cluster.now()) ==
           AnnouncementStatus::kNotLeader);
     CHECK(cluster.node(follower).hear_end({5, 0}, cluster.now()) == AnnouncementStatus::kNotLeader);
   }
@@ -156,7 +158,7 @@
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
     const auto announce_life = [](TargetStart start, std::uint64_t sequence) {
-      RegisteredTarget target = announce(sequence);
+      RegisteredTarget target = make_announcement(sequence);
       target.started_at_ms = start;
       return target;
     };
@@ -197,7 +199,7 @@
   TEST_CASE("a target that one balancer saw refuse is told to those of all replicas at once") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
-    REQUIRE(register_target(cluster.node(leader), announce(1).id, cluster.now()));
+    REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
     const FlowToken token = cluster.node(leader).state().fleet().steering.targets.at(5).token;
     // One balancer at each replica.
@@ -318,7 +320,7 @@
   TEST_CASE("a whole state is not sent again while it is under way, and is when it was lost") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
-    REQUIRE(register_target(cluster.node(leader), announce(1).id, cluster.now()));
+    REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(100));
     NodeHeartbeat heartbeat;
     heartbeat.member.address = {100, 6000};
--- a/tests/unit/test_evacuation.cc
+++ b/tests/unit/test_evacuation.cc
@@ -13,16 +13,16 @@
 using std::chrono::seconds;
 using namespace control_cluster;
 
-const EvacuationCommand kEvacuateA{"zone-a", EvacuationOrder::kEvacuate};
-const EvacuationCommand kEvacuateB{"zone-b", EvacuationOrder::kEvacuate};
-const EvacuationCommand kRestoreA{"zone-a", EvacuationOrder::kRestore};
+const EvacuationCommand kEvacuateA{"zone-a", EvacuationAction::kEvacuate};
+const EvacuationCommand kEvacuateB{"zone-b", EvacuationAction::kEvacuate};
+const EvacuationCommand kRestoreA{"zone-a", EvacuationAction::kRestore};
 
 LogEntry entry(LogIndex index, const EvacuationCommand& command) {
   return {1, index, EntryType::kEvacuation, encode_archive(command)};
 }
 
 RegisteredTarget target(TargetId id, const std::string& pool, const std::string& zone) {
-  RegisteredTarget result = announce(1);
+  RegisteredTarget result = make_announcement(1);
   result.id = id;
   result.pool = pool;
   result.zone = zone;
@@ -30,7 +30,7 @@
 }
 
 /// The zones that are evacuated by what a replica has committed.
-std::vector<std::string> evacuated_at(ControlNode& node) {
+std::vector<std::string> evacuated_zones_at(ControlNode& node) {
   std::vector<std::string> zones;
   for (const auto& evacuated : node.state().fleet().steering.evacuated_zones) {
     zones.push_back(evacuated.zone);
@@ -39,15 +39,15 @@
 }
 
 /// A cluster that has a leader.
-struct LedCluster {
-  LedCluster() {
+struct ClusterWithLeader {
+  ClusterWithLeader() {
     cluster.run(seconds(3));
     leader = cluster.leader();
     REQUIRE(leader != 0);
   }
-  ControlNode& led() { return cluster.node(leader); }
+  ControlNode& leader_node() { return cluster.node(leader); }
   /// Freezes the leader until another one leads.
-  void lose_leader() {
+  void fail_over() {
     cluster.frozen = leader;
     cluster.run(seconds(5));
     leader = cluster.leader();
@@ -67,7 +67,7 @@
     const std::vector<EvacuatedZone> expected = {{"zone-a", 1}};
     CHECK(state.fleet().steering.evacuated_zones == expected);
     CHECK(state.fleet().revision == 1);
-    state.apply(entry(3, EvacuationCommand{"zone-c", EvacuationOrder::kRestore}));
+    state.apply(entry(3, EvacuationCommand{"zone-c", EvacuationAction::kRestore}));
     CHECK(state.fleet().revision == 1);
   }
 
@@ -171,64 +171,64 @@
   }
 
   TEST_CASE("an order is decided by commit, at every replica, and holds after its leader is lost") {
-    LedCluster test;
-    const auto proposal = test.led().propose(kEvacuateA, test.cluster.now());
+    ClusterWithLeader test;
+    const auto proposal = test.leader_node().propose(kEvacuateA, test.cluster.now());
     REQUIRE(proposal);
-    CHECK(test.led().status(*proposal) == ProposalStatus::kPending);
-    CHECK_FALSE(test.led().holds(kEvacuateA, test.cluster.now()));
+    CHECK(test.leader_node().status(*proposal) == ProposalStatus::kPending);
+    CHECK_FALSE(test.leader_node().holds(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
-    CHECK(test.led().status(*proposal) == ProposalStatus::kCommitted);
+    CHECK(test.leader_node().status(*proposal) == ProposalStatus::kCommitted);
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      CHECK(evacuated_at(test.cluster.node(i)) == std::vector<std::string>{"zone-a"});
+      CHECK(evacuated_zones_at(test.cluster.node(i)) == std::vector<std::string>{"zone-a"});
     }
-    test.lose_leader();
-    CHECK(test.led().holds(kEvacuateA, test.cluster.now()));
-    CHECK_FALSE(test.led().holds(kRestoreA, test.cluster.now()));
+    test.fail_over();
+    CHECK(test.leader_node().holds(kEvacuateA, test.cluster.now()));
+    CHECK_FALSE(test.leader_node().holds(kRestoreA, test.cluster.now()));
   }
 
   TEST_CASE("a repeat after a lost answer is acknowledged by the next leader and changes nothing") {
-    LedCluster test;
-    REQUIRE(test.led().propose(kEvacuateA, test.cluster.now()));
+    ClusterWithLeader test;
+    REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
-    const Revision decided = test.led().state().fleet().revision;
-    test.lose_leader();
-    REQUIRE(test.led().holds(kEvacuateA, test.cluster.now()));
-    const auto again = test.led().propose(kEvacuateA, test.cluster.now());
+    const Revision decided = test.leader_node().state().fleet().revision;
+    test.fail_over();
+    REQUIRE(test.leader_node().holds(kEvacuateA, test.cluster.now()));
+    const auto again = test.leader_node().propose(kEvacuateA, test.cluster.now());
     REQUIRE(again);
     test.cluster.run(milliseconds(200));
-    CHECK(test.led().status(*again) == ProposalStatus::kCommitted);
-    CHECK(test.led().state().fleet().steering.evacuated_zones[0].since == decided);
+    CHECK(test.leader_node().status(*again) == ProposalStatus::kCommitted);
+    CHECK(test.leader_node().state().fleet().steering.evacuated_zones[0].since == decided);
   }
 
   TEST_CASE("of two operators at once the later entry holds, and neither is told too early") {
-    LedCluster test;
-    REQUIRE(test.led().propose(kEvacuateA, test.cluster.now()));
+    ClusterWithLeader test;
+    REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     // The committed state knows no evacuation yet, but one is under way.
-    CHECK_FALSE(test.led().holds(kRestoreA, test.cluster.now()));
-    const auto restore = test.led().propose(kRestoreA, test.cluster.now());
+    CHECK_FALSE(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    const auto restore = test.leader_node().propose(kRestoreA, test.cluster.now());
     REQUIRE(restore);
     test.cluster.run(milliseconds(200));
-    CHECK(test.led().status(*restore) == ProposalStatus::kCommitted);
-    CHECK(test.led().holds(kRestoreA, test.cluster.now()));
-    CHECK(evacuated_at(test.led()).empty());
+    CHECK(test.leader_node().status(*restore) == ProposalStatus::kCommitted);
+    CHECK(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    CHECK(evacuated_zones_at(test.leader_node()).empty());
   }
 
   TEST_CASE("followers acknowledge nothing by themselves") {
-    LedCluster test;
-    REQUIRE(test.led().propose(kEvacuateA, test.cluster.now()));
+    ClusterWithLeader test;
+    REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
     ControlNode& follower = test.cluster.node(test.leader == 1 ? 2 : 1);
-    CHECK(evacuated_at(follower) == std::vector<std::string>{"zone-a"});
+    CHECK(evacuated_zones_at(follower) == std::vector<std::string>{"zone-a"});
     CHECK_FALSE(follower.holds(kEvacuateA, test.cluster.now()));
     CHECK_FALSE(follower.propose(kRestoreA, test.cluster.now()));
   }
 
   TEST_CASE("without a majority nothing is acknowledged and nothing changes") {
-    LedCluster test;
+    ClusterWithLeader test;
     const std::uint32_t alone = test.leader;
-    ControlNode& leader = test.led();
-    test.cluster.lost_to = {true, true, true, true};
-    test.cluster.lost_to[alone] = false;
+    ControlNode& leader = test.leader_node();
+    test.cluster.drops_messages_to = {true, true, true, true};
+    test.cluster.drops_messages_to[alone] = false;
     const auto proposal = leader.propose(kEvacuateA, test.cluster.now());
     REQUIRE(proposal);
     for (int turn = 0; turn < 250; ++turn) {
@@ -238,24 +238,24 @@
     }
     CHECK_FALSE(leader.propose(kEvacuateA, test.cluster.now()));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      CHECK(evacuated_at(test.cluster.node(i)).empty());
+      CHECK(evacuated_zones_at(test.cluster.node(i)).empty());
     }
   }
 
   TEST_CASE("an order that reached no majority cannot undo a later one that was acknowledged") {
-    LedCluster test;
+    ClusterWithLeader test;
     const std::uint32_t old_leader = test.leader;
     // The old leader's entry stays with it: it stands still before it sends.
-    REQUIRE(test.led().propose(kEvacuateA, test.cluster.now()));
-    test.cluster.drop_under_way();
-    test.lose_leader();
-    REQUIRE(test.led().propose(kEvacuateB, test.cluster.now()));
+    REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
+    test.cluster.drop_in_flight();
+    test.fail_over();
+    REQUIRE(test.leader_node().propose(kEvacuateB, test.cluster.now()));
     test.cluster.run(milliseconds(200));
-    REQUIRE(test.led().holds(kRestoreA, test.cluster.now()));
+    REQUIRE(test.leader_node().holds(kRestoreA, test.cluster.now()));
     test.cluster.frozen = 0;
     test.cluster.run(seconds(5));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      CHECK(evacuated_at(test.cluster.node(i)) == std::vector<std::string>{"zone-b"});
+      CHECK(evacuated_zones_at(test.cluster.node(i)) == std::vector<std::string>{"zone-b"});
     }
     CHECK_FALSE(test.cluster.node(old_leader).holds(kEvacuateA, test.cluster.now()));
   }
@@ -264,7 +264,7 @@
     SteeringState state;
     const auto says = [&](std::uint64_t sequence, std::uint32_t warm_up_ms) {
       RegistrationCommand command;
-      command.announced.push_back(announce(sequence));
+      command.announced.push_back(make_announcement(sequence));
       command.announced.back().warm_up_ms = warm_up_ms;
       const auto delta = steering_delta(state, command, TokenIndex(state));
       if (delta) {
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -131,8 +131,8 @@
     SimDisk disk;
     LogStore store(disk);
     REQUIRE(store.open());
-    REQUIRE(store.append({HardState{1, 2}, std::nullopt, {{1, 1, EntryType::kNone, Bytes(9, 1)}}}));
-    REQUIRE(store.append({std::nullopt, std::nullopt, {{1, 2, EntryType::kNone, Bytes(9, 2)}}}));
+    REQUIRE(store.append({HardState{1, 2}, std::nullopt, {{1, 1, EntryType::kNoOp, Bytes(9, 1)}}}));
+    REQUIRE(store.append({std::nullopt, std::nullopt, {{1, 2, EntryType::kNoOp, Bytes(9, 2)}}}));
     const Bytes valid = *disk.read("log-1.seg");
     fuzz(valid, [](const Bytes& bytes) {
       SimDisk damaged;
--- a/tests/unit/test_log_store.cc
+++ b/tests/unit/test_log_store.cc
@@ -6,7 +6,7 @@
 namespace gorsevalve {
 namespace {
 
-LogEntry make_entry(LogIndex index) { return {1, index, EntryType::kNone, Bytes(20, 7)}; }
+LogEntry make_entry(LogIndex index) { return {1, index, EntryType::kNoOp, Bytes(20, 7)}; }
 
 LogFrame make_frame(LogIndex index) {
   return {std::nullopt, std::nullopt, {make_entry(index)}, index - 1};
--- a/tests/unit/test_replica.cc
+++ b/tests/unit/test_replica.cc
@@ -11,15 +11,15 @@
  public:
   bool append(const LogFrame& frame) override {
     committed = frame.committed;
-    return works;
+    return accepts_writes;
   }
   bool replace_with_snapshot(const Snapshot& /*snapshot*/, const LogFrame& /*frame*/) override {
-    return works;
+    return accepts_writes;
   }
-  [[nodiscard]] bool can_try_again() const override { return recoverable; }
+  [[nodiscard]] bool can_retry() const override { return is_retryable; }
   LogIndex committed = 0;
-  bool works = true;
-  bool recoverable = false;
+  bool accepts_writes = true;
+  bool is_retryable = false;
 };
 
 class RecordingOutput : public ReplicaOutput {
@@ -30,7 +30,7 @@
   std::vector<ReplicaMessage> sent;
 };
 
-class NoState : public ReplicatedState {
+class CountingState : public ReplicatedState {
  public:
   void apply(const LogEntry& /*entry*/) override { ++applied; }
   [[nodiscard]] Bytes save() const override { return {}; }
@@ -38,19 +38,21 @@
   int applied = 0;
 };
 
-ReplicaSet three() { return {{{1, {1, 7000}, true}, {2, {2, 7000}, true}, {3, {3, 7000}, true}}}; }
+ReplicaSet three_voters() {
+  return {{{1, {1, 7000}, true}, {2, {2, 7000}, true}, {3, {3, 7000}, true}}};
+}
 
 /// Replica 1 of three, with what it had on disk.
 struct TestReplica {
   explicit TestReplica(const HardState& hard_state = {}) {
     StoredReplica stored;
     stored.hard_state = hard_state;
-    replica.emplace(ReplicaConfig{1, {1, 7000}, {}, 7, {}}, three(), stored, storage, output, state,
-                    kStart);
+    replica.emplace(ReplicaConfig{1, {1, 7000}, {}, 7, {}}, three_voters(), stored, storage, output,
+                    state, kStart);
   }
   MemoryStorage storage;
   RecordingOutput output;
-  NoState state;
+  CountingState state;
   std::optional<Replica> replica;
 };
 
@@ -82,7 +84,7 @@
                     test.state, kStart);
     AppendRequest first;
     first.leader = {1, 7000};
-    first.entries.push_back({1, 1, EntryType::kNone, {}});
+    first.entries.push_back({1, 1, EntryType::kNoOp, {}});
     learner.on_message({1, 1, first}, kStart);
     REQUIRE(test.output.sent.size() == 1);
     const auto* reply = std::get_if<AppendReply>(&test.output.sent[0].body);
@@ -130,8 +132,8 @@
       config.faults.vote_without_log_check = faulty;
       StoredReplica stored;
       stored.hard_state = {3, 0, false};
-      stored.entries.push_back({3, 1, EntryType::kNone, {}});
-      Replica voter(config, three(), stored, test.storage, test.output, test.state, kStart);
+      stored.entries.push_back({3, 1, EntryType::kNoOp, {}});
+      Replica voter(config, three_voters(), stored, test.storage, test.output, test.state, kStart);
       voter.on_message({2, 4, VoteRequest{false, 0, 0, {2, 7000}}}, later);
       REQUIRE(count<VoteReply>(test.output.sent) == 1);
       CHECK(std::get<VoteReply>(test.output.sent.back().body).granted == faulty);
@@ -174,13 +176,13 @@
     stored.committed = 3;
     TestReplica test;
     test.state.applied = 0;
-    Replica replica(ReplicaConfig{1, {1, 7000}, {}, 7, {}}, three(), stored, test.storage,
+    Replica replica(ReplicaConfig{1, {1, 7000}, {}, 7, {}}, three_voters(), stored, test.storage,
                     test.output, test.state, kStart);
     CHECK(replica.commit_index() == 3);
     CHECK(test.state.applied == 3);
     CHECK_FALSE(replica.is_current(kStart));
     // Each write tells what is committed.
-    AppendRequest next{{2, 7000}, 4, 3, 4, 0, {{4, 5, EntryType::kNone, {}}}};
+    AppendRequest next{{2, 7000}, 4, 3, 4, 0, {{4, 5, EntryType::kNoOp, {}}}};
     replica.on_message({2, 4, next}, kStart);
     CHECK(test.storage.committed == 3);
     CHECK(replica.commit_index() == 4);
@@ -201,7 +203,7 @@
 
   TEST_CASE("nothing is said after storage failed") {
     TestReplica test;
-    test.storage.works = false;
+    test.storage.accepts_writes = false;
     const Instant later = kStart + std::chrono::seconds(2);
     test.replica->on_message({2, 4, VoteRequest{false, 0, 0, {2, 7000}}}, later);
     CHECK(count<VoteReply>(test.output.sent) == 0);
@@ -210,17 +212,17 @@
 
   TEST_CASE("a replica on a full disk acknowledges nothing, lives on, and goes on when it can") {
     TestReplica test;
-    test.storage.works = false;
-    test.storage.recoverable = true;
+    test.storage.accepts_writes = false;
+    test.storage.is_retryable = true;
     const Instant later = kStart + std::chrono::seconds(2);
     test.replica->on_message({2, 4, VoteRequest{false, 0, 0, {2, 7000}}}, later);
     AppendRequest append;
     append.leader = {2, 7000};
-    append.entries.push_back({4, 1, EntryType::kNone, {}});
+    append.entries.push_back({4, 1, EntryType::kNoOp, {}});
     test.replica->on_message({2, 4, append}, later);
     CHECK(test.output.sent.empty());
     CHECK_FALSE(test.replica->has_failed());
-    test.storage.works = true;
+    test.storage.accepts_writes = true;
     test.replica->on_message({2, 4, append}, later);
     REQUIRE(test.output.sent.size() == 1);
     CHECK(std::get<AppendReply>(test.output.sent[0].body).accepted);
@@ -232,8 +234,8 @@
     elect(test, later);
     const std::int64_t sent_at = later.time_since_epoch().count();
     test.replica->on_message({2, 1, AppendReply{true, 1, sent_at}}, later);
-    test.storage.works = false;
-    test.storage.recoverable = true;
+    test.storage.accepts_writes = false;
+    test.storage.is_retryable = true;
     test.output.sent.clear();
     CHECK_FALSE(test.replica->propose(EntryType::kSettings, {}, later));
     CHECK_FALSE(test.replica->is_leader());
@@ -257,7 +259,7 @@
     follower.replica->on_message({2, 3, LeadershipTransfer{}}, later);
     REQUIRE(count<VoteRequest>(follower.output.sent) == 2);
     const auto request = std::get<VoteRequest>(follower.output.sent[0].body);
-    CHECK(request.agreed_term == 3);
+    CHECK(request.released_lease_term == 3);
     CHECK_FALSE(request.pre_vote);
     TestReplica voter;
     voter.replica->on_message({2, 3, append}, later);
@@ -281,7 +283,7 @@
     REQUIRE(count<VoteRequest>(restarted.output.sent) == 2);
     const auto request = std::get<VoteRequest>(restarted.output.sent[0].body);
     CHECK(request.pre_vote);
-    CHECK(request.agreed_term == 3);
+    CHECK(request.released_lease_term == 3);
     // A voter that has just started, too, or that heard this leader, grants at once.
     TestReplica voter({3, 1});
     voter.replica->on_message({2, 4, request}, kStart);
@@ -326,7 +328,7 @@
     voter.replica->on_tick(later);
     REQUIRE(count<VoteRequest>(voter.output.sent) == 2);
     const auto request = std::get<VoteRequest>(voter.output.sent[0].body);
-    CHECK(request.agreed_term == 3);
+    CHECK(request.released_lease_term == 3);
     // The other voter, which has not heard the new process, grants at once.
     TestReplica other(followed);
     other.replica->on_message({3, 4, request}, later);
@@ -390,7 +392,7 @@
     CHECK_FALSE(test.replica->is_current(later));
     AppendRequest append;
     append.leader = {2, 7000};
-    append.entries.push_back({3, 1, EntryType::kNone, {}});
+    append.entries.push_back({3, 1, EntryType::kNoOp, {}});
     append.commit_index = 2;
     append.has_lease = true;
     test.replica->on_message({2, 3, append}, later);
@@ -399,7 +401,7 @@
     rest.leader = {2, 7000};
     rest.previous_index = 1;
     rest.previous_term = 3;
-    rest.entries.push_back({3, 2, EntryType::kNone, {}});
+    rest.entries.push_back({3, 2, EntryType::kNoOp, {}});
     rest.commit_index = 2;
     rest.has_lease = true;
     test.replica->on_message({2, 3, rest}, later);
--- a/tests/unit/test_replica_claims.cc
+++ b/tests/unit/test_replica_claims.cc
@@ -21,7 +21,7 @@
   }
 };
 
-class NoState : public ReplicatedState {
+class StubState : public ReplicatedState {
  public:
   void apply(const LogEntry& /*entry*/) override {}
   [[nodiscard]] Bytes save() const override { return {}; }
@@ -29,9 +29,9 @@
 };
 
 /// One of five replicas, with what it sends.
-class OneOfFive : public ReplicaOutput {
+class FiveVoterReplica : public ReplicaOutput {
  public:
-  explicit OneOfFive(ReplicaId id) {
+  explicit FiveVoterReplica(ReplicaId id) {
     ReplicaSet set;
     for (std::uint32_t i = 1; i <= 5; ++i) {
       set.replicas.push_back({i, {i, 7000}, true});
@@ -49,11 +49,11 @@
 
  private:
   MemoryStorage storage_;
-  NoState state_;
+  StubState state_;
 };
 
 /// Makes a replica leader of term 1 by the votes of replicas 2 and 3.
-void elect(OneOfFive& one, Instant now) {
+void elect(FiveVoterReplica& one, Instant now) {
   one.replica->on_tick(now);
   for (const bool pre_vote : {true, false}) {
     for (const ReplicaId voter : {ReplicaId{2}, ReplicaId{3}}) {
@@ -63,7 +63,7 @@
 }
 
 /// Carries what two replicas sent each other; all others are cut off.
-void exchange(OneOfFive& one, OneOfFive& other, Instant now) {
+void exchange(FiveVoterReplica& one, FiveVoterReplica& other, Instant now) {
   for (int round = 0; round < 4; ++round) {
     for (const auto& [to, message] : std::exchange(one.sent, {})) {
       if (to.address == other.replica->id()) {
@@ -83,8 +83,8 @@
 TEST_SUITE("replica_claims") {
   TEST_CASE("a follower of a leader without a majority is not current, and does not stay with it") {
     // Elected, and then cut off with one follower: the others commit without them.
-    OneOfFive leader(1);
-    OneOfFive follower(4);
+    FiveVoterReplica leader(1);
+    FiveVoterReplica follower(4);
     Instant now = kStart + std::chrono::seconds(2);
     elect(leader, now);
     REQUIRE(leader.replica->is_leader());
--- a/tests/unit/test_steering_commands.cc
+++ b/tests/unit/test_steering_commands.cc
@@ -180,14 +180,14 @@
 
   TEST_CASE("each kept delta is found by the revision that it is based on") {
     ControlState state(8);
-    for (LogIndex index = 1; index <= ControlState::kDeltas + 40; ++index) {
+    for (LogIndex index = 1; index <= ControlState::kMaxDeltas + 40; ++index) {
       // Entries that change nothing leave gaps between revisions.
       state.apply(
           {1, 3 * index, EntryType::kRegistrations, encode_archive(announced(announce(index, 1)))});
     }
     std::size_t steps = 0;
     const Revision last = state.fleet().revision;
-    Revision at = last - 3 * ControlState::kDeltas;
+    Revision at = last - 3 * ControlState::kMaxDeltas;
     CHECK(state.delta_after(at - 3) == nullptr);
     CHECK(state.delta_after(at + 1) == nullptr);
     while (const FleetDelta* delta = state.delta_after(at)) {
@@ -196,7 +196,7 @@
       ++steps;
     }
     CHECK(at == last);
-    CHECK(steps == ControlState::kDeltas);
+    CHECK(steps == ControlState::kMaxDeltas);
   }
 
   TEST_CASE("the control state keeps the file as submitted, also over a snapshot") {
