--- a/src/bench/placement_bench.cc
+++ b/src/bench/placement_bench.cc
@@ -39,7 +39,7 @@
   FlowSteering steering(7);
   steering.adopt(steering_state, now);
   steering.confirm(now);
-  steering.set_place({0, 80}, now);
+  steering.set_balancer_rank({0, 80}, now);
   SteeringDelta delta;
   for (TargetId id = targets - cold + 1; id <= targets; ++id) {
     delta.upserted_targets.push_back(make_target(id, kHourMs));
--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -67,8 +67,8 @@
     on_reply(from, *reply, now);
   } else if (const auto* update = std::get_if<FleetUpdate>(&message)) {
     on_update(from, *update, now);
-  } else if (const auto* figures = std::get_if<TargetFigures>(&message)) {
-    take_figures(*figures);
+  } else if (const auto* figures = std::get_if<TargetHealthUpdate>(&message)) {
+    apply_target_health(*figures);
   } else if (const auto* refusing = std::get_if<RefusingTargets>(&message)) {
     output_.on_refusing(*refusing, now);
   }
@@ -88,10 +88,10 @@
     current_revision_ = std::max(current_revision_.value_or(0), reply.revision);
     freshness_.on_answer(sent_at, reply.revision);
   }
-  if (reply.figures) {
-    take_figures(*reply.figures);
+  if (reply.health) {
+    apply_target_health(*reply.health);
   }
-  output_.on_place(reply.place, now);
+  output_.on_rank(reply.rank, now);
   check_confirmed(now);
   // Only the chosen replica counts: another one that answers late is not waited for.
   if (!choice_.is_searching() && from == choice_.chosen()) {
@@ -100,9 +100,9 @@
   judge_replica(from, reply, now);
 }
 
-void ControlClient::take_figures(const TargetFigures& figures) {
-  figures_edition_ = figures.edition;
-  output_.on_figures(figures.figures);
+void ControlClient::apply_target_health(const TargetHealthUpdate& figures) {
+  health_version_ = figures.version;
+  output_.on_target_health(figures.targets);
 }
 
 void ControlClient::check_confirmed(Instant now) {
@@ -205,14 +205,15 @@
 }
 
 void ControlClient::on_update(const Endpoint& from, const FleetUpdate& update, Instant now) {
-  if (!update.is_whole && !update.deltas.empty() && update.deltas.front().base > fleet_.revision) {
+  if (!update.is_snapshot && !update.deltas.empty() &&
+      update.deltas.front().base > fleet_.revision) {
     on_gap(from, update.deltas.front().base, now);
     return;
   }
   const bool changes_members =
       std::any_of(update.deltas.begin(), update.deltas.end(),
                   [](const FleetDelta& delta) { return delta.members.has_value(); });
-  if (update.is_whole) {
+  if (update.is_snapshot) {
     take_whole(from, update, now);
   } else if (changes_members) {
     take_member_deltas(from, update, now);
@@ -224,17 +225,17 @@
 void ControlClient::take_whole(const Endpoint& from, const FleetUpdate& update, Instant now) {
   // An older state never replaces a newer one. A whole state of the same revision repairs one whose
   // digest was wrong.
-  const bool is_older = update.whole.revision < floor_ && !faults_.ignore_revision_floor;
-  const FleetDigest digest(update.whole);
+  const bool is_older = update.snapshot.revision < floor_ && !faults_.ignore_revision_floor;
+  const FleetDigest digest(update.snapshot);
   if (is_older) {
-    output_.on_update_refused({from, update.whole.revision, UpdateRefusal::kOlder});
+    output_.on_update_refused({from, update.snapshot.revision, UpdateRefusal::kOlder});
     return;
   }
-  if (digest.value(update.whole) != update.digest) {
-    output_.on_update_refused({from, update.whole.revision, UpdateRefusal::kDigest});
+  if (digest.value(update.snapshot) != update.digest) {
+    output_.on_update_refused({from, update.snapshot.revision, UpdateRefusal::kDigest});
     return;
   }
-  adopt(update.whole, digest, now);
+  adopt(update.snapshot, digest, now);
 }
 
 void ControlClient::take_deltas(const Endpoint& from, const FleetUpdate& update, Instant now) {
@@ -332,7 +333,7 @@
   heartbeat.digest = digest_.value(fleet_);
   heartbeat.settled_revision = settled_revision_;
   heartbeat.wants_update = wants_update;
-  heartbeat.figures_edition = figures_edition_;
+  heartbeat.health_version = health_version_;
   heartbeat.has_gap = has_gap_;
   heartbeat.session = session_;
   if (wants_update && !choice_.is_searching()) {
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -60,11 +60,11 @@
   /// What was seen of targets since the last call; goes with the next report.
   virtual std::vector<TargetObservation> take_observations() { return {}; }
   /// What all balancers saw of targets; in place of what was told before.
-  virtual void on_figures(const std::vector<TargetFigure>& /*figures*/) {}
+  virtual void on_target_health(const std::vector<TargetHealth>& /*figures*/) {}
   /// Balancers were refused by targets just now.
   virtual void on_refusing(const RefusingTargets& /*refusing*/, Instant /*now*/) {}
   /// This balancer's place among all of them; told with each answer, a count of 0 while unknown.
-  virtual void on_place(const BalancerRank& /*place*/, Instant /*now*/) {}
+  virtual void on_rank(const BalancerRank& /*place*/, Instant /*now*/) {}
   /// A replica that is current and holds this revision is followed from now on.
   virtual void on_replica_chosen(const Endpoint& /*replica*/, Revision /*held*/) {}
   /// The chosen replica does not answer: connections to it are of no use.
@@ -157,7 +157,7 @@
   [[nodiscard]] bool is_member(const FleetState& fleet) const;
   void on_reply(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Finds or keeps a replica by what one has answered.
-  void take_figures(const TargetFigures& figures);
+  void apply_target_health(const TargetHealthUpdate& figures);
   void judge_replica(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Reports to the chosen replica, or asks all of them while there is none.
   void send_heartbeats(Instant now);
@@ -210,7 +210,7 @@
   /// As the balancer told it last.
   Revision settled_revision_ = 0;
   Revision reported_settled_ = 0;
-  std::uint64_t figures_edition_ = 0;
+  std::uint64_t health_version_ = 0;
 };
 
 }  // namespace gorsevalve
--- /dev/null
+++ b/src/core/control/balancer_ranking.cc
@@ -0,0 +1,109 @@
+#include "core/control/balancer_ranking.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "core/routing/bounded_rendezvous.h"
+
+namespace gorsevalve {
+namespace {
+
+using std::chrono::seconds;
+
+constexpr std::uint64_t kRankHashSalt = 0x706c61636500ULL;
+/// A balancer that was not heard here for this long reports to another replica, or is lost.
+constexpr Duration kLocalExpiry = seconds(4);
+/// A lost balancer keeps its number for this long: its turns go unused, which harms nobody, while a
+/// smaller count would let others take more before all of them know it.
+constexpr Duration kRankExpiry = seconds(60);
+/// A new leader has heard of all balancers after this time: three reports of its followers. Until
+/// then it would number too few of them.
+constexpr Duration kElectionGracePeriod = seconds(3);
+constexpr Duration kRankingInterval = seconds(1);
+/// A replica that did not hear from the leader for this long tells nothing, either.
+constexpr Duration kRankLifetime = seconds(10);
+
+}  // namespace
+
+void BalancerRanking::on_heartbeat(const Endpoint& balancer, Instant now) {
+  local_last_seen_[balancer] = now;
+  last_seen_[balancer] = now;
+}
+
+std::vector<Endpoint> BalancerRanking::local_balancers(Instant now) const {
+  std::vector<Endpoint> balancers;
+  for (const auto& [balancer, heard_at] : local_last_seen_) {
+    if (now - heard_at < kLocalExpiry) {
+      balancers.push_back(balancer);
+    }
+  }
+  return balancers;
+}
+
+void BalancerRanking::on_ranks_received(const std::vector<RankedBalancer>& told, Instant now) {
+  std::erase_if(local_last_seen_,
+                [&](const auto& entry) { return now - entry.second > kRankExpiry; });
+  if (told.empty()) {
+    // A new leader has not numbered anybody yet: what the one before told holds for a while.
+    return;
+  }
+  ranks_.clear();
+  ranks_updated_at_ = now;
+  for (const auto& one : told) {
+    ranks_[one.balancer] = one.rank;
+  }
+}
+
+void BalancerRanking::on_elected(Instant now) {
+  last_seen_ = local_last_seen_;
+  ranks_.clear();
+  ranking_starts_at_ = now + kElectionGracePeriod;
+}
+
+void BalancerRanking::on_reported(const std::vector<Endpoint>& balancers, Instant now) {
+  for (const auto& balancer : balancers) {
+    last_seen_[balancer] = now;
+  }
+}
+
+void BalancerRanking::assign_ranks(Instant now) {
+  if (now < ranking_starts_at_ || now - ranks_updated_at_ < kRankingInterval) {
+    return;
+  }
+  ranks_updated_at_ = now;
+  std::erase_if(local_last_seen_,
+                [&](const auto& entry) { return now - entry.second > kRankExpiry; });
+  std::erase_if(last_seen_, [&](const auto& entry) { return now - entry.second > kRankExpiry; });
+  // By hash, so that those of one zone, which are cut off or restarted together, are spread.
+  std::vector<std::pair<std::uint64_t, Endpoint>> order;
+  order.reserve(last_seen_.size());
+  for (const auto& [balancer, heard_at] : last_seen_) {
+    order.emplace_back(rendezvous_score(packed(balancer), 0, kRankHashSalt), balancer);
+  }
+  std::sort(order.begin(), order.end());
+  ranks_.clear();
+  const auto count = static_cast<std::uint32_t>(order.size());
+  for (std::uint32_t number = 0; number < count; ++number) {
+    ranks_[order[number].second] = {number, count};
+  }
+}
+
+std::vector<RankedBalancer> BalancerRanking::ranks_of(const std::vector<Endpoint>& balancers,
+                                                      Instant now) const {
+  std::vector<RankedBalancer> result;
+  for (const auto& balancer : balancers) {
+    const BalancerRank place = rank_of(balancer, now);
+    if (place.count > 0) {
+      result.push_back({balancer, place});
+    }
+  }
+  return result;
+}
+
+BalancerRank BalancerRanking::rank_of(const Endpoint& balancer, Instant now) const {
+  const auto found = ranks_.find(balancer);
+  const bool is_told = found != ranks_.end() && now - ranks_updated_at_ < kRankLifetime;
+  return is_told ? found->second : BalancerRank{};
+}
+
+}  // namespace gorsevalve
--- a/src/core/control/balancer_places.h
+++ b/src/core/control/balancer_ranking.h
@@ -11,37 +11,37 @@
 
 namespace gorsevalve {
 
-class BalancerPlaces {
+class BalancerRanking {
  public:
   /// A balancer that gets updates from this replica reported.
-  void on_heard(const Endpoint& balancer, Instant now);
+  void on_heartbeat(const Endpoint& balancer, Instant now);
 
   /// Balancers that reported to this replica lately, for its report to the leader.
   [[nodiscard]] std::vector<Endpoint> local_balancers(Instant now) const;
   /// What a follower was told of the balancers that it serves.
-  void on_told(const std::vector<PlacedBalancer>& told, Instant now);
+  void on_ranks_received(const std::vector<RankedBalancer>& told, Instant now);
 
   /// This replica leads from now on.
   void on_elected(Instant now);
   /// Balancers that a follower serves.
   void on_reported(const std::vector<Endpoint>& balancers, Instant now);
   /// Numbers the balancers that were heard; to be called while this replica leads.
-  void number_all(Instant now);
+  void assign_ranks(Instant now);
   /// The places of the balancers that a follower reported.
-  [[nodiscard]] std::vector<PlacedBalancer> places_of(const std::vector<Endpoint>& balancers,
-                                                      Instant now) const;
+  [[nodiscard]] std::vector<RankedBalancer> ranks_of(const std::vector<Endpoint>& balancers,
+                                                     Instant now) const;
 
   /// Place of one balancer; a count of 0 while it is not known, or was not confirmed for long.
-  [[nodiscard]] BalancerRank place_of(const Endpoint& balancer, Instant now) const;
+  [[nodiscard]] BalancerRank rank_of(const Endpoint& balancer, Instant now) const;
 
  private:
   /// When each balancer was heard here.
-  std::map<Endpoint, Instant> local_;
+  std::map<Endpoint, Instant> local_last_seen_;
   /// When each balancer was heard anywhere, at the leader.
-  std::map<Endpoint, Instant> heard_;
-  std::map<Endpoint, BalancerRank> places_;
-  Instant places_at_;
-  Instant numbers_from_;
+  std::map<Endpoint, Instant> last_seen_;
+  std::map<Endpoint, BalancerRank> ranks_;
+  Instant ranks_updated_at_;
+  Instant ranking_starts_at_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -9,19 +9,19 @@
 namespace gorsevalve {
 namespace {
 
-constexpr std::size_t kReportsRemembered = 16;
-constexpr Duration kNodeMemory = std::chrono::seconds(60);
+constexpr std::size_t kMaxPendingReports = 16;
+constexpr Duration kNodeExpiry = std::chrono::seconds(60);
 /// A balancer that waits to hear that this replica is current asks again within this time.
-constexpr Duration kWaitingMemory = std::chrono::seconds(2);
+constexpr Duration kWaitingExpiry = std::chrono::seconds(2);
 /// A follower whose reports no leader confirmed for this long answers neither targets nor members:
 /// the leader would take them for silent. Three reports.
 constexpr Duration kReportTimeout = 3 * control_timing::kHeartbeatInterval;
 /// Pause between two editions of the figures about targets.
-constexpr Duration kFiguresInterval = std::chrono::milliseconds(2000);
+constexpr Duration kHealthInterval = std::chrono::milliseconds(2000);
 /// The same, and between two reports, while a target has just refused a flow.
-constexpr Duration kTroubleInterval = std::chrono::milliseconds(100);
+constexpr Duration kFailureReportInterval = std::chrono::milliseconds(100);
 /// Editions of one term.
-constexpr unsigned kEditionBits = 32;
+constexpr unsigned kHealthVersionBits = 32;
 
 }  // namespace
 
@@ -40,14 +40,14 @@
 void ControlNode::on_replica_message(const ReplicaMessage& message, Instant now) {
   replica_->on_message(message, now);
   publisher_.push(now);
-  tell_waiting(now);
+  notify_waiting_nodes(now);
 }
 
 void ControlNode::on_node_message(const Endpoint& from, const NodeMessage& message, Instant now) {
   std::visit([&](const auto& body) { handle(from, body, now); }, message);
 }
 
-Duration ControlNode::lease_left(Instant now) const {
+Duration ControlNode::remaining_lease(Instant now) const {
   if (replica_->is_leader()) {
     return replica_->has_lease(now) ? control_timing::kBalancerLease : Duration::zero();
   }
@@ -66,7 +66,7 @@
   });
   HeartbeatReply reply;
   reply.sequence = heartbeat.sequence;
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(lease_left(now));
+  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(remaining_lease(now));
   reply.lease_ms = is_member ? static_cast<std::uint32_t>(left.count()) : 0;
   reply.may_stop = may_stop_.contains(heartbeat.member.address) ||
                    (!is_member && heartbeat.member.state == MemberState::kLeaving);
@@ -79,12 +79,12 @@
   for (const auto& replica : replica_->replicas().replicas) {
     reply.replicas.push_back(replica.address);
   }
-  reply.figures = figures_after(heartbeat.figures_edition);
-  reply.place = places_.place_of(heartbeat.member.address, now);
+  reply.health = health_update_since(heartbeat.health_version);
+  reply.rank = ranking_.rank_of(heartbeat.member.address, now);
   return reply;
 }
 
-void ControlNode::tell_waiting(Instant now) {
+void ControlNode::notify_waiting_nodes(Instant now) {
   if (waiting_nodes_.empty() || !replica_->is_current(now)) {
     return;
   }
@@ -102,11 +102,11 @@
 void ControlNode::handle(const Endpoint& from, const NodeHeartbeat& heartbeat, Instant now) {
   nodes_.on_heartbeat(heartbeat, now);
   if (heartbeat.wants_update) {
-    places_.on_heard(heartbeat.member.address, now);
+    ranking_.on_heartbeat(heartbeat.member.address, now);
   }
   const HeartbeatReply reply = reply_to(heartbeat, now);
-  board_.add(heartbeat.observations, now);
-  refusals_.on_observed(from, heartbeat.member.zone, heartbeat.observations, now);
+  health_aggregator_.add(heartbeat.observations, now);
+  refusal_relay_.on_observations(from, heartbeat.member.zone, heartbeat.observations, now);
   relay_refusals(now);
   output_.send_node(from, reply);
   if (reply.is_current) {
@@ -131,31 +131,32 @@
   }
   nodes_.on_report(report, now);
   for (const auto& target : report.targets) {
-    registrations_.on_reported(target.life, now - std::chrono::milliseconds(target.age_ms));
+    registrations_.on_follower_report(target.incarnation,
+                                      now - std::chrono::milliseconds(target.age_ms));
   }
-  board_.add(report.observations, now);
-  places_.on_reported(report.balancers, now);
+  health_aggregator_.add(report.observations, now);
+  ranking_.on_reported(report.balancers, now);
   const std::vector<Endpoint> may_stop =
       MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
-  output_.send_node(from,
-                    ReportReply{report.sequence, may_stop, figures_after(report.figures_edition),
-                                places_.places_of(report.balancers, now)});
+  output_.send_node(
+      from, ReportReply{report.sequence, may_stop, health_update_since(report.health_version),
+                        ranking_.ranks_of(report.balancers, now)});
 }
 
-void ControlNode::handle(const Endpoint& from, const TargetFigures& figures, Instant /*now*/) {
+void ControlNode::handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant /*now*/) {
   if (!replica_->is_leader() && from == replica_->leader_address()) {
-    take_figures(figures);
+    apply_target_health(figures);
   }
 }
 
-void ControlNode::take_figures(TargetFigures figures) {
-  const bool is_urgent =
-      figures.troubled() != figures_.troubled() || figures.unreachable() != figures_.unreachable();
-  figures_ = std::move(figures);
+void ControlNode::apply_target_health(TargetHealthUpdate figures) {
+  const bool is_urgent = figures.unhealthy() != target_health_.unhealthy() ||
+                         figures.unreachable() != target_health_.unreachable();
+  target_health_ = std::move(figures);
   if (!is_urgent) {
     return;
   }
-  const auto shared = std::make_shared<const NodeMessage>(figures_);
+  const auto shared = std::make_shared<const NodeMessage>(target_health_);
   if (replica_->is_leader()) {
     send_to_replicas(shared);
   }
@@ -175,13 +176,13 @@
   const bool is_replica = std::any_of(replicas.begin(), replicas.end(),
                                       [&](const auto& replica) { return replica.address == from; });
   if (is_replica) {
-    refusals_.on_told(told, now);
+    refusal_relay_.on_relayed(told, now);
     relay_refusals(now);
   }
 }
 
 void ControlNode::relay_refusals(Instant now) {
-  const RefusalRelay::Due due = refusals_.take_due(now);
+  const RefusalRelay::Outgoing due = refusal_relay_.take_outgoing(now);
   for (const auto& message : due.to_replicas) {
     send_to_replicas(std::make_shared<const NodeMessage>(message));
   }
@@ -190,8 +191,8 @@
   }
 }
 
-std::optional<TargetFigures> ControlNode::figures_after(std::uint64_t edition) const {
-  return edition == figures_.edition ? std::nullopt : std::optional(figures_);
+std::optional<TargetHealthUpdate> ControlNode::health_update_since(std::uint64_t edition) const {
+  return edition == target_health_.version ? std::nullopt : std::optional(target_health_);
 }
 
 void ControlNode::handle(const Endpoint& /*from*/, const ReportReply& reply, Instant now) {
@@ -201,38 +202,39 @@
   }
   confirmed_report_ = std::max(confirmed_report_.value_or(Instant{}), sent->second);
   may_stop_ = std::set<Endpoint>(reply.may_stop.begin(), reply.may_stop.end());
-  if (reply.figures) {
-    take_figures(*reply.figures);
+  if (reply.health) {
+    apply_target_health(*reply.health);
   }
   if (!replica_->is_leader()) {
-    places_.on_told(reply.places, now);
+    ranking_.on_ranks_received(reply.ranks, now);
   }
 }
 
 void ControlNode::report_to_leader(Instant now) {
   const std::optional<Endpoint> leader = replica_->leader_address();
-  const Duration pause =
-      board_.has_trouble() ? kTroubleInterval : Duration(control_timing::kHeartbeatInterval);
+  const Duration pause = health_aggregator_.has_failures()
+                             ? kFailureReportInterval
+                             : Duration(control_timing::kHeartbeatInterval);
   if (now - reported_at_ < pause || !leader || replica_->is_leader()) {
     return;
   }
   reported_at_ = now;
   ReplicaReport report{++report_sequence_, config_.address, nodes_.local_nodes(now)};
-  report.observations = board_.take_observations(now);
-  report.figures_edition = figures_.edition;
-  report.balancers = places_.local_balancers(now);
-  for (const auto& [id, heard] : std::exchange(heard_targets_, {})) {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - heard.at);
+  report.observations = health_aggregator_.take_observations(now);
+  report.health_version = target_health_.version;
+  report.balancers = ranking_.local_balancers(now);
+  for (const auto& [id, heard] : std::exchange(unreported_targets_, {})) {
+    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - heard.received_at);
     report.targets.push_back({{id, heard.started_at_ms}, static_cast<std::uint32_t>(age.count())});
   }
   reports_sent_[report.sequence] = now;
-  if (reports_sent_.size() > kReportsRemembered) {
+  if (reports_sent_.size() > kMaxPendingReports) {
     reports_sent_.erase(reports_sent_.begin());
   }
   output_.send_node(*leader, report);
 }
 
-void ControlNode::lead(Instant now) {
+void ControlNode::run_leader_tasks(Instant now) {
   if (!replica_->has_lease(now)) {
     return;
   }
@@ -241,12 +243,12 @@
     pending_members_ = 0;
     membership_.on_elected(now);
     registrations_.on_elected(now);
-    board_.clear();
-    places_.on_elected(now);
+    health_aggregator_.clear();
+    ranking_.on_elected(now);
   }
-  lead_registrations(now);
-  lead_figures(now);
-  places_.number_all(now);
+  check_target_timeouts(now);
+  update_target_health(now);
+  ranking_.assign_ranks(now);
   const std::vector<Endpoint> stop =
       MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
   may_stop_ = std::set<Endpoint>(stop.begin(), stop.end());
@@ -260,17 +262,18 @@
   }
 }
 
-void ControlNode::lead_figures(Instant now) {
-  const Duration pause = board_.has_trouble() ? kTroubleInterval : kFiguresInterval;
-  if (now - figures_at_ < pause) {
+void ControlNode::update_target_health(Instant now) {
+  const Duration pause =
+      health_aggregator_.has_failures() ? kFailureReportInterval : kHealthInterval;
+  if (now - health_evaluated_at_ < pause) {
     return;
   }
-  figures_at_ = now;
-  std::vector<TargetFigure> figures = board_.conclude(state_.fleet().steering, now);
-  if (figures != figures_.figures) {
+  health_evaluated_at_ = now;
+  std::vector<TargetHealth> figures = health_aggregator_.evaluate(state_.fleet().steering, now);
+  if (figures != target_health_.targets) {
     // Editions are told apart, not ordered; those of two leaders differ by their terms.
-    const std::uint64_t first_of_term = (replica_->term() << kEditionBits) + 1;
-    take_figures({std::max(figures_.edition + 1, first_of_term), std::move(figures)});
+    const std::uint64_t first_of_term = (replica_->term() << kHealthVersionBits) + 1;
+    apply_target_health({std::max(target_health_.version + 1, first_of_term), std::move(figures)});
   }
 }
 
@@ -288,7 +291,7 @@
   return proposal;
 }
 
-bool ControlNode::holds(const EvacuationCommand& command, Instant now) const {
+bool ControlNode::is_committed(const EvacuationCommand& command, Instant now) const {
   // A leader with a lease has committed all entries of earlier terms, so what may be under way is
   // what it proposed itself.
   const bool is_decided = last_evacuation_.term != replica_->term() ||
@@ -328,18 +331,18 @@
   replica_->on_tick(now);
   propose_forwarded(now);
   if (replica_->is_leader()) {
-    lead(now);
+    run_leader_tasks(now);
   } else {
     was_leader_ = false;
     report_to_leader(now);
   }
   relay_refusals(now);
-  nodes_.drop_older(now, kNodeMemory);
+  nodes_.drop_older(now, kNodeExpiry);
   publisher_.drop_timed_out(now);
   publisher_.push(now);
-  tell_waiting(now);
+  notify_waiting_nodes(now);
   std::erase_if(waiting_nodes_,
-                [&](const auto& one) { return now - one.second.at >= kWaitingMemory; });
+                [&](const auto& one) { return now - one.second.at >= kWaitingExpiry; });
 }
 
 SubmissionResult ControlNode::submit(const SettingsCommand& command, Instant now) {
@@ -377,15 +380,15 @@
   return result;
 }
 
-ForceStatus ControlNode::force_status() const {
-  ForceStatus status;
+RolloutStatus ControlNode::rollout_status() const {
+  RolloutStatus status;
   status.revision = state_.fleet().settings_revision;
   for (const auto& member : state_.fleet().members) {
     ++status.members;
     const NodeEntry* entry = nodes_.find(member.address);
     const bool in_force = entry != nullptr && entry->status.revision >= status.revision;
     if (in_force) {
-      ++status.in_force;
+      ++status.up_to_date;
     } else {
       status.lagging.push_back(member);
     }
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -8,16 +8,16 @@
 #include <set>
 #include <string>
 
-#include "core/control/balancer_places.h"
+#include "core/control/balancer_ranking.h"
 #include "core/control/control_output.h"
 #include "core/control/control_state.h"
-#include "core/control/figure_board.h"
 #include "core/control/membership.h"
 #include "core/control/node_messages.h"
 #include "core/control/node_registry.h"
 #include "core/control/refusal_relay.h"
 #include "core/control/registration_monitor.h"
 #include "core/control/replica.h"
+#include "core/control/target_health_aggregator.h"
 #include "core/control/update_publisher.h"
 
 namespace gorsevalve {
@@ -38,10 +38,10 @@
 };
 
 /// How far a settings revision has come.
-struct ForceStatus {
+struct RolloutStatus {
   Revision revision = 0;
   std::size_t members = 0;
-  std::size_t in_force = 0;
+  std::size_t up_to_date = 0;
   std::vector<Member> lagging;
 };
 
@@ -61,9 +61,9 @@
 /// What a replica can say of a target's announcement without the log.
 enum class AnnouncementStatus : std::uint8_t {
   /// The committed state says the same already.
-  kHeld = 0,
+  kCommitted = 0,
   /// It must go through the log.
-  kNews = 1,
+  kPropose = 1,
   /// This replica cannot tell: it neither leads nor reaches a leader.
   kNotLeader = 2,
   /// It must go through the log, and this follower reaches the leader: `forward` it.
@@ -92,22 +92,24 @@
   std::optional<Proposal> propose(const EvacuationCommand& command, Instant now);
   /// True when this replica can prove that the command is in force and that nothing under way
   /// undoes it: it may be acknowledged without an entry.
-  [[nodiscard]] bool holds(const EvacuationCommand& command, Instant now) const;
+  [[nodiscard]] bool is_committed(const EvacuationCommand& command, Instant now) const;
   [[nodiscard]] ProposalStatus status(const Proposal& proposal) const;
   /// Notes that a target was heard, and tells whether what it said is news. A follower that is
   /// current answers for what the committed state holds, too, and reports to the leader.
-  AnnouncementStatus hear(const RegisteredTarget& announced, Instant now);
+  AnnouncementStatus on_announcement(const RegisteredTarget& announced, Instant now);
   /// The life that the end of a target means, where the target need not tell its start. Of a
   /// target that nothing is known of, all lives that began until now, by the clock of this machine.
-  [[nodiscard]] TargetLife life_to_end(TargetId id, std::optional<TargetStart> started_at_ms,
-                                       TargetStart unix_now_ms) const;
+  [[nodiscard]] TargetIncarnation incarnation_to_end(TargetId id,
+                                                     std::optional<TargetStart> started_at_ms,
+                                                     TargetStart unix_now_ms) const;
   /// Whether the end of a target's life is news.
-  [[nodiscard]] AnnouncementStatus hear_end(const TargetLife& life, Instant now) const;
+  [[nodiscard]] AnnouncementStatus check_target_end(const TargetIncarnation& life,
+                                                    Instant now) const;
   /// Passes what targets said on to the leader; the log tells what became of it.
   void forward(const ForwardedRegistrations& said);
   /// True when the committed state holds what a target said, or something later.
-  [[nodiscard]] bool holds(const RegisteredTarget& announced) const;
-  [[nodiscard]] bool holds(const TargetLife& ended) const;
+  [[nodiscard]] bool is_committed(const RegisteredTarget& announced) const;
+  [[nodiscard]] bool is_committed(const TargetIncarnation& ended) const;
   /// The leader that this replica heard within an election timeout, by its address; nothing when
   /// it is this replica or unknown.
   [[nodiscard]] std::optional<Endpoint> other_leader(Instant now) const;
@@ -121,7 +123,7 @@
   }
 
   /// How many members have the present settings in force; meaningful on the leader.
-  [[nodiscard]] ForceStatus force_status() const;
+  [[nodiscard]] RolloutStatus rollout_status() const;
 
   [[nodiscard]] const Replica& replica() const { return *replica_; }
   [[nodiscard]] const ControlState& state() const { return state_; }
@@ -129,7 +131,7 @@
   /// How many balancers get updates from this replica.
   [[nodiscard]] std::size_t balancers_served() const { return publisher_.subscriber_count(); }
   /// What balancers are told of targets.
-  [[nodiscard]] const TargetFigures& figures() const { return figures_; }
+  [[nodiscard]] const TargetHealthUpdate& target_health() const { return target_health_; }
 
   void set_faults(const ControlFaults& faults) {
     faults_ = faults;
@@ -145,11 +147,11 @@
   std::optional<Proposal> propose_entry(EntryType type, Bytes payload, Instant now);
   [[nodiscard]] HeartbeatReply reply_to(const NodeHeartbeat& heartbeat, Instant now) const;
   /// Tells balancers that were answered by a replica that was not current that it is now.
-  void tell_waiting(Instant now);
+  void notify_waiting_nodes(Instant now);
   void report_to_leader(Instant now);
-  void lead(Instant now);
-  void lead_registrations(Instant now);
-  void handle(const Endpoint& from, const TargetFigures& figures, Instant now);
+  void run_leader_tasks(Instant now);
+  void check_target_timeouts(Instant now);
+  void handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant now);
   void handle(const Endpoint& from, const ForwardedRegistrations& said, Instant now);
   void handle(const Endpoint& from, const RefusingTargets& told, Instant now);
   /// Passes on which targets refuse probes.
@@ -159,11 +161,11 @@
   /// Proposes what followers have forwarded since the last tick, as one entry.
   void propose_forwarded(Instant now);
   /// Concludes what balancers should know of each other's observations.
-  void lead_figures(Instant now);
+  void update_target_health(Instant now);
   /// Keeps an edition, and sends it at once when other targets are troubled than before.
-  void take_figures(TargetFigures figures);
-  [[nodiscard]] std::optional<TargetFigures> figures_after(std::uint64_t edition) const;
-  [[nodiscard]] Duration lease_left(Instant now) const;
+  void apply_target_health(TargetHealthUpdate figures);
+  [[nodiscard]] std::optional<TargetHealthUpdate> health_update_since(std::uint64_t edition) const;
+  [[nodiscard]] Duration remaining_lease(Instant now) const;
   /// True when this replica leads, or when a leader has lately confirmed its reports: hearing the
   /// leader does not show that the leader hears this replica.
   [[nodiscard]] bool reaches_leader(Instant now) const;
@@ -178,19 +180,19 @@
   UpdatePublisher publisher_;
   MembershipController membership_;
   RegistrationMonitor registrations_{RegistrationTiming{}};
-  Instant next_conclusion_;
-  BalancerPlaces places_;
-  FigureBoard board_;
-  RefusalRelay refusals_;
-  TargetFigures figures_;
-  Instant figures_at_;
+  Instant next_timeout_check_;
+  BalancerRanking ranking_;
+  TargetHealthAggregator health_aggregator_;
+  RefusalRelay refusal_relay_;
+  TargetHealthUpdate target_health_;
+  Instant health_evaluated_at_;
   /// A target that this follower heard.
-  struct HeardLife {
+  struct LastAnnouncement {
     TargetStart started_at_ms = 0;
-    Instant at;
+    Instant received_at;
   };
   /// Since the last report to the leader.
-  std::map<TargetId, HeardLife> heard_targets_;
+  std::map<TargetId, LastAnnouncement> unreported_targets_;
   /// What followers forwarded to this leader since the last tick.
   RegistrationCommand forwarded_;
   bool was_leader_ = false;
--- a/src/core/control/control_node_targets.cc
+++ b/src/core/control/control_node_targets.cc
@@ -5,68 +5,69 @@
 #include <utility>
 
 #include "core/control/control_node.h"
-#include "core/control/target_lives.h"
+#include "core/control/target_incarnations.h"
 
 namespace gorsevalve {
 namespace {
 
 /// Pause between two looks at the silence of targets.
-constexpr Duration kConclusionInterval = std::chrono::milliseconds(500);
+constexpr Duration kTimeoutCheckInterval = std::chrono::milliseconds(500);
 
 }  // namespace
 
-AnnouncementStatus ControlNode::hear(const RegisteredTarget& announced, Instant now) {
+AnnouncementStatus ControlNode::on_announcement(const RegisteredTarget& announced, Instant now) {
   if (!replica_->is_current(now) || !reaches_leader(now)) {
     return AnnouncementStatus::kNotLeader;
   }
   const RegisteredTarget* known = find_target(state_.fleet().steering, announced.id);
-  const bool says_news = is_news(announced, known);
+  const bool says_news = changes_registration(announced, known);
   const bool leads = replica_->is_leader();
   // A late copy of an earlier life is no sign of the one that is known.
-  const bool is_believed = says_news || known->life() == announced.life();
+  const bool is_believed = says_news || known->incarnation() == announced.incarnation();
   if (is_believed && leads) {
-    registrations_.on_heard(announced.life(), now);
+    registrations_.on_announcement(announced.incarnation(), now);
   } else if (is_believed) {
-    heard_targets_[announced.id] = {announced.started_at_ms, now};
+    unreported_targets_[announced.id] = {announced.started_at_ms, now};
   }
   if (!says_news) {
-    return AnnouncementStatus::kHeld;
+    return AnnouncementStatus::kCommitted;
   }
-  return leads ? AnnouncementStatus::kNews : AnnouncementStatus::kForward;
+  return leads ? AnnouncementStatus::kPropose : AnnouncementStatus::kForward;
 }
 
-TargetLife ControlNode::life_to_end(TargetId id, std::optional<TargetStart> started_at_ms,
-                                    TargetStart unix_now_ms) const {
+TargetIncarnation ControlNode::incarnation_to_end(TargetId id,
+                                                  std::optional<TargetStart> started_at_ms,
+                                                  TargetStart unix_now_ms) const {
   if (started_at_ms) {
     return {id, *started_at_ms};
   }
   const RegisteredTarget* known = find_target(state_.fleet().steering, id);
-  return known == nullptr ? TargetLife{id, unix_now_ms} : known->life();
+  return known == nullptr ? TargetIncarnation{id, unix_now_ms} : known->incarnation();
 }
 
-AnnouncementStatus ControlNode::hear_end(const TargetLife& life, Instant now) const {
+AnnouncementStatus ControlNode::check_target_end(const TargetIncarnation& life, Instant now) const {
   if (!replica_->is_current(now) || !reaches_leader(now)) {
     return AnnouncementStatus::kNotLeader;
   }
-  if (holds(life)) {
-    return AnnouncementStatus::kHeld;
+  if (is_committed(life)) {
+    return AnnouncementStatus::kCommitted;
   }
-  return replica_->is_leader() ? AnnouncementStatus::kNews : AnnouncementStatus::kForward;
+  return replica_->is_leader() ? AnnouncementStatus::kPropose : AnnouncementStatus::kForward;
 }
 
-bool ControlNode::holds(const RegisteredTarget& announced) const {
+bool ControlNode::is_committed(const RegisteredTarget& announced) const {
   const RegisteredTarget* known = find_target(state_.fleet().steering, announced.id);
-  return !is_news(announced, known);
+  return !changes_registration(announced, known);
 }
 
-bool ControlNode::holds(const TargetLife& ended) const {
+bool ControlNode::is_committed(const TargetIncarnation& ended) const {
   const RegisteredTarget* known = find_target(state_.fleet().steering, ended.id);
   if (known == nullptr) {
     return false;
   }
-  const LifeOrder order = compare_lives(ended.started_at_ms, known->started_at_ms);
-  return order == LifeOrder::kEarlier ||
-         (order == LifeOrder::kSame && known->phase == TargetPhase::kEnded);
+  const IncarnationOrder order = compare_incarnations(ended.started_at_ms, known->started_at_ms);
+  return order == IncarnationOrder::kEarlier ||
+         (order == IncarnationOrder::kSame && known->phase == TargetPhase::kEnded);
 }
 
 void ControlNode::forward(const ForwardedRegistrations& said) {
@@ -83,12 +84,13 @@
   }
 }
 
-void ControlNode::lead_registrations(Instant now) {
-  if (now < next_conclusion_) {
+void ControlNode::check_target_timeouts(Instant now) {
+  if (now < next_timeout_check_) {
     return;
   }
-  next_conclusion_ = now + kConclusionInterval;
-  const RegistrationCommand conclusion = registrations_.conclude(state_.fleet().steering, now);
+  next_timeout_check_ = now + kTimeoutCheckInterval;
+  const RegistrationCommand conclusion =
+      registrations_.check_timeouts(state_.fleet().steering, now);
   if (!conclusion.empty()) {
     propose(conclusion, now);
   }
@@ -100,13 +102,13 @@
     return;
   }
   for (const auto& announced : said.announced) {
-    if (!holds(announced)) {
-      registrations_.on_heard(announced.life(), now);
+    if (!is_committed(announced)) {
+      registrations_.on_announcement(announced.incarnation(), now);
       forwarded_.announced.push_back(announced);
     }
   }
   std::copy_if(said.ended.begin(), said.ended.end(), std::back_inserter(forwarded_.ended),
-               [this](const TargetLife& life) { return !holds(life); });
+               [this](const TargetIncarnation& life) { return !is_committed(life); });
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -12,7 +12,7 @@
 using SharedNodeMessage = std::shared_ptr<const NodeMessage>;
 
 /// A balancer did not confirm what was sent to it, so it is sent again.
-struct RepeatedUpdate {
+struct UpdateRetransmission {
   Endpoint balancer;
   /// What the balancer has in force, and what was sent to it.
   Revision confirmed = 0;
@@ -32,7 +32,7 @@
     return send_node(to, *message);
   }
   /// Told when an update goes to a balancer again.
-  virtual void on_update_repeated(const RepeatedUpdate& /*repeated*/) {}
+  virtual void on_update_retransmitted(const UpdateRetransmission& /*repeated*/) {}
 };
 
 /// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -158,7 +158,7 @@
 
 void ControlState::add_delta(FleetDelta delta) {
   if (delta.steering) {
-    tokens_.follow(fleet_.steering, *delta.steering);
+    tokens_.apply(fleet_.steering, *delta.steering);
   }
   apply_delta(fleet_, delta, fleet_digest_);
   digest_ = fleet_digest_.value(fleet_);
--- a/src/core/control/fleet_digest.cc
+++ b/src/core/control/fleet_digest.cc
@@ -75,8 +75,8 @@
       element_sum_ -= element_digest(ElementKind::kFrontend, *before);
     }
   }
-  std::set<TargetId> targets(delta.steering->forgotten_targets.begin(),
-                             delta.steering->forgotten_targets.end());
+  std::set<TargetId> targets(delta.steering->removed_targets.begin(),
+                             delta.steering->removed_targets.end());
   for (const auto& target : delta.steering->upserted_targets) {
     targets.insert(target.id);
   }
--- a/src/core/control/membership.cc
+++ b/src/core/control/membership.cc
@@ -34,7 +34,7 @@
     const NodeEntry* entry = nodes.find(member.address);
     const bool replaced =
         entry != nullptr && entry->status.member.incarnation != member.incarnation;
-    const bool silent = entry == nullptr || now - entry->heard_at > control_timing::kMemberTimeout;
+    const bool silent = entry == nullptr || now - entry->last_seen > control_timing::kMemberTimeout;
     if (silent || replaced) {
       change.removed.push_back(member.address);
     }
@@ -45,7 +45,7 @@
                                                 Instant now, MembersCommand& change) const {
   bool any = false;
   for (const auto& [address, entry] : nodes.nodes()) {
-    if (now - entry.heard_at > control_timing::kMemberTimeout) {
+    if (now - entry.last_seen > control_timing::kMemberTimeout) {
       continue;
     }
     const Member& seen = entry.status.member;
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -11,7 +11,7 @@
 #include "core/control/control_state.h"
 #include "model/balancer_rank.h"
 #include "model/fleet.h"
-#include "model/target_figures.h"
+#include "model/target_health.h"
 
 namespace gorsevalve {
 
@@ -30,7 +30,7 @@
   /// What it saw of targets since its last report.
   std::vector<TargetObservation> observations{};
   /// Edition of the figures that it has.
-  std::uint64_t figures_edition = 0;
+  std::uint64_t health_version = 0;
   /// An update came that does not follow `revision`: one before it was lost.
   bool has_gap = false;
   /// Raised each time the balancer gives a replica up: what replicas sent before may be lost.
@@ -39,7 +39,7 @@
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& sequence& member& revision& digest& settled_revision& wants_update;
-    archive& observations& figures_edition& has_gap& session;
+    archive& observations& health_version& has_gap& session;
   }
 };
 
@@ -57,27 +57,27 @@
   /// Zone of the replica that answers; empty when it does not know.
   std::string zone{};
   /// Set when the balancer has another edition.
-  std::optional<TargetFigures> figures{};
+  std::optional<TargetHealthUpdate> health{};
   /// The balancer's place among all of them; a count of 0 while it is not known.
-  BalancerRank place{};
+  BalancerRank rank{};
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& sequence& lease_ms& may_stop& is_current& revision& replicas& zone& figures& place;
+    archive& sequence& lease_ms& may_stop& is_current& revision& replicas& zone& health& rank;
   }
 };
 
 /// Replica to balancer: the changes after its revision, or the whole state.
 struct FleetUpdate {
   std::vector<FleetDelta> deltas;
-  bool is_whole = false;
-  FleetState whole;
+  bool is_snapshot = false;
+  FleetState snapshot;
   /// Digest after all changes.
   std::uint64_t digest = 0;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& deltas& is_whole& whole& digest;
+    archive& deltas& is_snapshot& snapshot& digest;
   }
 };
 
@@ -96,14 +96,14 @@
 };
 
 /// A target that a follower heard.
-struct HeardTarget {
-  TargetLife life;
+struct ReportedTarget {
+  TargetIncarnation incarnation;
   /// Time since it was heard last.
   std::uint32_t age_ms = 0;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& life& age_ms;
+    archive& incarnation& age_ms;
   }
 };
 
@@ -114,17 +114,17 @@
   Endpoint replica;
   std::vector<NodeStatus> nodes;
   /// Targets heard since the report before.
-  std::vector<HeardTarget> targets{};
+  std::vector<ReportedTarget> targets{};
   /// What the balancers that it serves saw of targets since the report before.
   std::vector<TargetObservation> observations{};
   /// Edition of the figures that it has.
-  std::uint64_t figures_edition = 0;
+  std::uint64_t health_version = 0;
   /// All balancers that it serves, observers too.
   std::vector<Endpoint> balancers{};
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& sequence& replica& nodes& targets& observations& figures_edition& balancers;
+    archive& sequence& replica& nodes& targets& observations& health_version& balancers;
   }
 };
 
@@ -134,13 +134,13 @@
   /// Leaving balancers that may end.
   std::vector<Endpoint> may_stop;
   /// Set when the follower has another edition.
-  std::optional<TargetFigures> figures{};
+  std::optional<TargetHealthUpdate> health{};
   /// Places of the reported balancers; none while the leader does not know all balancers.
-  std::vector<PlacedBalancer> places{};
+  std::vector<RankedBalancer> ranks{};
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& sequence& may_stop& figures& places;
+    archive& sequence& may_stop& health& ranks;
   }
 };
 
@@ -148,7 +148,7 @@
 /// There is no answer: the follower sees in its own log what became of it.
 struct ForwardedRegistrations {
   std::vector<RegisteredTarget> announced;
-  std::vector<TargetLife> ended;
+  std::vector<TargetIncarnation> ended;
 
   [[nodiscard]] bool empty() const { return announced.empty() && ended.empty(); }
 
@@ -161,6 +161,6 @@
 /// Any message between balancers and replicas about the fleet.
 using NodeMessage =
     std::variant<NodeHeartbeat, HeartbeatReply, FleetUpdate, ReplicaReport, ReportReply,
-                 TargetFigures, ForwardedRegistrations, RefusingTargets>;
+                 TargetHealthUpdate, ForwardedRegistrations, RefusingTargets>;
 
 }  // namespace gorsevalve
--- a/src/core/control/node_registry.cc
+++ b/src/core/control/node_registry.cc
@@ -6,7 +6,7 @@
 
 void NodeRegistry::merge(const NodeStatus& status, Instant heard_at, bool is_local) {
   NodeEntry& entry = nodes_[status.member.address];
-  if (heard_at >= entry.heard_at) {
+  if (heard_at >= entry.last_seen) {
     entry = {status, heard_at, is_local};
   }
 }
@@ -24,7 +24,7 @@
 std::vector<NodeStatus> NodeRegistry::local_nodes(Instant now) const {
   std::vector<NodeStatus> nodes;
   for (const auto& [address, entry] : nodes_) {
-    const Duration age = now - entry.heard_at;
+    const Duration age = now - entry.last_seen;
     const bool counts = entry.status.member.state != MemberState::kObserver;
     if (counts && entry.is_local && age < control_timing::kMemberTimeout) {
       nodes.push_back(entry.status);
--- a/src/core/control/node_registry.h
+++ b/src/core/control/node_registry.h
@@ -12,7 +12,7 @@
 struct NodeEntry {
   NodeStatus status;
   /// When the node was last heard, directly or by a report.
-  Instant heard_at;
+  Instant last_seen;
   /// True when it heartbeats to this replica.
   bool is_local = false;
 };
--- a/src/core/control/refusal_relay.cc
+++ b/src/core/control/refusal_relay.cc
@@ -2,48 +2,50 @@
 
 namespace gorsevalve {
 
-bool RefusalRelay::may_claim(const Endpoint& balancer, Instant now) {
-  Claims& claims = claims_[balancer];
-  if (now - claims.since >= kClaimTime) {
+bool RefusalRelay::allows_report(const Endpoint& balancer, Instant now) {
+  ReportWindow& claims = report_windows_[balancer];
+  if (now - claims.started_at >= kReportWindow) {
     claims = {now, 0};
   }
-  return ++claims.count <= kMaxClaims;
+  return ++claims.count <= kMaxReportedTargets;
 }
 
-bool RefusalRelay::note(const std::string& zone, FlowToken token, Instant now) {
-  const auto [found, is_new] = noted_.try_emplace({zone, token}, now);
-  const bool is_due = is_new || now - found->second >= kToldFor;
+bool RefusalRelay::mark_relayed(const std::string& zone, FlowToken token, Instant now) {
+  const auto [found, is_new] = relayed_at_.try_emplace({zone, token}, now);
+  const bool is_due = is_new || now - found->second >= kSuppressionTime;
   if (is_due) {
     found->second = now;
   }
   return is_due;
 }
 
-void RefusalRelay::on_observed(const Endpoint& balancer, const std::string& zone,
-                               const std::vector<TargetObservation>& observations, Instant now) {
+void RefusalRelay::on_observations(const Endpoint& balancer, const std::string& zone,
+                                   const std::vector<TargetObservation>& observations,
+                                   Instant now) {
   for (const auto& seen : observations) {
-    const bool counts = seen.refusing > 0 && may_claim(balancer, now);
-    if (counts && note(zone, seen.token, now)) {
+    const bool counts = seen.refused_probes > 0 && allows_report(balancer, now);
+    if (counts && mark_relayed(zone, seen.token, now)) {
       for_replicas_[zone].insert(seen.token);
       for_balancers_[zone].insert(seen.token);
     }
   }
 }
 
-void RefusalRelay::on_told(const RefusingTargets& told, Instant now) {
+void RefusalRelay::on_relayed(const RefusingTargets& told, Instant now) {
   for (const FlowToken token : told.targets) {
-    if (note(told.zone, token, now)) {
+    if (mark_relayed(told.zone, token, now)) {
       for_balancers_[told.zone].insert(token);
     }
   }
 }
 
-void RefusalRelay::drop_old(Instant now) {
-  std::erase_if(noted_, [&](const auto& one) { return now - one.second >= kToldFor; });
-  std::erase_if(claims_, [&](const auto& one) { return now - one.second.since >= kClaimTime; });
+void RefusalRelay::drop_expired(Instant now) {
+  std::erase_if(relayed_at_, [&](const auto& one) { return now - one.second >= kSuppressionTime; });
+  std::erase_if(report_windows_,
+                [&](const auto& one) { return now - one.second.since >= kReportWindow; });
 }
 
-std::vector<RefusingTargets> RefusalRelay::take(Pending& pending) {
+std::vector<RefusingTargets> RefusalRelay::take_messages(Pending& pending) {
   std::vector<RefusingTargets> messages;
   for (auto& [zone, tokens] : pending) {
     RefusingTargets message{zone, {}};
@@ -56,14 +58,14 @@
   return messages;
 }
 
-RefusalRelay::Due RefusalRelay::take_due(Instant now) {
+RefusalRelay::Outgoing RefusalRelay::take_outgoing(Instant now) {
   const bool is_empty = for_replicas_.empty() && for_balancers_.empty();
-  if (is_empty || now - sent_at_ < kPause) {
+  if (is_empty || now - sent_at_ < kSendInterval) {
     return {};
   }
   sent_at_ = now;
-  drop_old(now);
-  return {take(for_replicas_), take(for_balancers_)};
+  drop_expired(now);
+  return {take_messages(for_replicas_), take_messages(for_balancers_)};
 }
 
 }  // namespace gorsevalve
--- /dev/null
+++ b/src/core/control/registration_delta_builder.cc
@@ -0,0 +1,97 @@
+#include "core/control/registration_delta_builder.h"
+
+#include <utility>
+
+#include "core/control/steering_commands.h"
+#include "core/control/target_incarnations.h"
+
+namespace gorsevalve {
+namespace {
+
+/// Multiplier of the Fibonacci hash (Knuth, "The art of computer programming", volume 3, 6.4).
+constexpr std::uint64_t kTokenMultiplier = 0x9E3779B97F4A7C15ULL;
+
+}  // namespace
+
+FlowToken RegistrationDeltaBuilder::choose_token(TargetId id) const {
+  auto token = static_cast<FlowToken>((id * kTokenMultiplier) >> 32U);
+  while (token == 0 || tokens_.contains(token) || new_tokens_.contains(token)) {
+    ++token;
+  }
+  return token;
+}
+
+void RegistrationDeltaBuilder::announce(RegisteredTarget announced) {
+  const RegisteredTarget* known = find_current(announced.id);
+  if (!changes_registration(announced, known)) {
+    return;
+  }
+  announced.token = known == nullptr ? choose_token(announced.id) : known->token;
+  put(std::move(announced));
+}
+
+void RegistrationDeltaBuilder::set_phase(const TargetIncarnation& life, TargetPhase phase) {
+  const RegisteredTarget* known = find_current(life.id);
+  if (known == nullptr || known->incarnation() != life || known->phase >= phase) {
+    return;
+  }
+  RegisteredTarget changed = *known;
+  changed.phase = phase;
+  put(std::move(changed));
+}
+
+void RegistrationDeltaBuilder::mark_silent(const TargetIncarnation& life) {
+  set_phase(life, TargetPhase::kSilent);
+}
+
+void RegistrationDeltaBuilder::mark_ended(const TargetIncarnation& life) {
+  const RegisteredTarget* known = find_current(life.id);
+  const bool is_unknown =
+      known == nullptr ||
+      compare_incarnations(life.started_at_ms, known->started_at_ms) == IncarnationOrder::kLater;
+  if (!is_unknown) {
+    set_phase(life, TargetPhase::kEnded);
+    return;
+  }
+  RegisteredTarget ended = known == nullptr ? RegisteredTarget{} : *known;
+  ended.token = known == nullptr ? choose_token(life.id) : known->token;
+  ended.id = life.id;
+  ended.started_at_ms = life.started_at_ms;
+  ended.sequence = 0;
+  ended.phase = TargetPhase::kEnded;
+  put(std::move(ended));
+}
+
+void RegistrationDeltaBuilder::remove(const TargetIncarnation& life) {
+  const RegisteredTarget* known = find_current(life.id);
+  if (known != nullptr && known->incarnation() == life && known->phase == TargetPhase::kEnded &&
+      !changed_index_.contains(life.id)) {
+    delta_.removed_targets.push_back(life.id);
+  }
+}
+
+std::optional<SteeringDelta> RegistrationDeltaBuilder::take_delta() {
+  if (delta_.upserted_targets.empty() && delta_.removed_targets.empty()) {
+    return std::nullopt;
+  }
+  return std::move(delta_);
+}
+
+const RegisteredTarget* RegistrationDeltaBuilder::find_current(TargetId id) const {
+  const auto changed = changed_index_.find(id);
+  return changed == changed_index_.end() ? find_target(state_, id)
+                                         : &delta_.upserted_targets[changed->second];
+}
+
+void RegistrationDeltaBuilder::put(RegisteredTarget target) {
+  new_tokens_.insert(target.token);
+  const auto [place, is_new] =
+      changed_index_.try_emplace(target.id, delta_.upserted_targets.size());
+  if (is_new) {
+    delta_.upserted_targets.push_back(std::move(target));
+  } else {
+    delta_.upserted_targets[place->second] = std::move(target);
+  }
+}
+
+}  // namespace gorsevalve
--- a/src/core/control/registration_change.h
+++ b/src/core/control/registration_delta_builder.h
@@ -13,10 +13,10 @@
 
 namespace gorsevalve {
 
-class RegistrationChange {
+class RegistrationDeltaBuilder {
  public:
   /// `tokens` holds the tokens of all targets of `state`.
-  RegistrationChange(const SteeringState& state, const TokenIndex& tokens)
+  RegistrationDeltaBuilder(const SteeringState& state, const TokenIndex& tokens)
       : state_(state), tokens_(tokens) {}
 
   /// Takes an announcement where it is news; a later life replaces what is known of its target, but
@@ -24,19 +24,19 @@
   /// their callers sooner than silence would.
   void announce(RegisteredTarget announced);
   /// Nothing was heard of a life for too long.
-  void silence(const TargetLife& life);
+  void mark_silent(const TargetIncarnation& life);
   /// A life has ended. One that was not known is remembered, so that a late announcement of it is
   /// refused.
-  void end(const TargetLife& life);
+  void mark_ended(const TargetIncarnation& life);
   /// Nothing refers to an ended life any more.
-  void forget(const TargetLife& life);
+  void remove(const TargetIncarnation& life);
 
   /// What has changed; nothing when nothing has.
-  std::optional<SteeringDelta> take();
+  std::optional<SteeringDelta> take_delta();
 
  private:
-  [[nodiscard]] const RegisteredTarget* current(TargetId id) const;
-  void set_phase(const TargetLife& life, TargetPhase phase);
+  [[nodiscard]] const RegisteredTarget* find_current(TargetId id) const;
+  void set_phase(const TargetIncarnation& life, TargetPhase phase);
   [[nodiscard]] FlowToken choose_token(TargetId id) const;
   void put(RegisteredTarget target);
 
@@ -45,7 +45,7 @@
   /// Tokens that this change gives to targets that had none.
   absl::flat_hash_set<FlowToken> new_tokens_;
   /// Where a target stands among the changed ones.
-  absl::flat_hash_map<TargetId, std::size_t> changed_at_;
+  absl::flat_hash_map<TargetId, std::size_t> changed_index_;
   SteeringDelta delta_;
 };
 
--- a/src/core/control/registration_monitor.h
+++ b/src/core/control/registration_monitor.h
@@ -16,7 +16,7 @@
   /// A silent target that does not come back has ended.
   Duration ended_after = std::chrono::seconds(40);
   /// An ended target is remembered for this long: its open flows may still need it.
-  Duration forgotten_after = std::chrono::seconds(120);
+  Duration remove_after = std::chrono::seconds(120);
 };
 
 class RegistrationMonitor {
@@ -26,28 +26,28 @@
   /// Forgets what an earlier leadership heard.
   void on_elected(Instant now);
   /// A target was heard here; its life is the known one, or about to be.
-  void on_heard(const TargetLife& life, Instant now);
+  void on_announcement(const TargetIncarnation& life, Instant now);
   /// A follower heard a target, and tells of it later. It may be behind, and mean an earlier life.
-  void on_reported(const TargetLife& life, Instant heard_at);
+  void on_follower_report(const TargetIncarnation& life, Instant heard_at);
   /// What follows from the time that has passed; empty when nothing does.
-  [[nodiscard]] RegistrationCommand conclude(const SteeringState& state, Instant now);
+  [[nodiscard]] RegistrationCommand check_timeouts(const SteeringState& state, Instant now);
 
  private:
   /// Something that was seen of one life of a target.
-  struct Sighting {
+  struct TimedIncarnation {
     TargetStart started_at_ms = 0;
     Instant at;
   };
 
   /// When the life was heard last, or this leadership began.
-  [[nodiscard]] Instant heard_at(const RegisteredTarget& target) const;
+  [[nodiscard]] Instant last_seen(const RegisteredTarget& target) const;
   /// When this leader first saw the life as ended.
   Instant ended_at(const RegisteredTarget& target, Instant now);
 
   RegistrationTiming timing_;
   Instant elected_at_;
-  absl::flat_hash_map<TargetId, Sighting> heard_;
-  absl::flat_hash_map<TargetId, Sighting> ended_;
+  absl::flat_hash_map<TargetId, TimedIncarnation> last_seen_;
+  absl::flat_hash_map<TargetId, TimedIncarnation> ended_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/control/steering_commands.cc
+++ b/src/core/control/steering_commands.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "core/control/registration_change.h"
+#include "core/control/registration_delta_builder.h"
 
 namespace gorsevalve {
 namespace {
@@ -26,7 +26,7 @@
 }
 
 /// A change of more than this share of a list, inverted, is merged as a whole.
-constexpr std::size_t kMergeShare = 8;
+constexpr std::size_t kMergeDivisor = 8;
 
 /// Where a frontend with this address stands, or would stand.
 template <typename Frontends>
@@ -69,7 +69,7 @@
 /// ones out. A small change of a long list costs little.
 void update_frontends(std::vector<Frontend>& frontends, const SteeringDelta& delta) {
   const std::size_t changes = delta.upserted_frontends.size() + delta.removed_frontends.size();
-  if (changes * kMergeShare < frontends.size()) {
+  if (changes * kMergeDivisor < frontends.size()) {
     update_one_by_one(frontends, delta);
   } else {
     merge_all(frontends, delta);
@@ -119,20 +119,20 @@
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const RegistrationCommand& command,
                                             const TokenIndex& tokens) {
-  RegistrationChange change(state, tokens);
+  RegistrationDeltaBuilder change(state, tokens);
   for (const auto& announced : command.announced) {
     change.announce(announced);
   }
-  for (const TargetLife& life : command.silent) {
-    change.silence(life);
+  for (const TargetIncarnation& life : command.silent) {
+    change.mark_silent(life);
   }
-  for (const TargetLife& life : command.ended) {
-    change.end(life);
+  for (const TargetIncarnation& life : command.ended) {
+    change.mark_ended(life);
   }
-  for (const TargetLife& life : command.forgotten) {
-    change.forget(life);
+  for (const TargetIncarnation& life : command.removed) {
+    change.remove(life);
   }
-  return change.take();
+  return change.take_delta();
 }
 
 void apply_steering_delta(SteeringState& state, const SteeringDelta& delta) {
@@ -143,7 +143,7 @@
     settings.pools = delta.pools;
     update_frontends(settings.frontends, delta);
   }
-  for (const TargetId id : delta.forgotten_targets) {
+  for (const TargetId id : delta.removed_targets) {
     state.targets.erase(id);
   }
   for (const auto& target : delta.upserted_targets) {
--- a/src/core/control/steering_commands.h
+++ b/src/core/control/steering_commands.h
@@ -28,19 +28,19 @@
   /// Announcements; `token` is chosen when the command is applied.
   std::vector<RegisteredTarget> announced;
   /// Lives that ended.
-  std::vector<TargetLife> ended;
+  std::vector<TargetIncarnation> ended;
   /// Lives whose heartbeats stopped.
-  std::vector<TargetLife> silent;
+  std::vector<TargetIncarnation> silent;
   /// Ended lives that nothing refers to any more.
-  std::vector<TargetLife> forgotten;
+  std::vector<TargetIncarnation> removed;
 
   [[nodiscard]] bool empty() const {
-    return announced.empty() && ended.empty() && silent.empty() && forgotten.empty();
+    return announced.empty() && ended.empty() && silent.empty() && removed.empty();
   }
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& announced& ended& silent& forgotten;
+    archive& announced& ended& silent& removed;
   }
 };
 
--- a/src/core/control/target_lives.cc
+++ b/src/core/control/target_incarnations.cc
@@ -1,9 +1,9 @@
-#include "core/control/target_lives.h"
+#include "core/control/target_incarnations.h"
 
 namespace gorsevalve {
 namespace {
 
-bool says_the_same(const RegisteredTarget& announced, const RegisteredTarget& known) {
+bool is_same_registration(const RegisteredTarget& announced, const RegisteredTarget& known) {
   // Whether it is cold is news, not how much of the warm-up is left: two entries a warm-up. Where
   // more is left than before, it has turned cold again.
   const bool is_as_warm = (known.warm_up_ms == 0) == (announced.warm_up_ms == 0) &&
@@ -14,9 +14,9 @@
          is_as_warm;
 }
 
-bool is_news_within_life(const RegisteredTarget& announced, const RegisteredTarget& known) {
+bool changes_within_incarnation(const RegisteredTarget& announced, const RegisteredTarget& known) {
   const bool is_late = announced.sequence <= known.sequence;
-  if (known.phase == TargetPhase::kEnded || is_late || says_the_same(announced, known)) {
+  if (known.phase == TargetPhase::kEnded || is_late || is_same_registration(announced, known)) {
     return false;
   }
   const bool returns_from_draining =
@@ -26,23 +26,23 @@
 
 }  // namespace
 
-LifeOrder compare_lives(TargetStart start, TargetStart known) {
+IncarnationOrder compare_incarnations(TargetStart start, TargetStart known) {
   if (start == known) {
-    return LifeOrder::kSame;
+    return IncarnationOrder::kSame;
   }
-  return start < known ? LifeOrder::kEarlier : LifeOrder::kLater;
+  return start < known ? IncarnationOrder::kEarlier : IncarnationOrder::kLater;
 }
 
-bool is_news(const RegisteredTarget& announced, const RegisteredTarget* known) {
+bool changes_registration(const RegisteredTarget& announced, const RegisteredTarget* known) {
   if (known == nullptr) {
     return true;
   }
-  switch (compare_lives(announced.started_at_ms, known->started_at_ms)) {
-    case LifeOrder::kSame:
-      return is_news_within_life(announced, *known);
-    case LifeOrder::kLater:
+  switch (compare_incarnations(announced.started_at_ms, known->started_at_ms)) {
+    case IncarnationOrder::kSame:
+      return changes_within_incarnation(announced, *known);
+    case IncarnationOrder::kLater:
       return true;
-    case LifeOrder::kEarlier:
+    case IncarnationOrder::kEarlier:
       break;
   }
   // A target whose clock was set back starts earlier than it did before. Its life is believed once
--- a/src/core/control/target_lives.h
+++ b/src/core/control/target_incarnations.h
@@ -9,7 +9,7 @@
 namespace gorsevalve {
 
 /// A life beside the one that is known of the same target.
-enum class LifeOrder : std::uint8_t {
+enum class IncarnationOrder : std::uint8_t {
   kEarlier = 0,
   kSame = 1,
   kLater = 2,
@@ -17,11 +17,12 @@
 
 /// Orders lives of one target by their starts. One that doesn't tell its start counts as the
 /// earliest: it may be a late copy of anything.
-[[nodiscard]] LifeOrder compare_lives(TargetStart start, TargetStart known);
+[[nodiscard]] IncarnationOrder compare_incarnations(TargetStart start, TargetStart known);
 
 /// True when an announcement changes what is known of its target: it is not late, and says
 /// something else, or begins another life. `known` is nullptr for a target that nothing is known
 /// of.
-[[nodiscard]] bool is_news(const RegisteredTarget& announced, const RegisteredTarget* known);
+[[nodiscard]] bool changes_registration(const RegisteredTarget& announced,
+                                        const RegisteredTarget* known);
 
 }  // namespace gorsevalve
--- a/src/core/control/token_index.cc
+++ b/src/core/control/token_index.cc
@@ -11,8 +11,8 @@
   }
 }
 
-void TokenIndex::follow(const SteeringState& before, const SteeringDelta& delta) {
-  for (const TargetId id : delta.forgotten_targets) {
+void TokenIndex::apply(const SteeringState& before, const SteeringDelta& delta) {
+  for (const TargetId id : delta.removed_targets) {
     if (const RegisteredTarget* known = find_target(before, id)) {
       tokens_.erase(known->token);
     }
--- a/src/core/control/token_index.h
+++ b/src/core/control/token_index.h
@@ -15,7 +15,7 @@
 
   [[nodiscard]] bool contains(FlowToken token) const { return tokens_.contains(token); }
   /// Follows a change; `before` is the state that it is about to be applied to.
-  void follow(const SteeringState& before, const SteeringDelta& delta);
+  void apply(const SteeringState& before, const SteeringDelta& delta);
 
  private:
   absl::flat_hash_set<FlowToken> tokens_;
--- a/src/core/control/update_publisher.cc
+++ b/src/core/control/update_publisher.cc
@@ -21,7 +21,7 @@
 bool UpdatePublisher::is_subscribed(const Endpoint& address, Instant now) const {
   const NodeEntry* entry = nodes_.find(address);
   return entry != nullptr && entry->is_local &&
-         now - entry->heard_at < control_timing::kMemberTimeout;
+         now - entry->last_seen < control_timing::kMemberTimeout;
 }
 
 void UpdatePublisher::on_heartbeat(const Endpoint& from, const NodeHeartbeat& heartbeat,
@@ -59,7 +59,7 @@
 void UpdatePublisher::send_catch_up(const Endpoint& to, const NodeHeartbeat& heartbeat,
                                     UpdateProgress& progress, Instant now) {
   if (progress.sent_revision() > heartbeat.revision) {
-    output_.on_update_repeated(
+    output_.on_update_retransmitted(
         {to, heartbeat.revision, progress.sent_revision(), heartbeat.has_gap});
   }
   if (send_update(to, heartbeat.revision, heartbeat.digest)) {
@@ -108,8 +108,8 @@
   } else if (shared == nullptr) {
     FleetUpdate update;
     update.digest = state_.digest();
-    update.is_whole = true;
-    update.whole = fleet;
+    update.is_snapshot = true;
+    update.snapshot = fleet;
     shared = std::make_shared<const NodeMessage>(std::move(update));
   }
   return shared;
--- a/src/core/link/bulk_admission.h
+++ b/src/core/link/bulk_admission.h
@@ -34,8 +34,8 @@
   bool admits(const SteeredFlow& flow, Duration timeout, Instant now);
   /// A packet of an open flow passed, with this much data that is not a copy, in octets.
   void on_data(const SteeredFlow& flow, std::size_t octets, Instant now);
-  /// The flow's caller ended it, or was told that it has ended. `is_whole`: the caller closed it,
-  /// so its size tells of others.
+  /// The flow's caller ended it, or was told that it has ended. `is_snapshot`: the caller closed
+  /// it, so its size tells of others.
   void on_end(const SteeredFlow& flow, bool is_whole);
   /// Forgets flows that went silent; to be called about once a second.
   void on_tick(Instant now);
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -79,7 +79,7 @@
                                   const PacketPatience& patience, Instant now);
   /// The next datagram that may leave now; nothing when none waits or the link has no room yet.
   std::optional<DueDatagram> take_due(Instant now);
-  /// When `take_due` should be called next; nothing when nothing waits.
+  /// When `take_outgoing` should be called next; nothing when nothing waits.
   [[nodiscard]] std::optional<Instant> next_turn() const;
 
   /// The caller ended the flow: what waits of it is of no use.
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -103,7 +103,7 @@
       mark_replaced(target, [](const RegisteredTarget& /*other*/) { return true; });
     }
   }
-  for (const TargetId id : delta.forgotten_targets) {
+  for (const TargetId id : delta.removed_targets) {
     scores_.on_forgotten(id);
     warm_up_.forget(id);
     reachability_.forget(id);
@@ -291,7 +291,7 @@
   reachability_.suspect(target, scores_.latest_answered(kReferenceTargets, target, now), now);
 }
 
-void FlowSteering::set_figures(const std::vector<TargetFigure>& figures, Instant now) {
+void FlowSteering::set_target_health(const std::vector<TargetHealth>& figures, Instant now) {
   for (const TargetId id : scores_.set_target_health(figures)) {
     if (scores_.at(id).open_flows > 0) {
       suspect_target(id, now);
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -123,12 +123,12 @@
   /// True when one refused a probe since then: others must know at once, while the rest may wait.
   /// Openings and requests without an answer are no news where queues are full.
   [[nodiscard]] bool has_refused_probe() const { return scores_.has_refused_probe(); }
-  void set_figures(const std::vector<TargetFigure>& figures, Instant now);
+  void set_target_health(const std::vector<TargetHealth>& figures, Instant now);
   /// Other balancers were refused by these targets just now.
   void on_refusing(const RefusingTargets& told, Instant now);
 
   /// This balancer's place among all of them; a count of 0 while it is not known.
-  void set_place(const BalancerRank& place, Instant now) { warm_up_.set_rank(place, now); }
+  void set_balancer_rank(const BalancerRank& place, Instant now) { warm_up_.set_rank(place, now); }
   [[nodiscard]] const WarmUpBudget& warm_up() const { return warm_up_; }
   /// Targets that turned cold since the last call, in the order of their ids, and those that are
   /// warm now.
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -139,7 +139,7 @@
 
 void FlowSteering::probe_neighbors(Instant now) {
   const std::uint64_t parts = probe_partitions();
-  const std::uint64_t own_part = warm_up_.rank().number % parts;
+  const std::uint64_t own_part = warm_up_.rank().index % parts;
   std::set<TargetId> chosen;
   view_.visit_targets([&](const RegisteredTarget& target) {
     const bool may_be_used = target.phase == TargetPhase::kReady && target.zone == zone_;
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -23,7 +23,7 @@
 constexpr Duration kMinIdleBeforeReset = std::chrono::milliseconds(50);
 
 bool is_non_idempotent(RequestClass request_class) {
-  return request_class == RequestClass::kOnceOnly || request_class == RequestClass::kUpload;
+  return request_class == RequestClass::kNonIdempotent || request_class == RequestClass::kUpload;
 }
 
 }  // namespace
--- a/src/core/steering/steering_view.cc
+++ b/src/core/steering/steering_view.cc
@@ -50,7 +50,7 @@
       upsert_frontend(frontend);
     }
   }
-  for (const TargetId id : delta.forgotten_targets) {
+  for (const TargetId id : delta.removed_targets) {
     forget_target(id);
   }
   for (const auto& target : delta.upserted_targets) {
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -29,7 +29,7 @@
   Duration timeout{0};
   /// Within this time an answer is worth most to its caller.
   Duration latency_objective{0};
-  RequestClass request_class = RequestClass::kRepeatable;
+  RequestClass request_class = RequestClass::kIdempotent;
   /// 0 is served first.
   std::uint32_t priority = 0;
   /// Pools that flows of this frontend may be at: present and former ones.
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -81,7 +81,7 @@
   return at(id).unreported;
 }
 
-void TargetScores::on_placed(TargetId id) { ++unreported(id).openings; }
+void TargetScores::on_placed(TargetId id) { ++unreported(id).new_flows; }
 
 void TargetScores::on_request(TargetId id) {
   ++at(id).busy_flows;
@@ -108,7 +108,7 @@
   return result;
 }
 
-std::vector<TargetId> TargetScores::set_target_health(const std::vector<TargetFigure>& figures) {
+std::vector<TargetId> TargetScores::set_target_health(const std::vector<TargetHealth>& figures) {
   has_target_health_ = !figures.empty();
   absl::flat_hash_set<TargetId> unreachable_before;
   for (const TargetId id : std::exchange(targets_with_health_, {})) {
@@ -166,7 +166,7 @@
 void TargetScores::on_unanswered_syn(TargetId id, Instant now) {
   TargetScore& score = at(id);
   ++score.unanswered;
-  ++unreported(id).unanswered;
+  ++unreported(id).unanswered_flows;
   if (policy_.suspect_after > 0 && score.unanswered >= policy_.suspect_after) {
     score.suspected_until = now + kSuspicionTime;
   }
@@ -185,14 +185,14 @@
   if (policy_.refusals <= 0) {
     return;
   }
-  ++unreported(id).refused;
+  ++unreported(id).refused_flows;
   TargetScore& score = at(id);
   score.suspected_until = now + kRefusalSuspicionTime;
   has_failures_ = true;
 }
 
 void TargetScores::on_refused_probe(TargetId id) {
-  ++unreported(id).refusing;
+  ++unreported(id).refused_probes;
   has_failures_ = true;
   has_refused_probe_ = true;
 }
@@ -211,21 +211,21 @@
     return nearness;
   }
   const double pressure =
-      std::clamp<double>(score->health.pressure, kMinLoadPercent, kMaxLoadPercent);
-  return nearness * std::pow(TargetFigure::kUsualPressure / pressure, policy_.pressure_exponent);
+      std::clamp<double>(score->health.load_percent, kMinLoadPercent, kMaxLoadPercent);
+  return nearness * std::pow(TargetHealth::kMeanLoadPercent / pressure, policy_.pressure_exponent);
 }
 
 void TargetScores::on_stalled_request(TargetId id) {
   if (policy_.stalls <= 0) {
     return;
   }
-  ++unreported(id).stalled;
+  ++unreported(id).stalled_requests;
   has_failures_ = true;
 }
 
 bool TargetScores::is_suspected(TargetId id, Instant now) const {
   const TargetScore* score = find(id);
-  return score != nullptr && (now < score->suspected_until || score->health.is_troubled);
+  return score != nullptr && (now < score->suspected_until || score->health.is_unhealthy);
 }
 
 double TargetScores::recent_answer_us(TargetId id, Instant now) const {
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -13,7 +13,7 @@
 
 #include "core/steering/steering_policy.h"
 #include "model/steering.h"
-#include "model/target_figures.h"
+#include "model/target_health.h"
 #include "model/time.h"
 
 namespace gorsevalve {
@@ -39,7 +39,7 @@
   /// What was seen here since the last report.
   TargetObservation unreported;
   /// What all balancers saw together.
-  TargetFigure health;
+  TargetHealth health;
 };
 
 class TargetScores {
@@ -82,7 +82,7 @@
   [[nodiscard]] bool has_refused_probe() const { return has_refused_probe_; }
   /// Takes figures in place of all earlier ones. Gives the targets that some balancer could not
   /// reach by these figures, and by the earlier ones could.
-  std::vector<TargetId> set_target_health(const std::vector<TargetFigure>& figures);
+  std::vector<TargetId> set_target_health(const std::vector<TargetHealth>& figures);
   [[nodiscard]] bool has_target_health() const { return has_target_health_; }
 
   /// Forgets when targets answered that has grown old; to be called about once a second.
--- a/src/core/steering/warm_up_budget.cc
+++ b/src/core/steering/warm_up_budget.cc
@@ -46,7 +46,7 @@
   if (told.count == 0) {
     return;
   }
-  if (told.number >= told.count || told.count > kMaxBalancers) {
+  if (told.index >= told.count || told.count > kMaxBalancers) {
     ++counters_.implausible_ranks;
     return;
   }
@@ -56,7 +56,7 @@
   }
   const std::uint32_t least = max_count_ / 2;
   counters_.implausible_ranks += told.count < least ? 1 : 0;
-  rank_ = {told.number, std::max(told.count, least)};
+  rank_ = {told.index, std::max(told.count, least)};
   rank_received_at_ = now;
 }
 
@@ -85,7 +85,7 @@
     return false;
   }
   const double round = round_s(budget);
-  const double part = static_cast<double>(rank_.number) / rank_.count + budget.offset;
+  const double part = static_cast<double>(rank_.index) / rank_.count + budget.offset;
   const double first_turn = round * (part - std::floor(part));
   const double since_first = seconds_between(budget.cold_since, now) - first_turn;
   if (since_first < 0) {
--- a/src/model/steering.cc
+++ b/src/model/steering.cc
@@ -4,9 +4,9 @@
 
 std::string_view to_string(RequestClass request_class) {
   switch (request_class) {
-    case RequestClass::kRepeatable:
+    case RequestClass::kIdempotent:
       return "repeatable";
-    case RequestClass::kOnceOnly:
+    case RequestClass::kNonIdempotent:
       return "once_only";
     case RequestClass::kDownload:
       return "download";
--- a/src/model/steering.h
+++ b/src/model/steering.h
@@ -17,7 +17,7 @@
 namespace gorsevalve {
 
 /// Number that a target goes by in packets. A restarted target mostly has another one, but it may
-/// keep the one that it had: TargetLife tells the two starts apart.
+/// keep the one that it had: TargetIncarnation tells the two starts apart.
 using TargetId = std::uint64_t;
 /// When a target started, in Unix milliseconds by its own machine's clock; 0 when it didn't tell.
 using TargetStart = std::uint64_t;
@@ -42,9 +42,9 @@
 /// What the requests of a frontend are like, as far as balancing depends on it.
 enum class RequestClass : std::uint8_t {
   /// Short both ways; callers may send it again.
-  kRepeatable = 0,
+  kIdempotent = 0,
   /// Short both ways; runs at most once. The most careful class: unknown ones count as it.
-  kOnceOnly = 1,
+  kNonIdempotent = 1,
   /// The target sends much; callers may send it again.
   kDownload = 2,
   /// The caller sends much; runs at most once.
@@ -63,7 +63,7 @@
   std::vector<std::string> former_pools;
   std::uint32_t timeout_ms = 0;
   std::uint32_t latency_objective_ms = 0;
-  RequestClass request_class = RequestClass::kRepeatable;
+  RequestClass request_class = RequestClass::kIdempotent;
   /// 0 is served first.
   std::uint32_t priority = 0;
 
@@ -123,11 +123,11 @@
 
 /// One life of a target, from one start to the end of that process. A later life holds nothing of
 /// an earlier one, and counts its announcements anew.
-struct TargetLife {
+struct TargetIncarnation {
   TargetId id = 0;
   TargetStart started_at_ms = 0;
 
-  friend bool operator==(const TargetLife&, const TargetLife&) = default;
+  friend bool operator==(const TargetIncarnation&, const TargetIncarnation&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -150,7 +150,7 @@
   /// How long the target stays slow, from its announcement on; 0 when it is warm.
   std::uint32_t warm_up_ms = 0;
 
-  [[nodiscard]] TargetLife life() const { return {id, started_at_ms}; }
+  [[nodiscard]] TargetIncarnation incarnation() const { return {id, started_at_ms}; }
 
   friend bool operator==(const RegisteredTarget&, const RegisteredTarget&) = default;
 
@@ -231,7 +231,7 @@
   std::vector<Frontend> upserted_frontends;
   std::vector<Endpoint> removed_frontends;
   std::vector<RegisteredTarget> upserted_targets;
-  std::vector<TargetId> forgotten_targets;
+  std::vector<TargetId> removed_targets;
   /// Set when the evacuated zones changed; `evacuated_zones` then has all of them.
   bool has_evacuations = false;
   std::vector<EvacuatedZone> evacuated_zones;
@@ -239,7 +239,7 @@
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& has_settings& version& idle_timeout_ms& pools& upserted_frontends& removed_frontends&
-        upserted_targets& forgotten_targets& has_evacuations& evacuated_zones;
+        upserted_targets& removed_targets& has_evacuations& evacuated_zones;
   }
 };
 
--- a/src/model/target_figures.cc
+++ b/src/model/target_health.cc
@@ -1,11 +1,11 @@
-#include "model/target_figures.h"
+#include "model/target_health.h"
 
 #include <algorithm>
 
 namespace gorsevalve {
 namespace {
 
-std::vector<FlowToken> tokens_where(const std::vector<TargetFigure>& figures,
+std::vector<FlowToken> tokens_where(const std::vector<TargetHealth>& figures,
                                     bool TargetFigure::*property) {
   std::vector<FlowToken> tokens;
   for (const auto& figure : figures) {
@@ -19,12 +19,12 @@
 
 }  // namespace
 
-std::vector<FlowToken> TargetFigures::troubled() const {
-  return tokens_where(figures, &TargetFigure::is_troubled);
+std::vector<FlowToken> TargetHealthUpdate::unhealthy() const {
+  return tokens_where(targets, &TargetHealth::is_unhealthy);
 }
 
-std::vector<FlowToken> TargetFigures::unreachable() const {
-  return tokens_where(figures, &TargetFigure::is_unreachable);
+std::vector<FlowToken> TargetHealthUpdate::unreachable() const {
+  return tokens_where(targets, &TargetHealth::is_unreachable);
 }
 
 }  // namespace gorsevalve
--- a/src/model/target_figures.h
+++ b/src/model/target_health.h
@@ -17,60 +17,61 @@
   /// Requests that went to the target.
   std::uint32_t requests = 0;
   /// Of those, the ones without an answer for a time that answers should not take.
-  std::uint32_t stalled = 0;
+  std::uint32_t stalled_requests = 0;
   /// Flows that were placed at the target.
-  std::uint32_t openings = 0;
+  std::uint32_t new_flows = 0;
   /// Of those, the ones that nothing followed, not even a copy: the target reset them.
-  std::uint32_t refused = 0;
+  std::uint32_t refused_flows = 0;
   /// Of those, the ones of which copies were sent.
-  std::uint32_t unanswered = 0;
+  std::uint32_t unanswered_flows = 0;
   /// How often the balancer concluded from probes that it cannot reach the target.
   std::uint32_t unreachable = 0;
   /// Probes that the target refused: it takes no flow just now.
-  std::uint32_t refusing = 0;
+  std::uint32_t refused_probes = 0;
 
   friend bool operator==(const TargetObservation&, const TargetObservation&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& token& requests& stalled& openings& refused& unanswered& unreachable& refusing;
+    archive& token& requests& stalled_requests& new_flows& refused_flows& unanswered_flows&
+        unreachable& refused_probes;
   }
 };
 
 /// What all balancers saw of a target lately. Targets without a figure are as usual.
-struct TargetFigure {
+struct TargetHealth {
   /// Pressure of a target that gets its share of the pool's requests, in percent.
-  static constexpr std::uint8_t kUsualPressure = 100;
+  static constexpr std::uint8_t kMeanLoadPercent = 100;
 
   FlowToken token = 0;
   /// Requests compared with the mean of the pool, in percent.
-  std::uint8_t pressure = kUsualPressure;
+  std::uint8_t load_percent = kMeanLoadPercent;
   /// It refuses flows, leaves opening packets or requests unanswered.
-  bool is_troubled = false;
+  bool is_unhealthy = false;
   /// A balancer could not reach it: those with open flows there should look for themselves.
   bool is_unreachable = false;
 
-  friend bool operator==(const TargetFigure&, const TargetFigure&) = default;
+  friend bool operator==(const TargetHealth&, const TargetHealth&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& token& pressure& is_troubled& is_unreachable;
+    archive& token& load_percent& is_unhealthy& is_unreachable;
   }
 };
 
 /// One edition of the figures, told apart by its number; 0 is none.
-struct TargetFigures {
-  std::uint64_t edition = 0;
-  std::vector<TargetFigure> figures;
+struct TargetHealthUpdate {
+  std::uint64_t version = 0;
+  std::vector<TargetHealth> targets;
 
   /// Tokens of the targets in trouble, in order.
-  [[nodiscard]] std::vector<FlowToken> troubled() const;
+  [[nodiscard]] std::vector<FlowToken> unhealthy() const;
   /// Tokens of the targets that some balancer could not reach, in order.
   [[nodiscard]] std::vector<FlowToken> unreachable() const;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& edition& figures;
+    archive& version& targets;
   }
 };
 
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -95,7 +95,7 @@
 
 json status_json(const ControlTask& control) {
   const ControlNode& node = control.node();
-  const ForceStatus force = node.force_status();
+  const RolloutStatus force = node.rollout_status();
   json lagging = json::array();
   for (const auto& member : force.lagging) {
     lagging.push_back(member.name);
@@ -108,7 +108,7 @@
                {"members_revision", node.state().fleet().members_revision},
                {"digest", node.state().digest()},
                {"members", force.members},
-               {"in_force", force.in_force},
+               {"in_force", force.up_to_date},
                {"lagging", lagging},
                {"evacuated_zones", evacuations_json(node.state().fleet().steering)},
                {"without_targets", pools_without_targets(node.state().fleet())},
@@ -155,7 +155,7 @@
 
 std::string metrics_text(const ControlTask& control) {
   const ControlNode& node = control.node();
-  const ForceStatus force = node.force_status();
+  const RolloutStatus force = node.rollout_status();
   return render_metrics({
       {"gorsevalve_control_is_leader", "1 on the leader", node.replica().is_leader() ? 1.0 : 0.0,
        false},
@@ -167,7 +167,7 @@
        static_cast<double>(force.revision), false},
       {"gorsevalve_control_members", "Balancer members", static_cast<double>(force.members), false},
       {"gorsevalve_control_members_in_force", "Members that have the settings in force",
-       static_cast<double>(force.in_force), false},
+       static_cast<double>(force.up_to_date), false},
       {"gorsevalve_control_zones_evacuated", "Zones that are evacuated by the committed state",
        static_cast<double>(node.state().fleet().steering.evacuated_zones.size()), false},
       {"gorsevalve_control_messages_refused_total", "Messages that were not authentic",
--- a/src/settings/settings_file.h
+++ b/src/settings/settings_file.h
@@ -34,7 +34,7 @@
 tl::expected<Settings, std::vector<SettingsError>> parse_settings(std::string_view text,
                                                                   const std::string& file);
 
-/// Checks that `after` may follow `before`: what is fixed for the life of a service stays.
+/// Checks that `state_after` may follow `before`: what is fixed for the life of a service stays.
 std::vector<SettingsError> check_change(const Settings& before, const Settings& after,
                                         const std::string& file);
 
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -95,8 +95,8 @@
 
   /// Starts everything; returns when the first settings are in force and handovers are done.
   void start();
-  /// Runs the load; actions that were scheduled with `sent_at` happen meanwhile. Then heals
-  /// everything, waits until the system is quiet, and checks.
+  /// Runs the load; actions that were scheduled with `at` happen meanwhile. Then heals everything,
+  /// waits until the system is quiet, and checks.
   RunResult run(const Expectations& expectations);
 
   /// Runs an action at a time after the start of the load.
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -178,7 +178,7 @@
 }
 
 void ControlTask::log_troubled_targets() {
-  const std::vector<FlowToken> troubled = node_->figures().troubled();
+  const std::vector<FlowToken> troubled = node_->target_health().unhealthy();
   if (troubled == logged_troubled_ || !node_->replica().is_leader()) {
     return;
   }
@@ -190,7 +190,7 @@
     }
   }
   log_event(LogEvent::kTargetsTroubled,
-            {{"targets", targets}, {"edition", node_->figures().edition}});
+            {{"targets", targets}, {"edition", node_->target_health().version}});
 }
 
 void ControlTask::submit(SettingsCommand command, SubmissionCallback callback) {
@@ -260,7 +260,7 @@
     callback({SteeringStatus::kUnknownZone, std::nullopt, known});
     return;
   }
-  const bool is_held = node_->holds(command, now);
+  const bool is_held = node_->is_committed(command, now);
   log_event(LogEvent::kEvacuationOrdered,
             {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", is_held}});
   if (is_held) {
@@ -320,7 +320,7 @@
   return network_.send(to, envelope_.seal(encoded(message)), is_replica(to));
 }
 
-void ControlTask::on_update_repeated(const RepeatedUpdate& repeated) {
+void ControlTask::on_update_retransmitted(const UpdateRetransmission& repeated) {
   ++updates_repeated_;
   log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(repeated.balancer)},
                                         {"confirmed", repeated.confirmed},
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -118,14 +118,14 @@
   void propose_registrations();
   /// Logs what targets said to this replica.
   void log_said(const std::vector<RegisteredTarget>& announced,
-                const std::vector<TargetLife>& ended) const;
+                const std::vector<TargetIncarnation>& ended) const;
   /// Logs that an announcement begins another life of a target that is known.
   void log_restart(const RegisteredTarget& announced) const;
 
   void send(const Endpoint& to, const ReplicaMessage& message) override;
   bool send_node(const Endpoint& to, const NodeMessage& message) override;
   bool send_shared(const Endpoint& to, const SharedNodeMessage& message) override;
-  void on_update_repeated(const RepeatedUpdate& repeated) override;
+  void on_update_retransmitted(const UpdateRetransmission& repeated) override;
   [[nodiscard]] bool is_replica(const Endpoint& address) const;
   const EncodedMessage& encoded(const SharedNodeMessage& message);
   [[nodiscard]] bool append(const LogFrame& frame) override;
--- a/src/tasks/control_task_targets.cc
+++ b/src/tasks/control_task_targets.cc
@@ -21,7 +21,7 @@
 void ControlTask::announce(RegisteredTarget announced, SteeringCallback callback) {
   const Instant now = monotonic_now();
   const AnnouncementStatus status =
-      stopping_ ? AnnouncementStatus::kNotLeader : node_->hear(announced, now);
+      stopping_ ? AnnouncementStatus::kNotLeader : node_->on_announcement(announced, now);
   decide(status, announced, callback, now,
          [&] { return [this, announced, callback] { announce(announced, callback); }; });
 }
@@ -29,9 +29,9 @@
 void ControlTask::end_target(TargetId id, std::optional<TargetStart> started_at_ms,
                              SteeringCallback callback) {
   const Instant now = monotonic_now();
-  const TargetLife life = node_->life_to_end(id, started_at_ms, unix_now_ms());
+  const TargetIncarnation life = node_->incarnation_to_end(id, started_at_ms, unix_now_ms());
   const AnnouncementStatus status =
-      stopping_ ? AnnouncementStatus::kNotLeader : node_->hear_end(life, now);
+      stopping_ ? AnnouncementStatus::kNotLeader : node_->check_target_end(life, now);
   decide(status, life, callback, now, [&] {
     return [this, id, started_at_ms, callback] { end_target(id, started_at_ms, callback); };
   });
@@ -40,9 +40,9 @@
 template <typename Said, typename MakeCall>
 void ControlTask::decide(AnnouncementStatus status, const Said& said,
                          const SteeringCallback& callback, Instant now, const MakeCall& make_call) {
-  if (status == AnnouncementStatus::kHeld) {
+  if (status == AnnouncementStatus::kCommitted) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
-  } else if (status == AnnouncementStatus::kNews) {
+  } else if (status == AnnouncementStatus::kPropose) {
     queue_registration(said, callback);
   } else if (status == AnnouncementStatus::kForward && !forwarded_.is_full()) {
     forward(said, callback, make_call());
@@ -98,7 +98,7 @@
   if (const auto* announced = std::get_if<RegisteredTarget>(&said)) {
     registrations_.announced.push_back(*announced);
   } else {
-    registrations_.ended.push_back(std::get<TargetLife>(said));
+    registrations_.ended.push_back(std::get<TargetIncarnation>(said));
   }
   registration_callbacks_.push_back(std::move(callback));
   if (registration_callbacks_.size() == 1) {
@@ -114,7 +114,7 @@
 }
 
 void ControlTask::log_said(const std::vector<RegisteredTarget>& announced,
-                           const std::vector<TargetLife>& ended) const {
+                           const std::vector<TargetIncarnation>& ended) const {
   for (const auto& target : announced) {
     log_event(LogEvent::kTargetAnnounced, {{"target", target.id},
                                            {"pool", target.pool},
@@ -123,7 +123,7 @@
                                            {"sequence", target.sequence}});
     log_restart(target);
   }
-  for (const TargetLife& life : ended) {
+  for (const TargetIncarnation& life : ended) {
     log_event(LogEvent::kTargetEnded, {{"target", life.id}, {"started_at_ms", life.started_at_ms}});
   }
 }
--- a/src/tasks/following_log.h
+++ b/src/tasks/following_log.h
@@ -1,5 +1,5 @@
 /// Lines in the log about the replica that a balancer follows and about what it gets from there,
-/// the same for balancers of all kinds. `in_force` is the balancer's revision.
+/// the same for balancers of all kinds. `up_to_date` is the balancer's revision.
 #pragma once
 
 #include "core/balancer/control_client.h"
--- a/src/tasks/forwarded_calls.cc
+++ b/src/tasks/forwarded_calls.cc
@@ -10,7 +10,7 @@
 namespace {
 
 bool is_held(const ControlNode& node, const ForwardedCalls::Said& said) {
-  return std::visit([&node](const auto& one) { return node.holds(one); }, said);
+  return std::visit([&node](const auto& one) { return node.is_committed(one); }, said);
 }
 
 }  // namespace
@@ -20,7 +20,7 @@
   if (const auto* announced = std::get_if<RegisteredTarget>(&said)) {
     unsent_.announced.push_back(*announced);
   } else {
-    unsent_.ended.push_back(std::get<TargetLife>(said));
+    unsent_.ended.push_back(std::get<TargetIncarnation>(said));
   }
   waiting_.push_back({std::move(said), std::move(callback), std::move(decide_again), deadline});
   next_deadline_ = std::min(next_deadline_, deadline);
--- a/src/tasks/forwarded_calls.h
+++ b/src/tasks/forwarded_calls.h
@@ -16,7 +16,7 @@
 class ForwardedCalls {
  public:
   /// What a target said: something of itself, or that a life of it has ended.
-  using Said = std::variant<RegisteredTarget, TargetLife>;
+  using Said = std::variant<RegisteredTarget, TargetIncarnation>;
 
   /// Calls that wait at most; further ones are sent to the leader.
   static constexpr std::size_t kMaxWaiting = 4096;
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -256,9 +256,9 @@
   }
 }
 
-void SteeringTask::on_figures(const std::vector<TargetFigure>& figures) {
+void SteeringTask::on_target_health(const std::vector<TargetHealth>& figures) {
   const Instant now = monotonic_now();
-  steering_.set_figures(figures, now);
+  steering_.set_target_health(figures, now);
   look_after_targets(now);
 }
 
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -136,10 +136,10 @@
   std::vector<TargetObservation> take_observations() override {
     return steering_.take_observations();
   }
-  void on_figures(const std::vector<TargetFigure>& figures) override;
+  void on_target_health(const std::vector<TargetHealth>& figures) override;
   void on_refusing(const RefusingTargets& refusing, Instant now) override;
-  void on_place(const BalancerRank& place, Instant now) override {
-    steering_.set_place(place, now);
+  void on_rank(const BalancerRank& place, Instant now) override {
+    steering_.set_balancer_rank(place, now);
   }
   void on_lease(Instant /*until*/) override {}
   void on_expelled(Instant /*now*/) override {}
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -114,7 +114,7 @@
     text = replaced(text, R"("tls":false})", R"("tls":false,"warmup_s":2.5,"warmup_per_s":7.5})");
     const auto settings = parse_configuration(text);
     REQUIRE(settings);
-    CHECK(settings->frontends[0].request_class == RequestClass::kOnceOnly);
+    CHECK(settings->frontends[0].request_class == RequestClass::kNonIdempotent);
     CHECK(settings->frontends[0].priority == 1);
     CHECK(settings->frontends[1].request_class == RequestClass::kUpload);
     CHECK(settings->frontends[1].priority == 2);
@@ -127,7 +127,7 @@
     const auto settings =
         parse_configuration(replaced(kConfiguration, R"("type":"idempotent")", R"("type":"tail")"));
     REQUIRE(settings);
-    CHECK(settings->frontends[1].request_class == RequestClass::kOnceOnly);
+    CHECK(settings->frontends[1].request_class == RequestClass::kNonIdempotent);
   }
 
   TEST_CASE("an invalid configuration is refused with the field's name") {
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -14,8 +14,8 @@
 #include <string>
 #include <vector>
 
-#include "core/control/figure_board.h"
 #include "core/control/refusal_relay.h"
+#include "core/control/target_health_aggregator.h"
 #include "core/steering/flow_steering.h"
 
 namespace gorsevalve {
@@ -111,12 +111,12 @@
       balancers_.emplace_back(seed * 100 + i, zone_name(i / kBalancersPerZone), policy);
       balancers_.back().adopt(state, now_);
       balancers_.back().confirm(now_);
-      balancers_.back().set_place({static_cast<std::uint32_t>(i), kZones * kBalancersPerZone},
-                                  now_);
+      balancers_.back().set_balancer_rank(
+          {static_cast<std::uint32_t>(i), kZones * kBalancersPerZone}, now_);
     }
   }
 
-  /// From `sent_at` on, a third of all targets are in this state, until `until`.
+  /// From `at` on, a third of all targets are in this state, until `until`.
   void inject_failure(TargetState trouble, Duration at, Duration until) {
     failure_ = trouble;
     failure_starts_at_ = kStart + at;
@@ -314,7 +314,8 @@
     const std::size_t zone = zone_of_balancer(i);
     const std::vector<TargetObservation> seen = balancers_[i].take_observations();
     later(one_way(zone, zone), [this, i, zone, seen] {
-      relays_[zone].on_observed({static_cast<std::uint32_t>(i), 6000}, zone_name(zone), seen, now_);
+      relays_[zone].on_observations({static_cast<std::uint32_t>(i), 6000}, zone_name(zone), seen,
+                                    now_);
       later(one_way(zone, 0), [this, seen] { board_.add(seen, now_); });
     });
   }
@@ -328,13 +329,13 @@
 
   void step_control() {
     for (std::size_t zone = 0; zone < kZones; ++zone) {
-      const RefusalRelay::Due due = relays_[zone].take_due(now_);
+      const RefusalRelay::Outgoing due = relays_[zone].take_outgoing(now_);
       for (const auto& message : due.to_replicas) {
         for (std::size_t other = 0; other < kZones; ++other) {
           if (other != zone) {
             ++outcome_.messages;
             later(one_way(zone, other),
-                  [this, other, message] { relays_[other].on_told(message, now_); });
+                  [this, other, message] { relays_[other].on_relayed(message, now_); });
           }
         }
       }
@@ -348,16 +349,16 @@
         }
       }
     }
-    if (board_.has_trouble() && now_ - health_sent_at_ >= kHealthInterval) {
+    if (board_.has_failures() && now_ - health_sent_at_ >= kHealthInterval) {
       health_sent_at_ = now_;
-      send_target_health(board_.conclude(state_, now_));
+      send_target_health(board_.evaluate(state_, now_));
     }
   }
 
-  void send_target_health(const std::vector<TargetFigure>& figures) {
+  void send_target_health(const std::vector<TargetHealth>& figures) {
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
       later(one_way(0, zone_of_balancer(i)),
-            [this, i, figures] { balancers_[i].set_figures(figures, now_); });
+            [this, i, figures] { balancers_[i].set_target_health(figures, now_); });
     }
   }
 
@@ -366,7 +367,7 @@
   SteeringState state_;
   std::vector<FlowSteering> balancers_;
   std::array<RefusalRelay, kZones> relays_;
-  FigureBoard board_;
+  TargetHealthAggregator board_;
   Instant health_sent_at_ = kStart;
   std::vector<Event> events_;
   std::vector<Client> clients_;
--- a/tests/sim/test_steering_workload.cc
+++ b/tests/sim/test_steering_workload.cc
@@ -135,7 +135,7 @@
     }
     RegistrationCommand command;
     if (target.phase == TargetPhase::kDraining) {
-      command.ended.push_back(target.life());
+      command.ended.push_back(target.incarnation());
       live_targets_.erase(target.id);
       free_addresses_.push_back(target.address);
     } else if (live_targets_.size() > 4) {
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -13,7 +13,7 @@
 #include <random>
 #include <string>
 
-#include "core/control/balancer_places.h"
+#include "core/control/balancer_ranking.h"
 #include "core/steering/flow_steering.h"
 #include "is_caught.h"
 
@@ -78,7 +78,7 @@
     at(kZoneRestart, [this] { restart_zone(); });
     if (has_new_leader_) {
       at(kZoneRestart - seconds(2) + milliseconds(pick(3000)), [this] {
-        leader_ = BalancerPlaces();
+        leader_ = BalancerRanking();
         leader_.on_elected(now_);
       });
     }
@@ -136,7 +136,7 @@
       balancers_[i].steering->adopt(state_, now_);
       balancers_[i].steering->confirm(now_);
       if (i % 4 != 0) {
-        balancers_[i].steering->set_figures({{1001, 120}}, now_);
+        balancers_[i].steering->set_target_health({{1001, 120}}, now_);
       }
     });
     at(starts + milliseconds(1 + pick(500)), [this, i] { heartbeat(i); });
@@ -150,25 +150,25 @@
     if (balancers_[i].never_receives_rank || pick(5) == 0) {
       return;
     }
-    const BalancerRank place = leader_.place_of(balancers_[i].address, now_);
+    const BalancerRank place = leader_.rank_of(balancers_[i].address, now_);
     at(now_ + milliseconds(pick(2000)),
-       [this, i, place] { balancers_[i].steering->set_place(place, now_); });
+       [this, i, place] { balancers_[i].steering->set_balancer_rank(place, now_); });
   }
 
   void report() {
     at(now_ + seconds(1), [this] { report(); });
     leader_.on_reported(std::exchange(reported_, {}), now_);
-    leader_.number_all(now_);
+    leader_.assign_ranks(now_);
   }
 
   void restart_zone() {
     SteeringDelta delta;
     for (TargetId id = 3; id <= kTargets; id += 3) {
-      delta.forgotten_targets.push_back(id);
+      delta.removed_targets.push_back(id);
       delta.upserted_targets.push_back(
           make_target(kTargets + id, static_cast<std::uint32_t>(warm_up_ / milliseconds(1))));
     }
-    for (const TargetId id : delta.forgotten_targets) {
+    for (const TargetId id : delta.removed_targets) {
       state_.targets.erase(id);
     }
     for (const auto& target : delta.upserted_targets) {
@@ -299,7 +299,7 @@
   Instant now_ = kStart;
   std::multimap<Instant, std::function<void()>> events_;
   SteeringState state_;
-  BalancerPlaces leader_;
+  BalancerRanking leader_;
   std::vector<Endpoint> reported_;
   std::vector<SimulatedBalancer> balancers_;
   std::uint32_t last_caller_ = 0;
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -120,7 +120,7 @@
     state.settings.frontends.push_back({"f", kRepeatable, {{"alpha", 1}}, {}, 3000, 100});
     state.settings.frontends.push_back(
         {"g", kNonIdempotentFrontend, {{"alpha", 1}}, {}, 3000, 100});
-    state.settings.frontends[1].request_class = RequestClass::kOnceOnly;
+    state.settings.frontends[1].request_class = RequestClass::kNonIdempotent;
     for (TargetId id = 1; id <= kTargetsOfZone * kZones; ++id) {
       RegisteredTarget target;
       target.id = id;
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -191,7 +191,7 @@
 
   /// The chosen replica tells figures of targets.
   void receive_target_health(std::uint64_t edition) {
-    client_.on_message(*replica(), TargetFigures{edition, {}}, cluster_.now());
+    client_.on_message(*replica(), TargetHealthUpdate{edition, {}}, cluster_.now());
   }
 
   [[nodiscard]] Revision revision() const { return client_.fleet().revision; }
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -30,7 +30,7 @@
   void on_confirmed(Instant /*now*/) override { ++confirmed; }
   bool has_urgent_observations() override { return urgent; }
   std::vector<TargetObservation> take_observations() override { return seen; }
-  void on_figures(const std::vector<TargetFigure>& told) override { figures = told; }
+  void on_target_health(const std::vector<TargetHealth>& told) override { figures = told; }
   void on_lease(Instant until) override { lease = until; }
   void on_expelled(Instant /*now*/) override { ++expelled; }
   void on_replica_silent(const Endpoint& /*replica*/) override { ++silent; }
@@ -41,7 +41,7 @@
   std::vector<Endpoint> asked;
   std::vector<Revision> revisions;
   std::vector<TargetObservation> seen;
-  std::vector<TargetFigure> figures;
+  std::vector<TargetHealth> figures;
   bool urgent = false;
   Instant lease;
   int confirmed = 0;
@@ -63,8 +63,8 @@
 
 FleetUpdate whole(const FleetState& fleet) {
   FleetUpdate update;
-  update.is_whole = true;
-  update.whole = fleet;
+  update.is_snapshot = true;
+  update.snapshot = fleet;
   update.digest = fleet_digest(fleet);
   return update;
 }
@@ -388,7 +388,7 @@
       FleetState fleet;
       fleet.revision = turn;
       test.client.on_message(kReplica, whole(fleet), now);
-      test.client.on_message(kReplica, TargetFigures{turn, {}}, now);
+      test.client.on_message(kReplica, TargetHealthUpdate{turn, {}}, now);
       test.client.on_tick(0, now);
     }
     CHECK(test.output.silent == 1);
@@ -447,14 +447,14 @@
     test.client.on_tick(0, kStart + milliseconds(700));
     CHECK(test.output.heartbeats.size() == before + 1);
     HeartbeatReply reply = current_reply(test.output.heartbeats.back(), 0);
-    reply.figures = TargetFigures{9, {{7, 130, true}}};
+    reply.health = TargetHealthUpdate{9, {{7, 130, true}}};
     test.client.on_message(kReplica, reply, kStart + milliseconds(705));
-    CHECK(test.output.figures == reply.figures->figures);
+    CHECK(test.output.figures == reply.health->targets);
     // Pushed ones count, too; the edition that is held is told.
-    test.client.on_message(kReplica, TargetFigures{10, {}}, kStart + milliseconds(710));
+    test.client.on_message(kReplica, TargetHealthUpdate{10, {}}, kStart + milliseconds(710));
     CHECK(test.output.figures.empty());
     test.client.on_tick(0, kStart + milliseconds(1300));
-    CHECK(test.output.heartbeats.back().figures_edition == 10);
+    CHECK(test.output.heartbeats.back().health_version == 10);
   }
 
   TEST_CASE("a silent replica keeps nobody from the one where it should be") {
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -73,16 +73,16 @@
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
-    CHECK(cluster.node(follower).hear(make_announcement(1), cluster.now()) ==
+    CHECK(cluster.node(follower).on_announcement(make_announcement(1), cluster.now()) ==
           AnnouncementStatus::kForward);
-    REQUIRE(cluster.node(leader).hear(make_announcement(1), cluster.now()) ==
-            AnnouncementStatus::kNews);
+    REQUIRE(cluster.node(leader).on_announcement(make_announcement(1), cluster.now()) ==
+            AnnouncementStatus::kPropose);
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
     // From now on the target is heard by a follower only, and stays ready for long.
     for (std::uint64_t sequence = 2; sequence < 20; ++sequence) {
-      CHECK(cluster.node(follower).hear(make_announcement(sequence), cluster.now()) ==
-            AnnouncementStatus::kHeld);
+      CHECK(cluster.node(follower).on_announcement(make_announcement(sequence), cluster.now()) ==
+            AnnouncementStatus::kCommitted);
       cluster.run(std::chrono::seconds(1));
     }
     const auto& state = cluster.node(leader).state().fleet().steering;
@@ -106,7 +106,8 @@
         for (TargetId id = 1; id <= targets; ++id) {
           RegisteredTarget target = make_announcement(1);
           target.id = 1000 * i + id;
-          REQUIRE(cluster.node(i).hear(target, cluster.now()) == AnnouncementStatus::kForward);
+          REQUIRE(cluster.node(i).on_announcement(target, cluster.now()) ==
+                  AnnouncementStatus::kForward);
           said.announced.push_back(target);
         }
         cluster.node(i).forward(said);
@@ -117,7 +118,7 @@
         CHECK(cluster.node(i).state().fleet().steering.targets.size() == 2 * targets);
         RegisteredTarget target = make_announcement(1);
         target.id = 1000 * (leader == 1 ? 2 : 1) + targets;
-        CHECK(cluster.node(i).holds(target));
+        CHECK(cluster.node(i).is_committed(target));
       }
     }
   }
@@ -128,17 +129,19 @@
     const std::uint32_t follower = leader == 1 ? 2 : 1;
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
-    const TargetLife life = cluster.node(follower).life_to_end(5, std::nullopt, 1);
-    REQUIRE(cluster.node(follower).hear_end(life, cluster.now()) == AnnouncementStatus::kForward);
-    CHECK_FALSE(cluster.node(follower).holds(life));
+    const TargetIncarnation life = cluster.node(follower).incarnation_to_end(5, std::nullopt, 1);
+    REQUIRE(cluster.node(follower).check_target_end(life, cluster.now()) ==
+            AnnouncementStatus::kForward);
+    CHECK_FALSE(cluster.node(follower).is_committed(life));
     cluster.node(follower).forward({{}, {life}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(follower).holds(life));
-    CHECK(cluster.node(follower).hear_end(life, cluster.now()) == AnnouncementStatus::kHeld);
+    CHECK(cluster.node(follower).is_committed(life));
+    CHECK(cluster.node(follower).check_target_end(life, cluster.now()) ==
+          AnnouncementStatus::kCommitted);
     // A late copy of the announcement does not bring it back.
     cluster.node(follower).forward({{make_announcement(9)}, {}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(leader).holds(life));
+    CHECK(cluster.node(leader).is_committed(life));
   }
 
   TEST_CASE("a replica without a leader forwards nothing") {
@@ -148,9 +151,10 @@
     cluster.frozen = leader;
     cluster.drops_messages_to[6 - leader - follower] = true;
     cluster.run(std::chrono::seconds(3));
-    CHECK(cluster.node(follower).hear(make_announcement(1), cluster.now()) ==
+    CHECK(cluster.node(follower).on_announcement(make_announcement(1), cluster.now()) ==
+          AnnouncementStatus::kNotLeader);
+    CHECK(cluster.node(follower).check_target_end({5, 0}, cluster.now()) ==
           AnnouncementStatus::kNotLeader);
-    CHECK(cluster.node(follower).hear_end({5, 0}, cluster.now()) == AnnouncementStatus::kNotLeader);
   }
 
   TEST_CASE("a target that starts again under its id is news, and its late copies are no sign") {
@@ -168,31 +172,34 @@
       REQUIRE(cluster.node(leader).propose(command, cluster.now()));
       cluster.run(milliseconds(200));
     };
-    REQUIRE(cluster.node(leader).hear(announce_life(100, 900), cluster.now()) ==
-            AnnouncementStatus::kNews);
+    REQUIRE(cluster.node(leader).on_announcement(announce_life(100, 900), cluster.now()) ==
+            AnnouncementStatus::kPropose);
     commit(announce_life(100, 900));
-    CHECK(cluster.node(leader).hear_end({5, 100}, cluster.now()) == AnnouncementStatus::kNews);
-    CHECK(cluster.node(follower).hear(announce_life(200, 1), cluster.now()) ==
+    CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
+          AnnouncementStatus::kPropose);
+    CHECK(cluster.node(follower).on_announcement(announce_life(200, 1), cluster.now()) ==
           AnnouncementStatus::kForward);
-    REQUIRE(cluster.node(leader).hear(announce_life(200, 1), cluster.now()) ==
-            AnnouncementStatus::kNews);
+    REQUIRE(cluster.node(leader).on_announcement(announce_life(200, 1), cluster.now()) ==
+            AnnouncementStatus::kPropose);
     commit(announce_life(200, 1));
-    CHECK(cluster.node(leader).hear_end({5, 100}, cluster.now()) == AnnouncementStatus::kHeld);
-    CHECK(cluster.node(leader).hear_end({5, 200}, cluster.now()) == AnnouncementStatus::kNews);
-    CHECK(cluster.node(leader).life_to_end(5, std::nullopt, 7) == TargetLife{5, 200});
-    CHECK(cluster.node(leader).life_to_end(6, std::nullopt, 7) == TargetLife{6, 7});
+    CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
+          AnnouncementStatus::kCommitted);
+    CHECK(cluster.node(leader).check_target_end({5, 200}, cluster.now()) ==
+          AnnouncementStatus::kPropose);
+    CHECK(cluster.node(leader).incarnation_to_end(5, std::nullopt, 7) == TargetIncarnation{5, 200});
+    CHECK(cluster.node(leader).incarnation_to_end(6, std::nullopt, 7) == TargetIncarnation{6, 7});
     // Only copies of the earlier life come from now on.
     for (std::uint64_t sequence = 901; sequence < 904; ++sequence) {
-      CHECK(cluster.node(leader).hear(announce_life(100, sequence), cluster.now()) ==
-            AnnouncementStatus::kHeld);
+      CHECK(cluster.node(leader).on_announcement(announce_life(100, sequence), cluster.now()) ==
+            AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
-      CHECK(cluster.node(follower).hear(announce_life(100, sequence), cluster.now()) ==
-            AnnouncementStatus::kHeld);
+      CHECK(cluster.node(follower).on_announcement(announce_life(100, sequence), cluster.now()) ==
+            AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
     }
     cluster.run(milliseconds(2500));
     const auto& state = cluster.node(leader).state().fleet().steering;
-    CHECK(find_target(state, 5)->life() == TargetLife{5, 200});
+    CHECK(find_target(state, 5)->incarnation() == TargetIncarnation{5, 200});
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
@@ -219,9 +226,9 @@
     for (std::uint32_t i = 1; i <= 3; ++i) {
       int told = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
-        const auto* figures = std::get_if<TargetFigures>(&message);
-        const bool names_it = figures != nullptr && !figures->figures.empty() &&
-                              figures->figures[0] == TargetFigure{token, 100, true};
+        const auto* figures = std::get_if<TargetHealthUpdate>(&message);
+        const bool names_it = figures != nullptr && !figures->targets.empty() &&
+                              figures->targets[0] == TargetHealth{token, 100, true};
         told += to == Endpoint{100 + i, 6000} && names_it ? 1 : 0;
       }
       CHECK(told == 1);
@@ -243,7 +250,7 @@
     heartbeat.member.state = MemberState::kObserver;
     TargetObservation seen;
     seen.token = 7;
-    seen.refusing = 1;
+    seen.refused_probes = 1;
     heartbeat.observations.push_back(seen);
     cluster.node(2).on_node_message({102, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(60));
--- a/tests/unit/test_envelope.cc
+++ b/tests/unit/test_envelope.cc
@@ -84,9 +84,9 @@
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     FleetUpdate update;
-    update.is_whole = true;
+    update.is_snapshot = true;
     for (std::uint16_t port = 1; port <= 500; ++port) {
-      update.whole.steering.settings.frontends.push_back(
+      update.snapshot.steering.settings.frontends.push_back(
           {"route", {0xC6120001, port}, {{"pool", 1}}, {}, 1000, 100});
     }
     const Bytes plain = encode_archive(update);
@@ -95,7 +95,7 @@
     const auto opened = receiver.open(sealed);
     REQUIRE(opened);
     const auto& arrived = std::get<FleetUpdate>(std::get<NodeMessage>(opened->message));
-    CHECK(arrived.whole == update.whole);
+    CHECK(arrived.snapshot == update.snapshot);
   }
 
   TEST_CASE("a compressed body that is damaged or claims too much is refused") {
--- a/tests/unit/test_evacuation.cc
+++ b/tests/unit/test_evacuation.cc
@@ -175,15 +175,15 @@
     const auto proposal = test.leader_node().propose(kEvacuateA, test.cluster.now());
     REQUIRE(proposal);
     CHECK(test.leader_node().status(*proposal) == ProposalStatus::kPending);
-    CHECK_FALSE(test.leader_node().holds(kEvacuateA, test.cluster.now()));
+    CHECK_FALSE(test.leader_node().is_committed(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
     CHECK(test.leader_node().status(*proposal) == ProposalStatus::kCommitted);
     for (std::uint32_t i = 1; i <= 3; ++i) {
       CHECK(evacuated_zones_at(test.cluster.node(i)) == std::vector<std::string>{"zone-a"});
     }
     test.fail_over();
-    CHECK(test.leader_node().holds(kEvacuateA, test.cluster.now()));
-    CHECK_FALSE(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    CHECK(test.leader_node().is_committed(kEvacuateA, test.cluster.now()));
+    CHECK_FALSE(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
   }
 
   TEST_CASE("a repeat after a lost answer is acknowledged by the next leader and changes nothing") {
@@ -192,7 +192,7 @@
     test.cluster.run(milliseconds(200));
     const Revision decided = test.leader_node().state().fleet().revision;
     test.fail_over();
-    REQUIRE(test.leader_node().holds(kEvacuateA, test.cluster.now()));
+    REQUIRE(test.leader_node().is_committed(kEvacuateA, test.cluster.now()));
     const auto again = test.leader_node().propose(kEvacuateA, test.cluster.now());
     REQUIRE(again);
     test.cluster.run(milliseconds(200));
@@ -204,12 +204,12 @@
     ClusterWithLeader test;
     REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     // The committed state knows no evacuation yet, but one is under way.
-    CHECK_FALSE(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    CHECK_FALSE(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
     const auto restore = test.leader_node().propose(kRestoreA, test.cluster.now());
     REQUIRE(restore);
     test.cluster.run(milliseconds(200));
     CHECK(test.leader_node().status(*restore) == ProposalStatus::kCommitted);
-    CHECK(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    CHECK(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
     CHECK(evacuated_zones_at(test.leader_node()).empty());
   }
 
@@ -219,7 +219,7 @@
     test.cluster.run(milliseconds(200));
     ControlNode& follower = test.cluster.node(test.leader == 1 ? 2 : 1);
     CHECK(evacuated_zones_at(follower) == std::vector<std::string>{"zone-a"});
-    CHECK_FALSE(follower.holds(kEvacuateA, test.cluster.now()));
+    CHECK_FALSE(follower.is_committed(kEvacuateA, test.cluster.now()));
     CHECK_FALSE(follower.propose(kRestoreA, test.cluster.now()));
   }
 
@@ -233,7 +233,7 @@
     REQUIRE(proposal);
     for (int turn = 0; turn < 250; ++turn) {
       CHECK(leader.status(*proposal) != ProposalStatus::kCommitted);
-      CHECK_FALSE(leader.holds(kEvacuateA, test.cluster.now()));
+      CHECK_FALSE(leader.is_committed(kEvacuateA, test.cluster.now()));
       test.cluster.run(milliseconds(20));
     }
     CHECK_FALSE(leader.propose(kEvacuateA, test.cluster.now()));
@@ -251,13 +251,13 @@
     test.fail_over();
     REQUIRE(test.leader_node().propose(kEvacuateB, test.cluster.now()));
     test.cluster.run(milliseconds(200));
-    REQUIRE(test.leader_node().holds(kRestoreA, test.cluster.now()));
+    REQUIRE(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
     test.cluster.frozen = 0;
     test.cluster.run(seconds(5));
     for (std::uint32_t i = 1; i <= 3; ++i) {
       CHECK(evacuated_zones_at(test.cluster.node(i)) == std::vector<std::string>{"zone-b"});
     }
-    CHECK_FALSE(test.cluster.node(old_leader).holds(kEvacuateA, test.cluster.now()));
+    CHECK_FALSE(test.cluster.node(old_leader).is_committed(kEvacuateA, test.cluster.now()));
   }
 
   TEST_CASE("a target that turns cold again is one entry, and one when it is warm") {
--- a/tests/unit/test_fleet_digest.cc
+++ b/tests/unit/test_fleet_digest.cc
@@ -77,9 +77,9 @@
     const TargetId id = 1 + random() % 60;
     std::erase_if(steering.upserted_targets,
                   [&](const RegisteredTarget& other) { return other.id == id; });
-    std::erase(steering.forgotten_targets, id);
+    std::erase(steering.removed_targets, id);
     if (random() % 4 == 0) {
-      steering.forgotten_targets.push_back(id);
+      steering.removed_targets.push_back(id);
     } else {
       steering.upserted_targets.push_back(
           make_target(id, static_cast<std::uint32_t>(random() % 4)));
--- a/tests/unit/test_flow_placement.cc
+++ b/tests/unit/test_flow_placement.cc
@@ -148,7 +148,7 @@
       delta.upserted_targets[0].phase = TargetPhase::kReady;
       view.apply(delta);
       SteeringDelta gone;
-      gone.forgotten_targets = {1, targets};
+      gone.removed_targets = {1, targets};
       view.apply(gone);
       const std::set<const RegisteredTarget*> once(view.pool_targets(0).begin(),
                                                    view.pool_targets(0).end());
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -336,8 +336,8 @@
     }
     for (const auto& seen : test.steering.take_observations()) {
       const bool is_down = seen.token == 100 + down;
-      CHECK(seen.refused == (is_down ? 1 : 0));
-      CHECK(seen.unanswered == (is_down ? 0 : 1));
+      CHECK(seen.refused_flows == (is_down ? 1 : 0));
+      CHECK(seen.unanswered_flows == (is_down ? 0 : 1));
     }
     CHECK_FALSE(test.steering.has_trouble());
   }
@@ -360,8 +360,8 @@
       CHECK(test.steering.on_packet(opening(port), now + milliseconds(3)).target->id != down);
     }
     for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.refusing == (seen.token == 100 + down ? 1 : 0));
-      CHECK(seen.refused == 0);
+      CHECK(seen.refused_probes == (seen.token == 100 + down ? 1 : 0));
+      CHECK(seen.refused_flows == 0);
     }
   }
 
@@ -384,7 +384,7 @@
       test.steering.on_probe_answer(probe.number, ProbeAnswer::kAccepted, now);
     }
     for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.refused == 0);
+      CHECK(seen.refused_flows == 0);
     }
     bool is_used = false;
     for (std::uint16_t port = 10; port < 30; ++port) {
@@ -465,7 +465,7 @@
       const auto seen = test.steering.take_observations();
       REQUIRE(seen.size() == 1);
       CHECK(seen[0].requests == 3);
-      CHECK(seen[0].stalled == (stops ? 0 : 1));
+      CHECK(seen[0].stalled_requests == (stops ? 0 : 1));
     }
   }
 
@@ -480,7 +480,7 @@
       FlowSteering balancer(seed, "near");
       balancer.adopt(state, kStart);
       balancer.confirm(kStart);
-      balancer.set_figures({{101, 120, false}, {104, 100, true}}, kStart);
+      balancer.set_target_health({{101, 120, false}, {104, 100, true}}, kStart);
       ++flows[balancer.on_packet(opening(1), kStart).target->id];
     }
     // Near ones win often, the one with the higher pressure less often, the troubled one never; but
@@ -843,16 +843,16 @@
       "what another balancer could not reach is probed where it has flows, and nowhere else") {
     FailingTarget test;
     SteeringBalancer without_flows(test.state);
-    const std::vector<TargetFigure> figures = {{test.token(test.failing), 100, true, true}};
-    without_flows.steering.set_figures(figures, test.now);
+    const std::vector<TargetHealth> figures = {{test.token(test.failing), 100, true, true}};
+    without_flows.steering.set_target_health(figures, test.now);
     CHECK_FALSE(without_flows.steering.is_probing());
-    test.steering().set_figures(figures, test.now);
+    test.steering().set_target_health(figures, test.now);
     CHECK(test.steering().is_probing());
     // It can be reached from here: what others saw is not taken for true.
     CHECK(test.run(milliseconds(300), {test.healthy, test.failing}).empty());
     // The same figures again are no news.
     test.now += seconds(2);
-    test.steering().set_figures(figures, test.now);
+    test.steering().set_target_health(figures, test.now);
     CHECK_FALSE(test.steering().is_probing());
   }
 
@@ -937,7 +937,7 @@
       test.steering.check_reply_timeouts(now + milliseconds(500));
       std::uint32_t blamed = 0;
       for (const auto& seen : test.steering.take_observations()) {
-        blamed += seen.unanswered + seen.refused + seen.stalled;
+        blamed += seen.unanswered_flows + seen.refused_flows + seen.stalled_requests;
       }
       CHECK(blamed == (is_congested ? 0 : 3));
     }
@@ -953,7 +953,7 @@
       test.steering.check_reply_timeouts(began + milliseconds(20) * sent);
     }
     for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.stalled == 0);
+      CHECK(seen.stalled_requests == 0);
     }
   }
 
--- a/tests/unit/test_following.cc
+++ b/tests/unit/test_following.cc
@@ -187,7 +187,7 @@
       }
     }
     REQUIRE(updates.size() == 1);
-    CHECK_FALSE(updates[0].is_whole);
+    CHECK_FALSE(updates[0].is_snapshot);
     CHECK(updates[0].deltas.front().base == held + 1);
   }
 
@@ -213,14 +213,14 @@
     RunningCluster cluster;
     const std::uint32_t follower = cluster.leader_number == 1 ? 2 : 1;
     const auto hear = [&](std::uint64_t sequence) {
-      return cluster.node(follower).hear(make_announcement(sequence), cluster.now());
+      return cluster.node(follower).on_announcement(make_announcement(sequence), cluster.now());
     };
-    CHECK(hear(2) == AnnouncementStatus::kHeld);
+    CHECK(hear(2) == AnnouncementStatus::kCommitted);
     // The leader itself hears the target meanwhile, so that nothing else changes.
     const auto run_while_leader_hears = [&](int seconds) {
       for (int second = 0; second < seconds; ++second) {
         cluster.run(std::chrono::seconds(1));
-        cluster.node(cluster.leader_number).hear(make_announcement(3), cluster.now());
+        cluster.node(cluster.leader_number).on_announcement(make_announcement(3), cluster.now());
       }
     };
     cluster.output(follower).drops_reports = true;
@@ -234,7 +234,7 @@
     }
     cluster.output(follower).drops_reports = false;
     run_while_leader_hears(2);
-    CHECK(hear(5) == AnnouncementStatus::kHeld);
+    CHECK(hear(5) == AnnouncementStatus::kCommitted);
   }
 
   TEST_CASE(
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -115,8 +115,8 @@
 
   TEST_CASE("bodies of messages, as if their authentication code were right") {
     FleetUpdate update;
-    update.is_whole = true;
-    update.whole = make_test_fleet();
+    update.is_snapshot = true;
+    update.snapshot = make_test_fleet();
     fuzz(encode_archive(update), [](const Bytes& bytes) { decode_archive<FleetUpdate>(bytes); });
     AppendRequest append;
     append.entries.push_back({1, 2, EntryType::kSettings, Bytes(30, 1)});
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -14,12 +14,12 @@
 constexpr Endpoint kBalancer{0x0A010001, 6000};
 const std::string kZone = "zone-a";
 
-std::vector<TargetObservation> refused_by(FlowToken first, FlowToken last) {
+std::vector<TargetObservation> refused_probes(FlowToken first, FlowToken last) {
   std::vector<TargetObservation> seen;
   for (FlowToken token = first; token <= last; ++token) {
     TargetObservation one;
     one.token = token;
-    one.refusing = 1;
+    one.refused_probes = 1;
     seen.push_back(one);
   }
   return seen;
@@ -38,24 +38,24 @@
 TEST_SUITE("refusal_relay") {
   TEST_CASE("the first sign goes at once, what follows within the pause goes together") {
     RefusalRelay relay;
-    relay.on_observed(kBalancer, kZone, refused_by(1, 1), kStart);
-    const auto first = relay.take_due(kStart);
+    relay.on_observations(kBalancer, kZone, refused_probes(1, 1), kStart);
+    const auto first = relay.take_outgoing(kStart);
     CHECK(targets_in(first.to_replicas) == 1);
     CHECK(targets_in(first.to_balancers) == 1);
-    relay.on_observed(kBalancer, kZone, refused_by(2, 2), kStart + milliseconds(5));
-    relay.on_observed({1, 1}, kZone, refused_by(3, 3), kStart + milliseconds(9));
-    CHECK(relay.take_due(kStart + milliseconds(9)).to_balancers.empty());
-    const auto second = relay.take_due(kStart + RefusalRelay::kPause);
+    relay.on_observations(kBalancer, kZone, refused_probes(2, 2), kStart + milliseconds(5));
+    relay.on_observations({1, 1}, kZone, refused_probes(3, 3), kStart + milliseconds(9));
+    CHECK(relay.take_outgoing(kStart + milliseconds(9)).to_balancers.empty());
+    const auto second = relay.take_outgoing(kStart + RefusalRelay::kSendInterval);
     REQUIRE(second.to_balancers.size() == 1);
     CHECK(second.to_balancers[0].zone == kZone);
     CHECK(second.to_balancers[0].targets == std::vector<FlowToken>{2, 3});
-    CHECK(relay.take_due(kStart + seconds(1)).to_balancers.empty());
+    CHECK(relay.take_outgoing(kStart + seconds(1)).to_balancers.empty());
   }
 
   TEST_CASE("what another replica tells goes to the own balancers only") {
     RefusalRelay relay;
-    relay.on_told({kZone, {5, 6}}, kStart);
-    const auto due = relay.take_due(kStart);
+    relay.on_relayed({kZone, {5, 6}}, kStart);
+    const auto due = relay.take_outgoing(kStart);
     CHECK(due.to_replicas.empty());
     CHECK(targets_in(due.to_balancers) == 2);
   }
@@ -64,10 +64,10 @@
     RefusalRelay relay;
     TargetObservation seen;
     seen.token = 1;
-    seen.refused = 4;
+    seen.refused_flows = 4;
     seen.unreachable = 1;
-    relay.on_observed(kBalancer, kZone, {seen}, kStart);
-    CHECK(relay.take_due(kStart).to_replicas.empty());
+    relay.on_observations(kBalancer, kZone, {seen}, kStart);
+    CHECK(relay.take_outgoing(kStart).to_replicas.empty());
   }
 
   TEST_CASE("messages grow with the targets that refuse, not with the balancers that say so") {
@@ -78,8 +78,8 @@
     for (std::uint32_t balancer = 0; balancer < 985; ++balancer) {
       const Instant now = kStart + milliseconds(balancer / 10);
       const FlowToken first = 1 + balancer % 100;
-      relay.on_observed({balancer, 6000}, kZone, refused_by(first, first), now);
-      const auto due = relay.take_due(now);
+      relay.on_observations({balancer, 6000}, kZone, refused_probes(first, first), now);
+      const auto due = relay.take_outgoing(now);
       messages += due.to_replicas.size();
       targets += targets_in(due.to_replicas);
     }
@@ -89,13 +89,15 @@
 
   TEST_CASE("a balancer that blames everything is believed about few targets, others go on") {
     RefusalRelay relay;
-    relay.on_observed(kBalancer, kZone, refused_by(1, 1000), kStart);
-    CHECK(targets_in(relay.take_due(kStart).to_balancers) == RefusalRelay::kMaxClaims);
-    relay.on_observed(kBalancer, kZone, refused_by(2001, 2100), kStart + milliseconds(300));
-    relay.on_observed({9, 9}, kZone, refused_by(3000, 3000), kStart + milliseconds(300));
-    CHECK(targets_in(relay.take_due(kStart + milliseconds(300)).to_balancers) == 1);
-    relay.on_observed(kBalancer, kZone, refused_by(2001, 2001), kStart + milliseconds(1100));
-    CHECK(targets_in(relay.take_due(kStart + milliseconds(1100)).to_balancers) == 1);
+    relay.on_observations(kBalancer, kZone, refused_probes(1, 1000), kStart);
+    CHECK(targets_in(relay.take_outgoing(kStart).to_balancers) ==
+          RefusalRelay::kMaxReportedTargets);
+    relay.on_observations(kBalancer, kZone, refused_probes(2001, 2100), kStart + milliseconds(300));
+    relay.on_observations({9, 9}, kZone, refused_probes(3000, 3000), kStart + milliseconds(300));
+    CHECK(targets_in(relay.take_outgoing(kStart + milliseconds(300)).to_balancers) == 1);
+    relay.on_observations(kBalancer, kZone, refused_probes(2001, 2001),
+                          kStart + milliseconds(1100));
+    CHECK(targets_in(relay.take_outgoing(kStart + milliseconds(1100)).to_balancers) == 1);
   }
 
   TEST_CASE("zones are kept apart, and large messages are split") {
@@ -104,12 +106,12 @@
     for (FlowToken token = 1; token <= 300; ++token) {
       many.targets.push_back(token);
     }
-    relay.on_told(many, kStart);
-    relay.on_told({kZone, {1}}, kStart);
-    const auto first = relay.take_due(kStart);
+    relay.on_relayed(many, kStart);
+    relay.on_relayed({kZone, {1}}, kStart);
+    const auto first = relay.take_outgoing(kStart);
     REQUIRE(first.to_balancers.size() == 2);
     CHECK(targets_in(first.to_balancers) == RefusalRelay::kMaxTargets + 1);
-    CHECK(targets_in(relay.take_due(kStart + milliseconds(20)).to_balancers) ==
+    CHECK(targets_in(relay.take_outgoing(kStart + milliseconds(20)).to_balancers) ==
           300 - RefusalRelay::kMaxTargets);
   }
 }
--- a/tests/unit/test_registration_monitor.cc
+++ b/tests/unit/test_registration_monitor.cc
@@ -26,20 +26,20 @@
   TEST_CASE("one late heartbeat is no evidence; a longer silence is") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
-    monitor.on_heard({5, 0}, kStart + seconds(1));
+    monitor.on_announcement({5, 0}, kStart + seconds(1));
     const SteeringState state = with_target(TargetPhase::kReady);
-    CHECK(monitor.conclude(state, kStart + milliseconds(4900)).empty());
-    CHECK(monitor.conclude(state, kStart + milliseconds(5100)).silent.size() == 1);
+    CHECK(monitor.check_timeouts(state, kStart + milliseconds(4900)).empty());
+    CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).silent.size() == 1);
   }
 
   TEST_CASE("a new leader gives every target a full time-out") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
-    monitor.on_heard({5, 0}, kStart);
+    monitor.on_announcement({5, 0}, kStart);
     monitor.on_elected(kStart + seconds(30));
     const SteeringState state = with_target(TargetPhase::kReady);
-    CHECK(monitor.conclude(state, kStart + seconds(33)).empty());
-    CHECK(monitor.conclude(state, kStart + seconds(35)).silent.size() == 1);
+    CHECK(monitor.check_timeouts(state, kStart + seconds(33)).empty());
+    CHECK(monitor.check_timeouts(state, kStart + seconds(35)).silent.size() == 1);
   }
 
   TEST_CASE("signs of an earlier life do not keep a later one, wherever they were heard") {
@@ -47,12 +47,12 @@
     monitor.on_elected(kStart);
     SteeringState state = with_target(TargetPhase::kReady);
     state.targets.at(5).started_at_ms = 200;
-    monitor.on_heard({5, 200}, kStart + seconds(1));
+    monitor.on_announcement({5, 200}, kStart + seconds(1));
     // A follower that is behind still hears the earlier life.
-    monitor.on_reported({5, 100}, kStart + seconds(4));
-    CHECK(monitor.conclude(state, kStart + milliseconds(5100)).silent.size() == 1);
-    monitor.on_reported({5, 200}, kStart + seconds(4));
-    CHECK(monitor.conclude(state, kStart + milliseconds(5100)).empty());
+    monitor.on_follower_report({5, 100}, kStart + seconds(4));
+    CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).silent.size() == 1);
+    monitor.on_follower_report({5, 200}, kStart + seconds(4));
+    CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).empty());
   }
 
   TEST_CASE("the end of a later life is remembered for as long as that of the first one") {
@@ -60,25 +60,25 @@
     monitor.on_elected(kStart);
     SteeringState state = with_target(TargetPhase::kEnded);
     state.targets.at(5).started_at_ms = 100;
-    CHECK(monitor.conclude(state, kStart).empty());
+    CHECK(monitor.check_timeouts(state, kStart).empty());
     state.targets.at(5).started_at_ms = 200;
-    CHECK(monitor.conclude(state, kStart + seconds(100)).empty());
-    CHECK(monitor.conclude(state, kStart + seconds(130)).empty());
-    const auto conclusion = monitor.conclude(state, kStart + seconds(221));
-    REQUIRE(conclusion.forgotten.size() == 1);
-    CHECK(conclusion.forgotten[0] == TargetLife{5, 200});
+    CHECK(monitor.check_timeouts(state, kStart + seconds(100)).empty());
+    CHECK(monitor.check_timeouts(state, kStart + seconds(130)).empty());
+    const auto conclusion = monitor.check_timeouts(state, kStart + seconds(221));
+    REQUIRE(conclusion.removed.size() == 1);
+    CHECK(conclusion.removed[0] == TargetIncarnation{5, 200});
   }
 
   TEST_CASE("a silent target ends in time, and an ended one is forgotten in time") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     const SteeringState silent = with_target(TargetPhase::kSilent);
-    CHECK(monitor.conclude(silent, kStart + seconds(39)).empty());
-    CHECK(monitor.conclude(silent, kStart + seconds(41)).ended.size() == 1);
+    CHECK(monitor.check_timeouts(silent, kStart + seconds(39)).empty());
+    CHECK(monitor.check_timeouts(silent, kStart + seconds(41)).ended.size() == 1);
     const SteeringState ended = with_target(TargetPhase::kEnded);
-    CHECK(monitor.conclude(ended, kStart + seconds(42)).empty());
-    CHECK(monitor.conclude(ended, kStart + seconds(161)).empty());
-    CHECK(monitor.conclude(ended, kStart + seconds(163)).forgotten.size() == 1);
+    CHECK(monitor.check_timeouts(ended, kStart + seconds(42)).empty());
+    CHECK(monitor.check_timeouts(ended, kStart + seconds(161)).empty());
+    CHECK(monitor.check_timeouts(ended, kStart + seconds(163)).removed.size() == 1);
   }
 }
 
--- a/tests/unit/test_steering_commands.cc
+++ b/tests/unit/test_steering_commands.cc
@@ -123,7 +123,7 @@
     CHECK(apply(state, announced(announce(5, 2))));
     CHECK(find_target(state, 5)->phase == TargetPhase::kReady);
     RegistrationCommand forget;
-    forget.forgotten = {{5, 0}};
+    forget.removed = {{5, 0}};
     CHECK_FALSE(apply(state, forget));
     RegistrationCommand end;
     end.ended = {{5, 0}};
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -110,19 +110,19 @@
       delta.upserted_targets.push_back(random_target());
     }
     for (std::uint64_t count = random_below(2); count > 0; --count) {
-      delta.forgotten_targets.push_back(1 + random_below(kTargets));
+      delta.removed_targets.push_back(1 + random_below(kTargets));
     }
     return delta;
   }
 
   void send_figures() {
-    std::vector<TargetFigure> figures;
+    std::vector<TargetHealth> figures;
     for (std::uint64_t count = random_below(6); count > 0; --count) {
       const auto token = static_cast<FlowToken>(100 + random_below(kTargets + 2));
       figures.push_back({token, static_cast<std::uint8_t>(random_below(200)), random_below(2) == 0,
                          random_below(2) == 0});
     }
-    steering_.set_figures(figures, now_);
+    steering_.set_target_health(figures, now_);
   }
 
   void step_probes() {
--- a/tests/unit/test_target_lives.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -7,7 +7,7 @@
 #include <numeric>
 
 #include "core/control/steering_commands.h"
-#include "core/control/target_lives.h"
+#include "core/control/target_incarnations.h"
 
 namespace gorsevalve {
 namespace {
@@ -15,10 +15,10 @@
 constexpr TargetId kId = 5;
 constexpr TargetStart kFirstStart = 1'700'000'000'000;
 constexpr TargetStart kSecondStart = 1'700'000'009'000;
-const TargetLife kFirstLife{kId, kFirstStart};
-const TargetLife kSecondLife{kId, kSecondStart};
+const TargetIncarnation kFirstIncarnation{kId, kFirstStart};
+const TargetIncarnation kSecondIncarnation{kId, kSecondStart};
 
-RegisteredTarget announcement(const TargetLife& life, std::uint64_t sequence,
+RegisteredTarget announcement(const TargetIncarnation& life, std::uint64_t sequence,
                               TargetPhase phase = TargetPhase::kReady) {
   RegisteredTarget target;
   target.id = life.id;
@@ -38,21 +38,21 @@
   return command;
 }
 
-RegistrationCommand ended(const TargetLife& life) {
+RegistrationCommand ended(const TargetIncarnation& life) {
   RegistrationCommand command;
   command.ended.push_back(life);
   return command;
 }
 
-RegistrationCommand silent(const TargetLife& life) {
+RegistrationCommand silent(const TargetIncarnation& life) {
   RegistrationCommand command;
   command.silent.push_back(life);
   return command;
 }
 
-RegistrationCommand forgotten(const TargetLife& life) {
+RegistrationCommand removed(const TargetIncarnation& life) {
   RegistrationCommand command;
-  command.forgotten.push_back(life);
+  command.removed.push_back(life);
   return command;
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// The state after all these, one after the other.
-SteeringState after(const std::vector<RegistrationCommand>& commands) {
+SteeringState state_after(const std::vector<RegistrationCommand>& commands) {
   SteeringState state;
   for (const auto& command : commands) {
     apply(state, command);
@@ -73,20 +73,20 @@
 
 /// All that the two lives and the leader may say, but for what only follows from a silence.
 const std::array<RegistrationCommand, 9> kMessages = {
-    announced(announcement(kFirstLife, 1)),
-    announced(announcement(kFirstLife, 2)),
-    announced(announcement(kFirstLife, 3, TargetPhase::kDraining)),
-    ended(kFirstLife),
-    announced(announcement(kSecondLife, 1)),
-    announced(announcement(kSecondLife, 2)),
-    announced(announcement(kSecondLife, 3, TargetPhase::kDraining)),
-    ended(kSecondLife),
-    forgotten(kFirstLife),
+    announced(announcement(kFirstIncarnation, 1)),
+    announced(announcement(kFirstIncarnation, 2)),
+    announced(announcement(kFirstIncarnation, 3, TargetPhase::kDraining)),
+    ended(kFirstIncarnation),
+    announced(announcement(kSecondIncarnation, 1)),
+    announced(announcement(kSecondIncarnation, 2)),
+    announced(announcement(kSecondIncarnation, 3, TargetPhase::kDraining)),
+    ended(kSecondIncarnation),
+    removed(kFirstIncarnation),
 };
 
 /// Runs all orders of some messages, given by their places.
 template <typename Visitor>
-void visit_orders(std::vector<std::size_t> order, const Visitor& visit) {
+void for_each_permutation(std::vector<std::size_t> order, const Visitor& visit) {
   std::sort(order.begin(), order.end());
   do {
     visit(order);
@@ -95,32 +95,32 @@
 
 }  // namespace
 
-TEST_SUITE("target_lives") {
+TEST_SUITE("target_incarnations") {
   TEST_CASE("a later start is a later life; none at all is the earliest") {
-    CHECK(compare_lives(2, 1) == LifeOrder::kLater);
-    CHECK(compare_lives(1, 2) == LifeOrder::kEarlier);
-    CHECK(compare_lives(1, 1) == LifeOrder::kSame);
-    CHECK(compare_lives(0, 1) == LifeOrder::kEarlier);
+    CHECK(compare_incarnations(2, 1) == IncarnationOrder::kLater);
+    CHECK(compare_incarnations(1, 2) == IncarnationOrder::kEarlier);
+    CHECK(compare_incarnations(1, 1) == IncarnationOrder::kSame);
+    CHECK(compare_incarnations(0, 1) == IncarnationOrder::kEarlier);
   }
 
   TEST_CASE("a target that starts again is used at once, whatever its earlier life was at") {
-    const RegistrationCommand ready = announced(announcement(kFirstLife, 900));
+    const RegistrationCommand ready = announced(announcement(kFirstIncarnation, 900));
     const RegistrationCommand draining =
-        announced(announcement(kFirstLife, 901, TargetPhase::kDraining));
+        announced(announcement(kFirstIncarnation, 901, TargetPhase::kDraining));
     const std::vector<std::vector<RegistrationCommand>> earlier = {
         {ready},
         {ready, draining},
-        {ready, silent(kFirstLife)},
-        {ready, ended(kFirstLife)},
-        {ended(kFirstLife)},
+        {ready, silent(kFirstIncarnation)},
+        {ready, ended(kFirstIncarnation)},
+        {ended(kFirstIncarnation)},
     };
     for (const auto& commands : earlier) {
-      SteeringState state = after(commands);
-      apply(state, announced(announcement(kSecondLife, 1)));
+      SteeringState state = state_after(commands);
+      apply(state, announced(announcement(kSecondIncarnation, 1)));
       const RegisteredTarget* target = find_target(state, kId);
       REQUIRE(target != nullptr);
       CHECK(target->phase == TargetPhase::kReady);
-      CHECK(target->life() == kSecondLife);
+      CHECK(target->incarnation() == kSecondIncarnation);
       CHECK(target->sequence == 1);
       CHECK(target->address.port == 2);
     }
@@ -128,9 +128,9 @@
 
   TEST_CASE(
       "a target keeps its token over its lives, so that it can refuse flows it doesn't hold") {
-    SteeringState state = after({announced(announcement(kFirstLife, 1))});
+    SteeringState state = state_after({announced(announcement(kFirstIncarnation, 1))});
     const FlowToken token = find_target(state, kId)->token;
-    apply(state, announced(announcement(kSecondLife, 1)));
+    apply(state, announced(announcement(kSecondIncarnation, 1)));
     CHECK(find_target(state, kId)->token == token);
   }
 
@@ -139,7 +139,7 @@
     std::iota(all.begin(), all.end(), 0);
     std::size_t orders = 0;
     std::size_t undone = 0;
-    visit_orders(all, [&](const std::vector<std::size_t>& order) {
+    for_each_permutation(all, [&](const std::vector<std::size_t>& order) {
       ++orders;
       SteeringState state;
       bool has_second = false;
@@ -147,7 +147,7 @@
       for (const std::size_t message : order) {
         apply(state, kMessages[message]);
         const RegisteredTarget* target = find_target(state, kId);
-        const bool is_second = target != nullptr && target->life() == kSecondLife;
+        const bool is_second = target != nullptr && target->incarnation() == kSecondIncarnation;
         undone += has_second && (!is_second || target->phase < latest) ? 1 : 0;
         has_second = has_second || is_second;
         latest = is_second ? target->phase : TargetPhase::kReady;
@@ -161,64 +161,66 @@
   }
 
   TEST_CASE("in every order without its end, the second life is ready and all that is believed") {
-    visit_orders({0, 1, 2, 3, 4, 5, 8}, [&](const std::vector<std::size_t>& order) {
+    for_each_permutation({0, 1, 2, 3, 4, 5, 8}, [&](const std::vector<std::size_t>& order) {
       SteeringState state;
       for (const std::size_t message : order) {
         apply(state, kMessages[message]);
       }
       const RegisteredTarget* target = find_target(state, kId);
       REQUIRE(target != nullptr);
-      REQUIRE(target->life() == kSecondLife);
+      REQUIRE(target->incarnation() == kSecondIncarnation);
       REQUIRE(target->phase == TargetPhase::kReady);
       REQUIRE(target->address.port == 2);
     });
   }
 
   TEST_CASE("conclusions about a life do not touch a later one that came before them in the log") {
-    const RegistrationCommand first = announced(announcement(kFirstLife, 7));
-    const RegistrationCommand second = announced(announcement(kSecondLife, 1));
-    for (const auto& conclusion : {silent(kFirstLife), ended(kFirstLife), forgotten(kFirstLife)}) {
-      const SteeringState state = after({first, second, conclusion});
+    const RegistrationCommand first = announced(announcement(kFirstIncarnation, 7));
+    const RegistrationCommand second = announced(announcement(kSecondIncarnation, 1));
+    for (const auto& conclusion :
+         {silent(kFirstIncarnation), ended(kFirstIncarnation), removed(kFirstIncarnation)}) {
+      const SteeringState state = state_after({first, second, conclusion});
       REQUIRE(find_target(state, kId) != nullptr);
       CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     }
     // Also within one entry.
     RegistrationCommand both = second;
-    both.ended.push_back(kFirstLife);
-    CHECK(find_target(after({first, both}), kId)->phase == TargetPhase::kReady);
+    both.ended.push_back(kFirstIncarnation);
+    CHECK(find_target(state_after({first, both}), kId)->phase == TargetPhase::kReady);
   }
 
   TEST_CASE("a target whose clock was set back is believed once its earlier life is silent") {
-    SteeringState state = after({announced(announcement(kSecondLife, 50))});
-    apply(state, announced(announcement(kFirstLife, 1)));
-    CHECK(find_target(state, kId)->life() == kSecondLife);
-    apply(state, silent(kSecondLife));
-    apply(state, announced(announcement(kFirstLife, 2)));
-    CHECK(find_target(state, kId)->life() == kFirstLife);
+    SteeringState state = state_after({announced(announcement(kSecondIncarnation, 50))});
+    apply(state, announced(announcement(kFirstIncarnation, 1)));
+    CHECK(find_target(state, kId)->incarnation() == kSecondIncarnation);
+    apply(state, silent(kSecondIncarnation));
+    apply(state, announced(announcement(kFirstIncarnation, 2)));
+    CHECK(find_target(state, kId)->incarnation() == kFirstIncarnation);
     CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
   }
 
   TEST_CASE("what was acknowledged of a leaving life is not undone by a late copy") {
     const SteeringState leaving =
-        after({announced(announcement(kSecondLife, 1)),
-               announced(announcement(kSecondLife, 2, TargetPhase::kDraining)),
-               announced(announcement(kFirstLife, 90))});
+        state_after({announced(announcement(kSecondIncarnation, 1)),
+                     announced(announcement(kSecondIncarnation, 2, TargetPhase::kDraining)),
+                     announced(announcement(kFirstIncarnation, 90))});
     CHECK(find_target(leaving, kId)->phase == TargetPhase::kDraining);
     const SteeringState gone =
-        after({announced(announcement(kSecondLife, 1)), ended(kSecondLife),
-               announced(announcement(kSecondLife, 9)), announced(announcement(kFirstLife, 90))});
+        state_after({announced(announcement(kSecondIncarnation, 1)), ended(kSecondIncarnation),
+                     announced(announcement(kSecondIncarnation, 9)),
+                     announced(announcement(kFirstIncarnation, 90))});
     CHECK(find_target(gone, kId)->phase == TargetPhase::kEnded);
-    CHECK(find_target(gone, kId)->life() == kSecondLife);
+    CHECK(find_target(gone, kId)->incarnation() == kSecondIncarnation);
   }
 
   TEST_CASE("of a target that doesn't tell its start, counts alone decide") {
-    const TargetLife unknown{kId, 0};
-    SteeringState state = after({announced(announcement(unknown, 9))});
+    const TargetIncarnation unknown{kId, 0};
+    SteeringState state = state_after({announced(announcement(unknown, 9))});
     apply(state, announced(announcement(unknown, 1, TargetPhase::kDraining)));
     CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     apply(state, announced(announcement(unknown, 10, TargetPhase::kDraining)));
     CHECK(find_target(state, kId)->phase == TargetPhase::kDraining);
-    apply(state, announced(announcement(kFirstLife, 1)));
+    apply(state, announced(announcement(kFirstIncarnation, 1)));
     CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
   }
 }
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -6,7 +6,7 @@
 #include "allocation_counter.h"
 #include "codec/archive.h"
 #include "control_cluster.h"
-#include "core/control/balancer_places.h"
+#include "core/control/balancer_ranking.h"
 #include "core/steering/flow_steering.h"
 #include "core/steering/warm_up_budget.h"
 
@@ -189,7 +189,7 @@
 
   TEST_CASE("a cold target takes its turns, and the rest goes to warm ones") {
     Fixture test(pool_of({target(1, 0), target(2, 0)}, 5000));
-    test.steering.set_place({0, 2}, test.now);
+    test.steering.set_balancer_rank({0, 2}, test.now);
     test.steering.apply(upsert(target(3, 4000)), test.now);
     CHECK(test.steering.take_newly_cold() == std::vector<TargetId>{3});
     auto flows = test.open_for(seconds(4));
@@ -214,7 +214,7 @@
 
   TEST_CASE("where all are cold, flows beyond the budget are refused at once") {
     Fixture test(pool_of({}, 10000));
-    test.steering.set_place({0, 1}, test.now);
+    test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(1, 4000)), test.now);
     auto flows = test.open_for(seconds(2));
     CHECK(flows[1] >= 15);
@@ -236,7 +236,7 @@
     state.targets.clear();
     state.put(other);
     Fixture test(state);
-    test.steering.set_place({0, 1}, test.now);
+    test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(2, 4000)), test.now);
     auto flows = test.open_for(seconds(2));
     CHECK(flows[0] == 0);
@@ -258,7 +258,7 @@
 
   TEST_CASE("a copy that meets another target counts there") {
     Fixture test(pool_of({target(1, 0)}, 1000));
-    test.steering.set_place({0, 1}, test.now);
+    test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(2, 9000)), test.now);
     test.now += milliseconds(1300);
     while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOtherTurn) {
@@ -307,29 +307,29 @@
   }
 
   TEST_CASE("the leader numbers all balancers, those of its followers too") {
-    BalancerPlaces leader;
-    BalancerPlaces follower;
-    follower.on_heard({1, 1}, kStart);
-    follower.on_heard({2, 1}, kStart);
+    BalancerRanking leader;
+    BalancerRanking follower;
+    follower.on_heartbeat({1, 1}, kStart);
+    follower.on_heartbeat({2, 1}, kStart);
     leader.on_elected(kStart);
-    leader.on_heard({3, 1}, kStart);
+    leader.on_heartbeat({3, 1}, kStart);
     leader.on_reported(follower.local_balancers(kStart), kStart);
     // At first a new leader has not heard all.
-    leader.number_all(kStart + seconds(1));
-    CHECK(leader.place_of({3, 1}, kStart + seconds(1)).count == 0);
+    leader.assign_ranks(kStart + seconds(1));
+    CHECK(leader.rank_of({3, 1}, kStart + seconds(1)).count == 0);
     const Instant later = kStart + seconds(4);
-    leader.number_all(later);
-    follower.on_told(leader.places_of(follower.local_balancers(kStart), later), later);
+    leader.assign_ranks(later);
+    follower.on_ranks_received(leader.ranks_of(follower.local_balancers(kStart), later), later);
     std::vector<std::uint32_t> numbers;
-    for (const auto& place : {leader.place_of({3, 1}, later), follower.place_of({1, 1}, later),
-                              follower.place_of({2, 1}, later)}) {
+    for (const auto& place : {leader.rank_of({3, 1}, later), follower.rank_of({1, 1}, later),
+                              follower.rank_of({2, 1}, later)}) {
       CHECK(place.count == 3);
-      numbers.push_back(place.number);
+      numbers.push_back(place.index);
     }
     std::sort(numbers.begin(), numbers.end());
     CHECK(numbers == std::vector<std::uint32_t>{0, 1, 2});
     // A follower that hears of no leader tells nothing after a while.
-    CHECK(follower.place_of({1, 1}, later + seconds(11)).count == 0);
+    CHECK(follower.rank_of({1, 1}, later + seconds(11)).count == 0);
   }
 
   TEST_CASE("answers to heartbeats tell the places, at the leader and at its followers") {
@@ -346,7 +346,7 @@
         for (const auto& [to, message] : cluster.output(i).to_nodes) {
           const auto* reply = std::get_if<HeartbeatReply>(&message);
           if (reply != nullptr && to == Endpoint{100 + i, 6000}) {
-            told[i - 1] = reply->place;
+            told[i - 1] = reply->rank;
           }
         }
       }
@@ -355,29 +355,29 @@
     std::vector<std::uint32_t> numbers;
     for (const auto& place : told) {
       CHECK(place.count == 3);
-      numbers.push_back(place.number);
+      numbers.push_back(place.index);
     }
     std::sort(numbers.begin(), numbers.end());
     CHECK(numbers == std::vector<std::uint32_t>{0, 1, 2});
     // Twice a second, of the 3 KB/s that a balancer may take for control.
     HeartbeatReply without;
     HeartbeatReply with;
-    with.place = {749, 750};
+    with.rank = {749, 750};
     CHECK(encode_archive(with).size() - encode_archive(without).size() <= 8);
   }
 
   TEST_CASE("lost balancers keep their numbers for a while, a new leader begins anew") {
-    BalancerPlaces leader;
+    BalancerRanking leader;
     leader.on_elected(kStart);
     leader.on_reported({{1, 1}, {2, 1}}, kStart);
     leader.on_reported({{1, 1}}, kStart + seconds(50));
-    leader.number_all(kStart + seconds(50));
-    CHECK(leader.place_of({1, 1}, kStart + seconds(50)).count == 2);
-    leader.number_all(kStart + seconds(70));
-    CHECK(leader.place_of({1, 1}, kStart + seconds(70)).count == 1);
+    leader.assign_ranks(kStart + seconds(50));
+    CHECK(leader.rank_of({1, 1}, kStart + seconds(50)).count == 2);
+    leader.assign_ranks(kStart + seconds(70));
+    CHECK(leader.rank_of({1, 1}, kStart + seconds(70)).count == 1);
     leader.on_elected(kStart + seconds(71));
-    leader.number_all(kStart + seconds(72));
-    CHECK(leader.place_of({1, 1}, kStart + seconds(72)).count == 0);
+    leader.assign_ranks(kStart + seconds(72));
+    CHECK(leader.rank_of({1, 1}, kStart + seconds(72)).count == 0);
   }
 }
 
