--- a/src/bench/bench_fleet.cc
+++ b/src/bench/bench_fleet.cc
@@ -111,7 +111,7 @@
   Node(BenchPair& owner, const Member& member)
       : pair(owner), self(member), balancer({member, {}}, *this) {}
 
-  void send_to_caller(const FlowKey& /*flow*/, ByteView /*message*/) override {}
+  void send_to_client(const FlowKey& /*flow*/, ByteView /*message*/) override {}
   void send_to_target(const Endpoint& target, const ProxyHeader& header,
                       ByteView /*message*/) override {
     last_target = target;
--- a/src/bench/bench_fleet.h
+++ b/src/bench/bench_fleet.h
@@ -26,7 +26,7 @@
   void exchange(std::uint32_t flow);
 
  private:
-  void send_to_caller(const FlowKey& /*flow*/, ByteView /*message*/) override {}
+  void send_to_client(const FlowKey& /*flow*/, ByteView /*message*/) override {}
   void send_to_target(const Endpoint& target, const ProxyHeader& header, ByteView message) override;
   void relay(const Endpoint& /*peer*/, const ProxyHeader& /*header*/,
              ByteView /*payload*/) override {}
--- a/src/codec/proxy_header.cc
+++ b/src/codec/proxy_header.cc
@@ -152,10 +152,10 @@
   }
   const std::uint8_t* addresses = datagram.data() + kFixedSize;
   ProxyDatagram result;
-  result.header.flow.caller.address = static_cast<std::uint32_t>(read_big_endian(addresses, 4));
+  result.header.flow.client.address = static_cast<std::uint32_t>(read_big_endian(addresses, 4));
   result.header.flow.service.address =
       static_cast<std::uint32_t>(read_big_endian(addresses + 4, 4));
-  result.header.flow.caller.port = static_cast<std::uint16_t>(read_big_endian(addresses + 8, 2));
+  result.header.flow.client.port = static_cast<std::uint16_t>(read_big_endian(addresses + 8, 2));
   result.header.flow.service.port = static_cast<std::uint16_t>(read_big_endian(addresses + 10, 2));
   const ByteView extensions =
       datagram.subspan(kFixedSize + kInetAddressSize, length - kInetAddressSize);
@@ -171,9 +171,9 @@
   out[12] = kVersionAndProxyCommand;
   out[13] = kInetDatagram;
   Writer writer(out + kFixedSize);
-  writer.write(header.flow.caller.address, 4);
+  writer.write(header.flow.client.address, 4);
   writer.write(header.flow.service.address, 4);
-  writer.write(header.flow.caller.port, 2);
+  writer.write(header.flow.client.port, 2);
   writer.write(header.flow.service.port, 2);
   write_extensions(header, writer);
   Writer(out + 14).write(writer.size(), 2);
--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -21,15 +21,15 @@
 Balancer::Balancer(BalancerConfig config, BalancerOutput& output)
     : state_(std::move(config), output),
       counters_(state_.counters()),
-      board_(state_.board()),
+      target_table_(state_.target_table()),
       binding_(state_),
       replicator_(state_, *this),
       backups_(state_),
       handover_(state_, binding_, replicator_, *this),
       actions_(state_, binding_, replicator_),
-      feed_mover_(state_, binding_, actions_),
+      observation_migrator_(state_, binding_, actions_),
       chain_(state_, actions_),
-      answers_(state_, actions_, chain_) {}
+      response_handler_(state_, actions_, chain_) {}
 
 void Balancer::on_datagram(ByteView datagram, Instant now) {
   ++counters_.datagrams_in;
@@ -68,7 +68,7 @@
       if (source_decides && !header.relay) {
         relay(partition, header, payload);
       } else {
-        handover_.hold(partition, header, payload);
+        handover_.buffer_datagram(partition, header, payload);
       }
       return;
     }
@@ -82,7 +82,7 @@
   std::optional<Endpoint> peer;
   if (partition.role == PartitionRole::kAcquiring) {
     peer = partition.acquisition->sources[partition.acquisition->source].address;
-  } else if (partition.outgoing && partition.outgoing->holding == HoldingState::kComplete &&
+  } else if (partition.outgoing && partition.outgoing->source_state == SourceState::kComplete &&
              partition.outgoing->revision >= state_.view()->members_revision()) {
     peer = partition.outgoing->to;
   } else if (const Member* owner = state_.view()->owner(partition.id)) {
@@ -113,23 +113,23 @@
     return;
   }
   if (header.target) {
-    answers_.on_answer(partition, {header, *header.target, payload, *summary}, now);
+    response_handler_.on_response(partition, {header, *header.target, payload, *summary}, now);
     return;
   }
   if (summary->code != coap_code::kEmpty) {
-    on_caller_message(partition, header.flow, payload, *summary, now);
+    on_client_message(partition, header.flow, payload, *summary, now);
     return;
   }
   if (summary->type == CoapType::kConfirmable) {
     // A ping (RFC 7252 section 4.3).
-    state_.output().send_to_caller(header.flow,
+    state_.output().send_to_client(header.flow,
                                    encode_empty(CoapType::kReset, summary->message_id));
     return;
   }
-  answers_.on_caller_empty(partition, header.flow, *summary, now);
+  response_handler_.on_client_empty(partition, header.flow, *summary, now);
 }
 
-void Balancer::on_caller_message(Partition& partition, const FlowKey& flow, ByteView message,
+void Balancer::on_client_message(Partition& partition, const FlowKey& flow, ByteView message,
                                  const CoapSummary& summary, Instant now) {
   const bool is_request = summary.is_request() && (summary.type == CoapType::kConfirmable ||
                                                    summary.type == CoapType::kNonConfirmable);
@@ -183,22 +183,22 @@
   const Revision old_members =
       state_.view() == nullptr ? 0 : state_.view()->state().members_revision;
   state_.set_view(std::make_shared<const FleetView>(std::move(fleet), state_.view().get()));
-  board_.adopt(*state_.view(), now);
+  target_table_.update_targets(*state_.view(), now);
   for (Partition* partition : state_.partitions().used()) {
     if (partition->role == PartitionRole::kOwner) {
-      binding_.mark_exceptions(*partition);
+      binding_.mark_for_replication(*partition);
     }
   }
-  feed_mover_.move_from_lost_targets(now);
+  observation_migrator_.migrate_from_lost_targets(now);
   if (state_.view()->members_revision() != old_members) {
     handover_.on_members(now);
   }
 }
 
 void Balancer::on_target_report(const TargetReport& report, Instant now) {
-  const bool went_down = board_.report(report, now);
+  const bool went_down = target_table_.on_report(report, now);
   if (went_down && state_.view() != nullptr) {
-    feed_mover_.move_from_lost_targets(now);
+    observation_migrator_.migrate_from_lost_targets(now);
   }
 }
 
@@ -257,12 +257,13 @@
       return;
     case RequestState::kAnswered:
     case RequestState::kGivenUp:
-      if (record.kind == RequestKind::kFeed && record.state == RequestState::kAnswered) {
+      if (record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered) {
         if (FlowRecord* flow = partition.store.find_flow(record.flow)) {
-          flow->feeds = static_cast<std::uint16_t>(flow->feeds - (flow->feeds > 0 ? 1 : 0));
+          flow->observations =
+              static_cast<std::uint16_t>(flow->observations - (flow->observations > 0 ? 1 : 0));
         }
       }
-      actions_.forget(partition, record);
+      actions_.delete_record(partition, record);
       return;
   }
 }
@@ -288,20 +289,20 @@
 
 void Balancer::on_request_imported(Partition& partition, RequestRecord& record, Instant now) {
   if (record.is_outstanding()) {
-    ++board_.at(record.target).outstanding;
+    ++target_table_.at(record.target).outstanding;
   }
-  if (record.kind == RequestKind::kFeed && record.state == RequestState::kAnswered) {
+  if (record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered) {
     FlowRecord* flow = partition.store.find_flow(record.flow);
     if (flow == nullptr) {
       flow = &binding_.bind(partition, record.flow, record.target, now);
     }
-    ++flow->feeds;
-    partition.store.note_notification(&record, record.feed.message_id_out,
-                                      record.feed.message_id_in);
+    ++flow->observations;
+    partition.store.set_last_notification(&record, record.observe_state.message_id_out,
+                                          record.observe_state.message_id_in);
   }
   Duration lifetime = timing::kExchangeLifetime;
-  if (record.kind == RequestKind::kFeed && record.state == RequestState::kAnswered) {
-    lifetime = timing::kFeedIdle;
+  if (record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered) {
+    lifetime = timing::kObservationIdleTimeout;
   } else if (record.is_outstanding() || record.is_waiting()) {
     const ServiceView* service = state_.view()->service(record.flow.service);
     lifetime = service == nullptr
@@ -329,10 +330,10 @@
   for (RequestRecord* record : waiting) {
     chain_.resume(partition, *record, ChainEntry::kRecord, now);
   }
-  feed_mover_.move_from_lost_targets(partition, now);
+  observation_migrator_.migrate_from_lost_targets(partition, now);
 }
 
-void Balancer::on_held_datagram(const ProxyHeader& header, ByteView payload, Instant now) {
+void Balancer::on_buffered_datagram(const ProxyHeader& header, ByteView payload, Instant now) {
   route(header, payload, now);
 }
 
--- a/src/core/balancer/balancer.h
+++ b/src/core/balancer/balancer.h
@@ -3,14 +3,14 @@
 /// simulator.
 #pragma once
 
-#include "core/balancer/answer_path.h"
 #include "core/balancer/balancer_state.h"
-#include "core/balancer/feed_mover.h"
 #include "core/balancer/flow_binding.h"
 #include "core/balancer/handover.h"
+#include "core/balancer/observation_migrator.h"
 #include "core/balancer/replication.h"
 #include "core/balancer/request_actions.h"
 #include "core/balancer/request_filters.h"
+#include "core/balancer/response_handler.h"
 
 namespace gorsevalve {
 
@@ -47,7 +47,7 @@
   /// Flows and requests held, for metrics and capacity measurements.
   [[nodiscard]] std::size_t flow_count() const;
   [[nodiscard]] std::size_t request_count() const;
-  [[nodiscard]] const TargetBoard& board() const { return board_; }
+  [[nodiscard]] const TargetTable& target_table() const { return target_table_; }
 
   static constexpr Duration kTickInterval = std::chrono::milliseconds(20);
 
@@ -56,7 +56,7 @@
   void route(const ProxyHeader& header, ByteView payload, Instant now);
   void relay(Partition& partition, const ProxyHeader& header, ByteView payload);
   void on_owned(Partition& partition, const ProxyHeader& header, ByteView payload, Instant now);
-  void on_caller_message(Partition& partition, const FlowKey& flow, ByteView message,
+  void on_client_message(Partition& partition, const FlowKey& flow, ByteView message,
                          const CoapSummary& summary, Instant now);
   void on_expired(Partition& partition, RequestRecord& record, Instant now);
   void expire(Instant now);
@@ -65,19 +65,19 @@
   void on_superseded(Partition& partition, Instant now) override;
   void on_request_imported(Partition& partition, RequestRecord& record, Instant now) override;
   void on_acquired(Partition& partition, Instant now) override;
-  void on_held_datagram(const ProxyHeader& header, ByteView payload, Instant now) override;
+  void on_buffered_datagram(const ProxyHeader& header, ByteView payload, Instant now) override;
 
   BalancerState state_;
   BalancerCounters& counters_;
-  TargetBoard& board_;
+  TargetTable& target_table_;
   FlowBinding binding_;
   Replicator replicator_;
   BackupStore backups_;
   Handover handover_;
   RequestActions actions_;
-  FeedMover feed_mover_;
-  RequestChain chain_;
-  AnswerPath answers_;
+  ObservationMigrator observation_migrator_;
+  FilterChain chain_;
+  ResponseHandler response_handler_;
   CoapParser parser_;
   Instant next_sweep_;
   /// Last tick, and the end of the recovery after a pause.
--- a/src/core/balancer/balancer_state.h
+++ b/src/core/balancer/balancer_state.h
@@ -11,7 +11,7 @@
 #include "core/balancer/fleet_view.h"
 #include "core/balancer/output.h"
 #include "core/balancer/partition_table.h"
-#include "core/balancer/target_board.h"
+#include "core/balancer/target_table.h"
 #include "model/fleet.h"
 #include "model/verdict.h"
 
@@ -100,7 +100,7 @@
   [[nodiscard]] const Endpoint& self() const { return config_.self.address; }
   BalancerOutput& output() { return output_; }
   BalancerCounters& counters() { return counters_; }
-  TargetBoard& board() { return board_; }
+  TargetTable& target_table() { return target_table_; }
   RetryBudget& retry_budget() { return retry_budget_; }
 
   /// The present view; nullptr before the first revision arrived.
@@ -130,7 +130,7 @@
   BalancerConfig config_;
   BalancerOutput& output_;
   BalancerCounters counters_;
-  TargetBoard board_;
+  TargetTable target_table_;
   RetryBudget retry_budget_;
   std::shared_ptr<const FleetView> view_;
   RequestPool pool_;
--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -23,7 +23,7 @@
 /// A replica that answered that it is not current is not asked again for this long: it tells when
 /// it is. After a loss of all, hundreds of balancers would else keep the replicas from their
 /// election. Below the usual pause between heartbeats, so that it matters to starting ones only.
-constexpr Duration kTellingTime = std::chrono::milliseconds(450);
+constexpr Duration kNotCurrentBackoff = std::chrono::milliseconds(450);
 /// While several replicas that are not current hold more than this balancer, one is asked for it at
 /// a time, for this long: a whole state takes a thin link 0.2 s.
 constexpr Duration kUpdateTime = std::chrono::milliseconds(300);
@@ -45,17 +45,17 @@
 ControlClient::ControlClient(const Member& self, std::vector<Endpoint> replicas, FleetState stored,
                              ControlClientOutput& output)
     : self_(self),
-      choice_(self.address, self.zone, std::move(replicas)),
+      selector_(self.address, self.zone, std::move(replicas)),
       output_(output),
       fleet_(std::move(stored)),
       digest_(fleet_),
-      floor_(fleet_.revision),
+      revision_floor_(fleet_.revision),
       sequence_(self.incarnation) {
-  freshness_.on_in_force(fleet_.revision);
+  freshness_.on_applied(fleet_.revision);
 }
 
 std::optional<Endpoint> ControlClient::replica() const {
-  return choice_.is_searching() ? std::nullopt : std::optional(choice_.chosen());
+  return selector_.is_searching() ? std::nullopt : std::optional(selector_.chosen());
 }
 
 void ControlClient::on_message(const Endpoint& from, const NodeMessage& message, Instant now) {
@@ -86,7 +86,7 @@
   may_stop_ = may_stop_ || (reply.may_stop && self_.state == MemberState::kLeaving);
   if (reply.is_current) {
     current_revision_ = std::max(current_revision_.value_or(0), reply.revision);
-    freshness_.on_answer(sent_at, reply.revision);
+    freshness_.on_current_reply(sent_at, reply.revision);
   }
   if (reply.health) {
     apply_target_health(*reply.health);
@@ -94,10 +94,10 @@
   output_.on_rank(reply.rank, now);
   check_confirmed(now);
   // Only the chosen replica counts: another one that answers late is not waited for.
-  if (!choice_.is_searching() && from == choice_.chosen()) {
+  if (!selector_.is_searching() && from == selector_.chosen()) {
     last_answer_ = now;
   }
-  judge_replica(from, reply, now);
+  evaluate_replica(from, reply, now);
 }
 
 void ControlClient::apply_target_health(const TargetHealthUpdate& figures) {
@@ -112,13 +112,14 @@
   }
 }
 
-void ControlClient::judge_replica(const Endpoint& from, const HeartbeatReply& reply, Instant now) {
-  choice_.set_zone(from, reply.zone);
-  const bool was_searching = choice_.is_searching();
+void ControlClient::evaluate_replica(const Endpoint& from, const HeartbeatReply& reply,
+                                     Instant now) {
+  selector_.set_zone(from, reply.zone);
+  const bool was_searching = selector_.is_searching();
   if (!reply.is_current) {
     not_current_at_[from] = now;
     // This replica may be cut off from the others: all are asked, not sooner than usual.
-    if (!was_searching && from == choice_.chosen() && is_observer()) {
+    if (!was_searching && from == selector_.chosen() && is_observer()) {
       begin_search();
     }
     // What it holds is better than nothing, or than what is older.
@@ -128,21 +129,21 @@
     return;
   }
   not_current_at_.clear();
-  if (was_searching || from == choice_.home()) {
+  if (was_searching || from == selector_.preferred()) {
     follow(from, reply.revision, now);
   }
   if (was_searching) {
     // From now on this replica tells of changes.
     send_heartbeat(from, true, now);
   }
-  if (from == choice_.chosen()) {
-    choice_.take_replicas(reply.replicas);
+  if (from == selector_.chosen()) {
+    selector_.set_replicas(reply.replicas);
   }
 }
 
 void ControlClient::follow(const Endpoint& replica, Revision held, Instant now) {
-  const bool is_other = choice_.is_searching() || choice_.chosen() != replica;
-  choice_.choose(replica);
+  const bool is_other = selector_.is_searching() || selector_.chosen() != replica;
+  selector_.choose(replica);
   last_answer_ = now;
   if (is_other) {
     followed_since_ = now;
@@ -151,13 +152,13 @@
 }
 
 void ControlClient::begin_search() {
-  choice_.begin_search();
+  selector_.begin_search();
   ++session_;
 }
 
-bool ControlClient::will_tell(const Endpoint& replica, Instant now) const {
+bool ControlClient::will_notify(const Endpoint& replica, Instant now) const {
   const auto found = not_current_at_.find(replica);
-  return found != not_current_at_.end() && now - found->second < kTellingTime;
+  return found != not_current_at_.end() && now - found->second < kNotCurrentBackoff;
 }
 
 void ControlClient::ask_for_update(const Endpoint& replica, Instant now) {
@@ -175,10 +176,10 @@
 }
 
 void ControlClient::check_silence(Instant now) {
-  if (choice_.is_searching() || now - last_answer_ <= timing_.replica_timeout) {
+  if (selector_.is_searching() || now - last_answer_ <= timing_.replica_timeout) {
     return;
   }
-  output_.on_replica_silent(choice_.chosen());
+  output_.on_replica_silent(selector_.chosen());
   begin_search();
   next_heartbeat_ = now;
 }
@@ -186,10 +187,10 @@
 void ControlClient::check_freshness(Instant now) {
   const Instant confirmed =
       std::max(freshness_.confirmed_at().value_or(Instant{}), followed_since_);
-  if (choice_.is_searching() || now - confirmed <= kFreshnessTimeout) {
+  if (selector_.is_searching() || now - confirmed <= kFreshnessTimeout) {
     return;
   }
-  output_.on_behind(choice_.chosen(), revisions_behind());
+  output_.on_updates_overdue(selector_.chosen(), revisions_behind());
   begin_search();
   next_heartbeat_ = now;
 }
@@ -214,18 +215,19 @@
       std::any_of(update.deltas.begin(), update.deltas.end(),
                   [](const FleetDelta& delta) { return delta.members.has_value(); });
   if (update.is_snapshot) {
-    take_whole(from, update, now);
+    apply_snapshot(from, update, now);
   } else if (changes_members) {
-    take_member_deltas(from, update, now);
+    apply_member_deltas(from, update, now);
   } else {
-    take_deltas(from, update, now);
+    apply_deltas(from, update, now);
   }
 }
 
-void ControlClient::take_whole(const Endpoint& from, const FleetUpdate& update, Instant now) {
+void ControlClient::apply_snapshot(const Endpoint& from, const FleetUpdate& update, Instant now) {
   // An older state never replaces a newer one. A whole state of the same revision repairs one whose
   // digest was wrong.
-  const bool is_older = update.snapshot.revision < floor_ && !faults_.ignore_revision_floor;
+  const bool is_older =
+      update.snapshot.revision < revision_floor_ && !faults_.ignore_revision_floor;
   const FleetDigest digest(update.snapshot);
   if (is_older) {
     output_.on_update_refused({from, update.snapshot.revision, UpdateRefusal::kOlder});
@@ -238,7 +240,7 @@
   adopt(update.snapshot, digest, now);
 }
 
-void ControlClient::take_deltas(const Endpoint& from, const FleetUpdate& update, Instant now) {
+void ControlClient::apply_deltas(const Endpoint& from, const FleetUpdate& update, Instant now) {
   std::vector<FleetDelta> applied;
   for (const auto& delta : update.deltas) {
     if (apply_delta(fleet_, delta, digest_)) {
@@ -257,14 +259,14 @@
     next_heartbeat_ = now;
     return;
   }
-  floor_ = fleet_.revision;
-  freshness_.on_in_force(fleet_.revision);
+  revision_floor_ = fleet_.revision;
+  freshness_.on_applied(fleet_.revision);
   output_.on_deltas(fleet_, applied, now);
   on_adopted(now);
 }
 
-void ControlClient::take_member_deltas(const Endpoint& from, const FleetUpdate& update,
-                                       Instant now) {
+void ControlClient::apply_member_deltas(const Endpoint& from, const FleetUpdate& update,
+                                        Instant now) {
   // The steps are kept apart where the members change, since a handover follows each of them.
   std::vector<std::pair<FleetState, FleetDigest>> steps;
   FleetState next = fleet_;
@@ -296,10 +298,10 @@
   const bool expelled = was_member && (!is_member(next) || missed_members);
   fleet_ = std::move(next);
   digest_ = digest;
-  floor_ = fleet_.revision;
-  freshness_.on_in_force(fleet_.revision);
+  revision_floor_ = fleet_.revision;
+  freshness_.on_applied(fleet_.revision);
   if (expelled && self_.state == MemberState::kActive) {
-    output_.on_expelled(now);
+    output_.on_removed(now);
   }
   output_.on_fleet(fleet_, now);
   on_adopted(now);
@@ -336,7 +338,7 @@
   heartbeat.health_version = health_version_;
   heartbeat.has_gap = has_gap_;
   heartbeat.session = session_;
-  if (wants_update && !choice_.is_searching()) {
+  if (wants_update && !selector_.is_searching()) {
     heartbeat.observations = output_.take_observations();
   }
   heartbeats_sent_[heartbeat.sequence] = now;
@@ -347,18 +349,18 @@
 }
 
 void ControlClient::send_heartbeats(Instant now) {
-  if (choice_.is_searching()) {
+  if (selector_.is_searching()) {
     // One of them tells of what it commits from now on; all of them would send the same state.
     // While nothing is in force here, the first to answer is asked for all it has.
     const bool has_state = fleet_.revision > 0;
-    for (const auto& replica : choice_.candidates()) {
-      if (!will_tell(replica, now)) {
-        send_heartbeat(replica, has_state && replica == choice_.home(), now);
+    for (const auto& replica : selector_.candidates()) {
+      if (!will_notify(replica, now)) {
+        send_heartbeat(replica, has_state && replica == selector_.preferred(), now);
       }
     }
     return;
   }
-  send_heartbeat(choice_.chosen(), true, now);
+  send_heartbeat(selector_.chosen(), true, now);
   if (now >= next_probe_) {
     next_probe_ = now + kProbeInterval;
     probe(now);
@@ -366,9 +368,9 @@
 }
 
 void ControlClient::probe(Instant now) {
-  std::vector<Endpoint> asked = choice_.strangers();
-  const Endpoint home = choice_.home();
-  if (home != choice_.chosen() && std::find(asked.begin(), asked.end(), home) == asked.end()) {
+  std::vector<Endpoint> asked = selector_.with_unknown_zone();
+  const Endpoint home = selector_.preferred();
+  if (home != selector_.chosen() && std::find(asked.begin(), asked.end(), home) == asked.end()) {
     asked.push_back(home);
   }
   for (const auto& replica : asked) {
@@ -380,18 +382,18 @@
   const bool waits =
       self_.state == MemberState::kActive && fleet_.revision > 0 && !is_member(fleet_);
   if (!waits) {
-    outside_since_.reset();
+    not_member_since_.reset();
     return;
   }
-  outside_since_ = outside_since_.value_or(now);
-  if (now - *outside_since_ > kAdmissionTimeout) {
-    outside_since_ = now;
-    output_.on_expelled(now);
+  not_member_since_ = not_member_since_.value_or(now);
+  if (now - *not_member_since_ > kAdmissionTimeout) {
+    not_member_since_ = now;
+    output_.on_removed(now);
   }
 }
 
 void ControlClient::on_tick(Revision settled_revision, Instant now) {
-  if (choice_.candidates().empty()) {
+  if (selector_.candidates().empty()) {
     return;
   }
   check_admission(now);
@@ -399,7 +401,7 @@
   check_freshness(now);
   // Progress is told at once, so that a change that waits for it goes on.
   const bool progress = settled_revision != reported_settled_ && settled_revision != 0;
-  const bool is_urgent = !choice_.is_searching() && output_.has_urgent_observations();
+  const bool is_urgent = !selector_.is_searching() && output_.has_urgent_observations();
   if (now >= next_heartbeat_ || progress || is_urgent) {
     const bool is_starting = is_observer() && !has_been_current_;
     next_heartbeat_ = now + (is_starting ? timing_.starting_interval : timing_.heartbeat_interval);
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "core/balancer/replica_choice.h"
+#include "core/balancer/replica_selector.h"
 #include "core/balancer/state_freshness.h"
 #include "core/control/fleet_digest.h"
 #include "core/control/node_messages.h"
@@ -54,7 +54,7 @@
   virtual void on_lease(Instant until) = 0;
   /// This process was removed from the members although it runs: others have taken over what it
   /// owned. It must drop its state and call `rejoin` with a new incarnation.
-  virtual void on_expelled(Instant now) = 0;
+  virtual void on_removed(Instant now) = 0;
   /// True when there is something to report at once.
   virtual bool has_urgent_observations() { return false; }
   /// What was seen of targets since the last call; goes with the next report.
@@ -70,7 +70,7 @@
   /// The chosen replica does not answer: connections to it are of no use.
   virtual void on_replica_silent(const Endpoint& /*replica*/) {}
   /// The chosen replica answers, but its updates have not come for long: all are asked again.
-  virtual void on_behind(const Endpoint& /*replica*/, Revision /*revisions*/) {}
+  virtual void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) {}
   /// An update was not put in force; what is missing is asked for.
   virtual void on_update_refused(const RefusedUpdate& /*refused*/) {}
 };
@@ -116,7 +116,7 @@
 
   /// How many revisions a current replica is known to be ahead.
   [[nodiscard]] Revision revisions_behind() const {
-    const Revision awaited = freshness_.awaited();
+    const Revision awaited = freshness_.pending();
     return awaited > fleet_.revision ? awaited - fleet_.revision : 0;
   }
 
@@ -125,11 +125,11 @@
   /// Latest moment as of which the state in force was the newest; nothing before the first one.
   [[nodiscard]] std::optional<Instant> confirmed_at() const { return freshness_.confirmed_at(); }
   /// What a current replica held and is not in force here; 0 for none.
-  [[nodiscard]] Revision awaited_revision() const { return freshness_.awaited(); }
+  [[nodiscard]] Revision pending_revision() const { return freshness_.pending(); }
 
   void set_timing(const ControlClientTiming& timing) { timing_ = timing; }
   /// Takes other addresses to ask, beside those that replicas have told.
-  void set_seeds(const std::vector<Endpoint>& seeds) { choice_.set_seeds(seeds); }
+  void set_seeds(const std::vector<Endpoint>& seeds) { selector_.set_seeds(seeds); }
 
  private:
   void on_update(const Endpoint& from, const FleetUpdate& update, Instant now);
@@ -145,11 +145,11 @@
   void check_silence(Instant now);
   /// Gives the chosen replica up: all are asked.
   void begin_search();
-  void take_whole(const Endpoint& from, const FleetUpdate& update, Instant now);
+  void apply_snapshot(const Endpoint& from, const FleetUpdate& update, Instant now);
   /// Follows changes in place.
-  void take_deltas(const Endpoint& from, const FleetUpdate& update, Instant now);
+  void apply_deltas(const Endpoint& from, const FleetUpdate& update, Instant now);
   /// Follows changes some of which are of the members: each such state is put in force by itself.
-  void take_member_deltas(const Endpoint& from, const FleetUpdate& update, Instant now);
+  void apply_member_deltas(const Endpoint& from, const FleetUpdate& update, Instant now);
   /// `digest` is that of `next`: it is costly at scale, so it is worked out once.
   void adopt(FleetState next, const FleetDigest& digest, Instant now);
   void on_adopted(Instant now);
@@ -158,12 +158,12 @@
   void on_reply(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Finds or keeps a replica by what one has answered.
   void apply_target_health(const TargetHealthUpdate& figures);
-  void judge_replica(const Endpoint& from, const HeartbeatReply& reply, Instant now);
+  void evaluate_replica(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Reports to the chosen replica, or asks all of them while there is none.
   void send_heartbeats(Instant now);
   void send_heartbeat(const Endpoint& replica, bool wants_update, Instant now);
   /// True when a replica that was not current has promised to tell when it is.
-  [[nodiscard]] bool will_tell(const Endpoint& replica, Instant now) const;
+  [[nodiscard]] bool will_notify(const Endpoint& replica, Instant now) const;
   /// Asks a replica for what it holds, unless another one has just been asked.
   void ask_for_update(const Endpoint& replica, Instant now);
   /// Looks for a replica that would be better than the chosen one.
@@ -173,14 +173,14 @@
   void check_admission(Instant now);
 
   Member self_;
-  ReplicaChoice choice_;
+  ReplicaSelector selector_;
   ControlClientOutput& output_;
   ControlClientFaults faults_;
   FleetState fleet_;
   FleetDigest digest_;
   StateFreshness freshness_;
   /// Highest revision that was in force: no older one follows.
-  Revision floor_ = 0;
+  Revision revision_floor_ = 0;
   /// Begins at the incarnation, so that answers to an earlier process at this address match none.
   std::uint64_t sequence_;
   std::map<std::uint64_t, Instant> heartbeats_sent_;
@@ -203,7 +203,7 @@
   bool may_stop_ = false;
   ControlClientTiming timing_;
   /// Since when this process, which wants to be a member, has been none.
-  std::optional<Instant> outside_since_;
+  std::optional<Instant> not_member_since_;
   bool has_been_current_ = false;
   /// What the latest current replica held.
   std::optional<Revision> current_revision_;
--- a/src/core/balancer/flow_binding.cc
+++ b/src/core/balancer/flow_binding.cc
@@ -29,13 +29,13 @@
     fresh.next_message_id = initial_message_id(flow, state_.config().self.incarnation, now);
     record = &partition.store.add_flow(flow, fresh);
   } else {
-    --state_.board().at(record->target).flows;
+    --state_.target_table().at(record->target).flows;
   }
   record->target = target;
   record->last_active_s = to_seconds(now);
-  ++state_.board().at(target).flows;
-  if (is_exception(flow, *record)) {
-    partition.unconfirmed.pins.insert(flow);
+  ++state_.target_table().at(target).flows;
+  if (needs_replication(flow, *record)) {
+    partition.unconfirmed.changed_flows.insert(flow);
   }
   return *record;
 }
@@ -53,8 +53,8 @@
   if (record == nullptr) {
     return;
   }
-  --state_.board().at(record->target).flows;
-  partition.unconfirmed.pins.erase(flow);
+  --state_.target_table().at(record->target).flows;
+  partition.unconfirmed.changed_flows.erase(flow);
   partition.store.erase_flow(flow);
 }
 
@@ -64,7 +64,7 @@
   const std::uint32_t now_s = to_seconds(now);
   std::vector<FlowKey> idle;
   for (const auto& [flow, record] : partition.store.flows()) {
-    if (record.feeds == 0 && record.last_active_s + idle_s < now_s) {
+    if (record.observations == 0 && record.last_active_s + idle_s < now_s) {
       idle.push_back(flow);
     }
   }
@@ -75,7 +75,7 @@
 
 void FlowBinding::clear(Partition& partition) {
   for (const auto& [flow, record] : partition.store.flows()) {
-    --state_.board().at(record.target).flows;
+    --state_.target_table().at(record.target).flows;
   }
   partition.store.flows().clear();
   std::vector<RequestRecord*> records;
@@ -84,7 +84,7 @@
   }
   for (RequestRecord* record : records) {
     if (record->is_outstanding()) {
-      --state_.board().at(record->target).outstanding;
+      --state_.target_table().at(record->target).outstanding;
     }
     partition.store.erase_request(record);
   }
@@ -93,19 +93,19 @@
   partition.copy_pending = false;
 }
 
-bool FlowBinding::is_exception(const FlowKey& flow, const FlowRecord& record) const {
+bool FlowBinding::needs_replication(const FlowKey& flow, const FlowRecord& record) const {
   const ServiceView* service = state_.view()->service(flow.service);
   if (service == nullptr) {
     return true;
   }
   const Target* derived = state_.view()->first_choice(*service, flow);
-  return derived == nullptr || derived->address != record.target || record.feeds > 0;
+  return derived == nullptr || derived->address != record.target || record.observations > 0;
 }
 
-void FlowBinding::mark_exceptions(Partition& partition) {
+void FlowBinding::mark_for_replication(Partition& partition) {
   for (const auto& [flow, record] : partition.store.flows()) {
-    if (is_exception(flow, record)) {
-      partition.unconfirmed.pins.insert(flow);
+    if (needs_replication(flow, record)) {
+      partition.unconfirmed.changed_flows.insert(flow);
     }
   }
 }
--- a/src/core/balancer/flow_binding.h
+++ b/src/core/balancer/flow_binding.h
@@ -26,10 +26,10 @@
 
   /// True when the target of the flow is not the one that its slot gives now: such flows, and those
   /// with feeds, are copied to the backup.
-  [[nodiscard]] bool is_exception(const FlowKey& flow, const FlowRecord& record) const;
+  [[nodiscard]] bool needs_replication(const FlowKey& flow, const FlowRecord& record) const;
 
   /// Marks the flows that became exceptions with a new view as changed.
-  void mark_exceptions(Partition& partition);
+  void mark_for_replication(Partition& partition);
 
  private:
   BalancerState& state_;
--- a/src/core/balancer/planned_stop.h
+++ b/src/core/balancer/graceful_shutdown.h
@@ -8,9 +8,9 @@
 
 namespace gorsevalve {
 
-class PlannedStop {
+class GracefulShutdown {
  public:
-  static constexpr Duration kLinger = std::chrono::seconds(3);
+  static constexpr Duration kRelayPeriod = std::chrono::seconds(3);
 
   void begin() { leaving_ = true; }
 
@@ -18,7 +18,7 @@
   /// when the process ends now.
   [[nodiscard]] bool on_tick(bool has_moved, Instant now) {
     if (leaving_ && has_moved && !ends_at_) {
-      ends_at_ = now + kLinger;
+      ends_at_ = now + kRelayPeriod;
     }
     return ends_at_ && now >= *ends_at_;
   }
--- a/src/core/balancer/handover.cc
+++ b/src/core/balancer/handover.cc
@@ -10,13 +10,13 @@
 
 /// Datagrams that wait for one partition's state; more are dropped and come again by
 /// retransmission.
-constexpr std::size_t kMaxHeldDatagrams = 512;
+constexpr std::size_t kMaxBufferedDatagrams = 512;
 
 }  // namespace
 
 void Handover::on_members(Instant now) {
   const FleetView& view = *state_.view();
-  state_.set_owned_share(std::max(view.owned_share(state_.self()), decided_share()));
+  state_.set_owned_share(std::max(view.owned_share(state_.self()), served_share()));
   for (PartitionId id = 0; id < view.state().partitions; ++id) {
     if (is_own(view.owner(id))) {
       follow_assignment(state_.partitions().at(id), now);
@@ -26,7 +26,7 @@
   }
 }
 
-double Handover::decided_share() const {
+double Handover::served_share() const {
   const auto& partitions = state_.partitions().used();
   const auto decided = std::count_if(
       partitions.begin(), partitions.end(),
@@ -66,7 +66,7 @@
   if (!is_own(state_.view()->previous_owner(partition.id))) {
     // Another process owned it in between and may have decided: its state counts.
     start_acquisition(partition, now);
-    partition.acquisition->keeps_state = true;
+    partition.acquisition->retains_state = true;
     return;
   }
   const Member* backup = state_.view()->backup(partition.id);
@@ -83,7 +83,7 @@
   const bool usable = backup != nullptr && backup->address != state_.self();
   partition.backup = usable ? std::optional(backup->address) : std::nullopt;
   partition.owner_revision = revision;
-  binding_.mark_exceptions(partition);
+  binding_.mark_for_replication(partition);
   replicator_.start_copy(partition);
 }
 
@@ -118,7 +118,7 @@
     return;
   }
   if (!waits_for_lease(*partition.acquisition, now)) {
-    ask_source(partition, now);
+    request_chunk(partition, now);
   }
 }
 
@@ -131,15 +131,15 @@
     return false;
   }
   const bool complete =
-      partition.copy->is_complete(partition.sealed_revision, partition.acquisition->previous_owner);
-  partition.sealed_revision = std::max(partition.sealed_revision, partition.acquisition->revision);
+      partition.copy->is_complete(partition.fenced_revision, partition.acquisition->previous_owner);
+  partition.fenced_revision = std::max(partition.fenced_revision, partition.acquisition->revision);
   const std::unique_ptr<StateCopy> copy = std::move(partition.copy);
   partition.incomplete_until = std::max(partition.incomplete_until, copy->incomplete_until);
   import(partition, BackupStore::content(*copy), now);
   return complete;
 }
 
-void Handover::ask_source(Partition& partition, Instant now) {
+void Handover::request_chunk(Partition& partition, Instant now) {
   Acquisition& acquisition = *partition.acquisition;
   if (!acquisition.has_source()) {
     const bool complete = take_own_copy(partition, now);
@@ -157,7 +157,7 @@
   ++acquisition.source;
   acquisition.next_chunk = 0;
   acquisition.last_heard = now;
-  ask_source(partition, now);
+  request_chunk(partition, now);
 }
 
 void Handover::on_takeover_chunk(const Endpoint& from, const TakeoverChunk& chunk, Instant now) {
@@ -169,7 +169,7 @@
   if (acquisition.sources[acquisition.source].address != from) {
     return;
   }
-  if (chunk.holding == HoldingState::kBusy) {
+  if (chunk.source_state == SourceState::kBusy) {
     acquisition.last_heard = now;
     return;
   }
@@ -178,24 +178,24 @@
   }
   acquisition.last_heard = now;
   ++acquisition.next_chunk;
-  take_state(partition, chunk, now);
+  apply_chunk(partition, chunk, now);
   if (!chunk.last) {
-    ask_source(partition, now);
+    request_chunk(partition, now);
     return;
   }
   // An owner in between that never fetched the state decided nothing: what was kept is complete.
-  const bool kept = acquisition.keeps_state && acquisition.sources[acquisition.source].was_owner;
-  if (chunk.holding == HoldingState::kComplete || kept) {
+  const bool kept = acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
+  if (chunk.source_state == SourceState::kComplete || kept) {
     finish(partition, true, now);
   } else {
     next_source(partition, now);
   }
 }
 
-void Handover::take_state(Partition& partition, const TakeoverChunk& chunk, Instant now) {
+void Handover::apply_chunk(Partition& partition, const TakeoverChunk& chunk, Instant now) {
   Acquisition& acquisition = *partition.acquisition;
-  if (acquisition.keeps_state && chunk.holding == HoldingState::kComplete) {
-    acquisition.keeps_state = false;
+  if (acquisition.retains_state && chunk.source_state == SourceState::kComplete) {
+    acquisition.retains_state = false;
     binding_.clear(partition);
   }
   partition.incomplete_until = std::max(partition.incomplete_until,
@@ -204,7 +204,7 @@
 }
 
 void Handover::import(Partition& partition, const StateBatch& batch, Instant now) {
-  for (const auto& pin : batch.pins) {
+  for (const auto& pin : batch.flow_records) {
     if (partition.store.find_flow(pin.flow) == nullptr) {
       binding_.bind(partition, pin.flow, pin.target, now).next_message_id = pin.next_message_id;
     }
@@ -226,14 +226,14 @@
     ++state_.counters().partitions_incomplete;
     partition.incomplete_until = now + timing::kIncompleteTakeover;
   }
-  std::vector<HeldDatagram> held = std::move(partition.acquisition->held);
+  std::vector<BufferedDatagram> held = std::move(partition.acquisition->buffered);
   const Revision revision = partition.acquisition->revision;
   partition.acquisition.reset();
   partition.role = PartitionRole::kOwner;
   set_backup(partition, revision);
   listener_.on_acquired(partition, now);
   for (const auto& datagram : held) {
-    listener_.on_held_datagram(datagram.header, datagram.payload, now);
+    listener_.on_buffered_datagram(datagram.header, datagram.payload, now);
   }
 }
 
@@ -256,14 +256,14 @@
     } else if (now - acquisition.last_heard >= timing::kTakeoverSourceTimeout) {
       next_source(*partition, now);
     } else if (now - acquisition.last_sent >= timing::kTakeoverRetry) {
-      ask_source(*partition, now);
+      request_chunk(*partition, now);
     }
   }
 }
 
-void Handover::hold(Partition& partition, const ProxyHeader& header, ByteView payload) {
-  auto& held = partition.acquisition->held;
-  if (held.size() < kMaxHeldDatagrams) {
+void Handover::buffer_datagram(Partition& partition, const ProxyHeader& header, ByteView payload) {
+  auto& held = partition.acquisition->buffered;
+  if (held.size() < kMaxBufferedDatagrams) {
     held.push_back({header, Bytes(payload.begin(), payload.end())});
     ++state_.counters().datagrams_held;
   }
--- a/src/core/balancer/handover.h
+++ b/src/core/balancer/handover.h
@@ -17,7 +17,7 @@
   /// This process decides for the partition from now on.
   virtual void on_acquired(Partition& partition, Instant now) = 0;
   /// A datagram that waited for the state.
-  virtual void on_held_datagram(const ProxyHeader& header, ByteView payload, Instant now) = 0;
+  virtual void on_buffered_datagram(const ProxyHeader& header, ByteView payload, Instant now) = 0;
 };
 
 class Handover {
@@ -34,7 +34,7 @@
   void on_tick(Instant now);
 
   /// Keeps a datagram until the state of its partition has arrived.
-  void hold(Partition& partition, const ProxyHeader& header, ByteView payload);
+  void buffer_datagram(Partition& partition, const ProxyHeader& header, ByteView payload);
 
   /// A newer owner has fenced this process off: it stops deciding, and fetches the state again when
   /// the members still give it the partition.
@@ -53,14 +53,14 @@
   void abandon(Partition& partition);
   void abandon_unclaimed(Partition& partition, Instant now);
   void retry_superseded(Partition& partition, Instant now);
-  void take_state(Partition& partition, const TakeoverChunk& chunk, Instant now);
+  void apply_chunk(Partition& partition, const TakeoverChunk& chunk, Instant now);
   /// Share of all partitions that this process decides for, also those it is about to hand over.
-  [[nodiscard]] double decided_share() const;
+  [[nodiscard]] double served_share() const;
   [[nodiscard]] bool is_own(const Member* member) const;
   [[nodiscard]] bool waits_for_lease(const Acquisition& acquisition, Instant now) const;
   [[nodiscard]] std::vector<TakeoverSource> find_sources(PartitionId partition) const;
   [[nodiscard]] bool take_own_copy(Partition& partition, Instant now);
-  void ask_source(Partition& partition, Instant now);
+  void request_chunk(Partition& partition, Instant now);
   void next_source(Partition& partition, Instant now);
   void import(Partition& partition, const StateBatch& batch, Instant now);
   void finish(Partition& partition, bool complete, Instant now);
--- a/src/core/balancer/handover_release.cc
+++ b/src/core/balancer/handover_release.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Cuts a batch into chunks near kBatchSize. There is always at least one.
-std::vector<StateBatch> cut(StateBatch&& whole) {
+std::vector<StateBatch> split_into_chunks(StateBatch&& whole) {
   std::vector<StateBatch> chunks(1);
   std::size_t size = 0;
   const auto room_for = [&](std::size_t next) {
@@ -19,9 +19,9 @@
     }
     size += next;
   };
-  for (auto& pin : whole.pins) {
-    room_for(kEstimatedPinSize);
-    chunks.back().pins.push_back(pin);
+  for (auto& pin : whole.flow_records) {
+    room_for(kEstimatedFlowSize);
+    chunks.back().flow_records.push_back(pin);
   }
   for (auto& record : whole.requests) {
     room_for(estimated_size(record));
@@ -32,17 +32,18 @@
 
 /// All state of a partition. Every flow is included, not only the exceptions: the new owner may
 /// know another revision of the slot table.
-StateBatch whole_state(const PartitionStore& store) {
+StateBatch full_state(const PartitionStore& store) {
   StateBatch batch;
   for (const auto& [flow, record] : store.flows()) {
-    batch.pins.push_back({flow, record.target, record.next_message_id});
+    batch.flow_records.push_back({flow, record.target, record.next_message_id});
   }
   for (const auto& [id, record] : store.requests()) {
     batch.requests.push_back(*record);
   }
   // Hash maps have no fixed order; a transfer must have one.
-  std::sort(batch.pins.begin(), batch.pins.end(),
-            [](const PinRecord& a, const PinRecord& b) { return a.flow < b.flow; });
+  std::sort(
+      batch.flow_records.begin(), batch.flow_records.end(),
+      [](const FlowTransferRecord& a, const FlowTransferRecord& b) { return a.flow < b.flow; });
   std::sort(batch.requests.begin(), batch.requests.end(),
             [](const RequestRecord& a, const RequestRecord& b) { return a.id < b.id; });
   return batch;
@@ -51,13 +52,13 @@
 }  // namespace
 
 void Handover::freeze(Partition& partition) {
-  StateBatch state = whole_state(partition.store);
+  StateBatch state = full_state(partition.store);
   if (state_.faults().drop_state_on_handover) {
     state = StateBatch{};
   }
   OutgoingTransfer outgoing;
-  outgoing.chunks = cut(std::move(state));
-  outgoing.holding = HoldingState::kComplete;
+  outgoing.chunks = split_into_chunks(std::move(state));
+  outgoing.source_state = SourceState::kComplete;
   outgoing.incomplete_until = partition.incomplete_until;
   partition.outgoing = std::move(outgoing);
   partition.role = PartitionRole::kNone;
@@ -67,17 +68,17 @@
 void Handover::offer_copy(Partition& partition, std::uint64_t last_owner) {
   if (partition.copy == nullptr && partition.outgoing) {
     // Frozen state that another process asked for before: it may have decided since.
-    partition.outgoing->holding = HoldingState::kIncomplete;
+    partition.outgoing->source_state = SourceState::kIncomplete;
     return;
   }
   OutgoingTransfer outgoing;
-  outgoing.holding = HoldingState::kNone;
+  outgoing.source_state = SourceState::kNone;
   outgoing.chunks.emplace_back();
   if (partition.copy != nullptr) {
-    outgoing.chunks = cut(BackupStore::content(*partition.copy));
-    outgoing.holding = partition.copy->is_complete(partition.sealed_revision, last_owner)
-                           ? HoldingState::kComplete
-                           : HoldingState::kIncomplete;
+    outgoing.chunks = split_into_chunks(BackupStore::content(*partition.copy));
+    outgoing.source_state = partition.copy->is_complete(partition.fenced_revision, last_owner)
+                                ? SourceState::kComplete
+                                : SourceState::kIncomplete;
     outgoing.incomplete_until = partition.copy->incomplete_until;
   }
   partition.outgoing = std::move(outgoing);
@@ -98,7 +99,7 @@
 }
 
 bool Handover::is_stale(const Partition& partition, const TakeoverRequest& request) const {
-  if (request.members_revision < partition.sealed_revision) {
+  if (request.members_revision < partition.fenced_revision) {
     return true;
   }
   if (partition.role == PartitionRole::kNone) {
@@ -120,12 +121,12 @@
   reply.partition = request.partition;
   reply.chunk = request.chunk;
   if (partition.role == PartitionRole::kAcquiring) {
-    reply.holding = HoldingState::kBusy;
+    reply.source_state = SourceState::kBusy;
     state_.output().send_peer(from, reply);
     return;
   }
   prepare_outgoing(partition, request, from);
-  partition.sealed_revision = request.members_revision;
+  partition.fenced_revision = request.members_revision;
   OutgoingTransfer& outgoing = *partition.outgoing;
   outgoing.last_asked = now;
   if (request.chunk >= outgoing.chunks.size()) {
@@ -133,7 +134,7 @@
   }
   reply.state = outgoing.chunks[request.chunk];
   reply.last = request.chunk + 1 == outgoing.chunks.size();
-  reply.holding = outgoing.holding;
+  reply.source_state = outgoing.source_state;
   reply.incomplete_for_ms = milliseconds_until(outgoing.incomplete_until, now);
   state_.output().send_peer(from, reply);
 }
--- a/src/core/balancer/feed_mover.cc
+++ b/src/core/balancer/observation_migrator.cc
@@ -1,27 +1,27 @@
-#include "core/balancer/feed_mover.h"
+#include "core/balancer/observation_migrator.h"
 
 namespace gorsevalve {
 
-void FeedMover::move_from_lost_targets(Instant now) {
+void ObservationMigrator::migrate_from_lost_targets(Instant now) {
   for (Partition* partition : state_.partitions().used()) {
     if (partition->role == PartitionRole::kOwner) {
-      move_from_lost_targets(*partition, now);
+      migrate_from_lost_targets(*partition, now);
     }
   }
 }
 
-bool FeedMover::has_lost_target(const RequestRecord& record) const {
+bool ObservationMigrator::has_lost_target(const RequestRecord& record) const {
   const ServiceView* service = state_.view()->service(record.flow.service);
-  const bool open = record.kind == RequestKind::kFeed && record.state == RequestState::kAnswered;
+  const bool open = record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered;
   if (!open || service == nullptr) {
     return false;
   }
-  const TargetState* target = state_.board().find(record.target);
+  const TargetState* target = state_.target_table().find(record.target);
   const bool healthy = target == nullptr || target->healthy;
   return !healthy || state_.view()->target(*service, record.target) == nullptr;
 }
 
-void FeedMover::move_from_lost_targets(Partition& partition, Instant now) {
+void ObservationMigrator::migrate_from_lost_targets(Partition& partition, Instant now) {
   std::vector<RequestRecord*> lost;
   for (const auto& [id, record] : partition.store.requests()) {
     if (has_lost_target(*record)) {
@@ -31,10 +31,10 @@
   sort_by_id(lost);
   for (RequestRecord* record : lost) {
     const ServiceView* service = state_.view()->service(record->flow.service);
-    const Target* target = actions_.place(*service, record->flow, now, record->target);
+    const Target* target = actions_.select_target(*service, record->flow, now, record->target);
     if (target != nullptr) {
       binding_.bind(partition, record->flow, target->address, now);
-      actions_.move_feed(partition, *record, target->address, now);
+      actions_.migrate_observation(partition, *record, target->address, now);
     }
   }
 }
--- a/src/core/balancer/feed_mover.h
+++ b/src/core/balancer/observation_migrator.h
@@ -6,15 +6,15 @@
 
 namespace gorsevalve {
 
-class FeedMover {
+class ObservationMigrator {
  public:
-  FeedMover(BalancerState& state, FlowBinding& binding, RequestActions& actions)
+  ObservationMigrator(BalancerState& state, FlowBinding& binding, RequestActions& actions)
       : state_(state), binding_(binding), actions_(actions) {}
 
   /// In all partitions that this process owns.
-  void move_from_lost_targets(Instant now);
+  void migrate_from_lost_targets(Instant now);
   /// In one partition. Feeds stay where they are when no other target takes new work.
-  void move_from_lost_targets(Partition& partition, Instant now);
+  void migrate_from_lost_targets(Partition& partition, Instant now);
 
  private:
   [[nodiscard]] bool has_lost_target(const RequestRecord& record) const;
--- a/src/core/balancer/output.h
+++ b/src/core/balancer/output.h
@@ -16,7 +16,7 @@
   virtual ~BalancerOutput() = default;
 
   /// Sends a CoAP message to the caller of a flow, from the service address of the flow.
-  virtual void send_to_caller(const FlowKey& flow, ByteView message) = 0;
+  virtual void send_to_client(const FlowKey& flow, ByteView message) = 0;
 
   /// Sends a CoAP message of a flow to a target. The target echoes the header's request id.
   virtual void send_to_target(const Endpoint& target, const ProxyHeader& header,
--- a/src/core/balancer/partition.h
+++ b/src/core/balancer/partition.h
@@ -35,7 +35,7 @@
 };
 
 /// A datagram that waits until the state has arrived.
-struct HeldDatagram {
+struct BufferedDatagram {
   ProxyHeader header;
   Bytes payload;
 };
@@ -54,8 +54,8 @@
   /// The sources are not asked before this process has a lease, or until this instant.
   Instant waits_until;
   /// This process owned the partition before the last change but one, and still has its state.
-  bool keeps_state = false;
-  std::vector<HeldDatagram> held;
+  bool retains_state = false;
+  std::vector<BufferedDatagram> buffered;
 
   [[nodiscard]] bool has_source() const { return source < sources.size(); }
 };
@@ -66,18 +66,20 @@
   /// Membership revision of the new owner.
   Revision revision = 0;
   std::vector<StateBatch> chunks;
-  HoldingState holding = HoldingState::kComplete;
+  SourceState source_state = SourceState::kComplete;
   Instant incomplete_until;
   Instant last_asked;
 };
 
 /// Changes that the backup has not confirmed.
 struct UnconfirmedChanges {
-  absl::btree_set<FlowKey> pins;
+  absl::btree_set<FlowKey> changed_flows;
   absl::btree_set<RequestId> requests;
-  std::vector<RequestId> forgotten;
+  std::vector<RequestId> deleted_requests;
 
-  [[nodiscard]] bool empty() const { return pins.empty() && requests.empty() && forgotten.empty(); }
+  [[nodiscard]] bool empty() const {
+    return changed_flows.empty() && requests.empty() && deleted_requests.empty();
+  }
 };
 
 /// A batch on its way to the backup.
@@ -89,8 +91,8 @@
 
 /// Copy of another owner's partition.
 struct StateCopy {
-  struct Pin {
-    PinRecord record;
+  struct Flow {
+    FlowTransferRecord record;
     Revision revision = 0;
   };
   struct Request {
@@ -104,7 +106,7 @@
   bool complete = false;
   Instant incomplete_until;
   Instant last_change;
-  absl::btree_map<FlowKey, Pin> pins;
+  absl::btree_map<FlowKey, Flow> flow_records;
   absl::btree_map<RequestId, Request> requests;
 
   /// True when it has all records of the last owner, whose incarnation is given. A copy of an
@@ -139,7 +141,7 @@
   std::optional<OutgoingTransfer> outgoing;
 
   /// As backup: changes of owners under older revisions are refused.
-  Revision sealed_revision = 0;
+  Revision fenced_revision = 0;
   std::unique_ptr<StateCopy> copy;
 };
 
--- a/src/core/balancer/partition_store.cc
+++ b/src/core/balancer/partition_store.cc
@@ -8,12 +8,12 @@
 /// Returns the record to its initial values but keeps the capacity of its buffers.
 void reset(RequestRecord& record) {
   Bytes request = std::move(record.request);
-  Bytes answer = std::move(record.answer);
+  Bytes answer = std::move(record.response);
   request.clear();
   answer.clear();
   record = RequestRecord{};
   record.request = std::move(request);
-  record.answer = std::move(answer);
+  record.response = std::move(answer);
 }
 
 template <typename Map, typename Key>
@@ -82,12 +82,12 @@
   return find_in(by_notification_, MessageKey{flow, message_id});
 }
 
-void PartitionStore::note_notification(RequestRecord* record, std::uint16_t id_out,
-                                       std::uint16_t id_in) {
-  erase_if_points_to(by_notification_, MessageKey{record->flow, record->feed.message_id_out},
-                     record);
-  record->feed.message_id_out = id_out;
-  record->feed.message_id_in = id_in;
+void PartitionStore::set_last_notification(RequestRecord* record, std::uint16_t id_out,
+                                           std::uint16_t id_in) {
+  erase_if_points_to(by_notification_,
+                     MessageKey{record->flow, record->observe_state.message_id_out}, record);
+  record->observe_state.message_id_out = id_out;
+  record->observe_state.message_id_in = id_in;
   by_notification_[MessageKey{record->flow, id_out}] = record;
 }
 
@@ -109,8 +109,8 @@
   requests_.erase(record->id);
   erase_if_points_to(by_message_, MessageKey{record->flow, record->message_id}, record);
   erase_if_points_to(by_token_, TokenKey{record->flow, record->token}, record);
-  erase_if_points_to(by_notification_, MessageKey{record->flow, record->feed.message_id_out},
-                     record);
+  erase_if_points_to(by_notification_,
+                     MessageKey{record->flow, record->observe_state.message_id_out}, record);
   pool_.give_back(record);
 }
 
--- a/src/core/balancer/partition_store.h
+++ b/src/core/balancer/partition_store.h
@@ -84,7 +84,7 @@
   void change_id(RequestRecord* record, const RequestId& id);
   void erase_request(RequestRecord* record);
   /// Remembers the message ids of the last notification of a feed.
-  void note_notification(RequestRecord* record, std::uint16_t id_out, std::uint16_t id_in);
+  void set_last_notification(RequestRecord* record, std::uint16_t id_out, std::uint16_t id_in);
 
   [[nodiscard]] const FlowMap& flows() const { return flows_; }
   [[nodiscard]] FlowMap& flows() { return flows_; }
--- a/src/core/balancer/peer_messages.h
+++ b/src/core/balancer/peer_messages.h
@@ -63,7 +63,7 @@
 };
 
 /// What the asked process holds of the partition.
-enum class HoldingState : std::uint8_t {
+enum class SourceState : std::uint8_t {
   /// Nothing at all.
   kNone = 0,
   /// A copy that may lack records.
@@ -80,14 +80,14 @@
   PartitionId partition = 0;
   std::uint32_t chunk = 0;
   bool last = false;
-  HoldingState holding = HoldingState::kNone;
+  SourceState source_state = SourceState::kNone;
   /// How much longer the state may lack records although its holder has all that it ever had.
   std::uint32_t incomplete_for_ms = 0;
   StateBatch state;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& members_revision& partition& chunk& last& holding& incomplete_for_ms& state;
+    archive& members_revision& partition& chunk& last& source_state& incomplete_for_ms& state;
   }
 };
 
--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -21,7 +21,7 @@
   /// Runs at most once: recorded at the backup first, then sent once to one target.
   kOnceOnly = 1,
   /// An Observe registration: stays open and gets many answers.
-  kFeed = 2,
+  kObserve = 2,
 };
 
 enum class RequestState : std::uint8_t {
@@ -43,13 +43,13 @@
   /// Next message id for messages that targets originate (RFC 7252 section 4.4).
   std::uint16_t next_message_id = 0;
   /// Open feeds of the flow.
-  std::uint16_t feeds = 0;
+  std::uint16_t observations = 0;
   /// Last datagram in either direction, in seconds of the owner's monotonic clock.
   std::uint32_t last_active_s = 0;
 };
 
 /// Sequence state of an open feed (RFC 7641 section 3.4).
-struct FeedState {
+struct ObserveState {
   /// Last Observe value taken from the target, and sent to the caller.
   std::uint32_t last_in = 0;
   std::uint32_t last_out = 0;
@@ -93,11 +93,11 @@
   Instant give_up_at;
   /// Times that it was sent to the same target again.
   std::uint8_t resends = 0;
-  FeedState feed;
+  ObserveState observe_state;
   /// The request as the caller sent it: while it waits, and for feeds as long as they are open.
   Bytes request;
   /// The final answer of a once-only request.
-  Bytes answer;
+  Bytes response;
 
   /// True while the request counts against its target's limit.
   [[nodiscard]] bool is_outstanding() const { return state == RequestState::kDispatched; }
@@ -108,12 +108,12 @@
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& flow& id& token& message_id& type& kind& state& execution& retry_after_s& version&
-        continuation& target& feed& request& answer;
+        continuation& target& observe_state& request& response;
   }
 };
 
 /// A flow record with its key, for transfer.
-struct PinRecord {
+struct FlowTransferRecord {
   FlowKey flow;
   Endpoint target;
   std::uint16_t next_message_id = 0;
@@ -126,16 +126,18 @@
 
 /// A change of the state of one partition, as it travels to the backup or to the next owner.
 struct StateBatch {
-  std::vector<PinRecord> pins;
+  std::vector<FlowTransferRecord> flow_records;
   std::vector<RequestRecord> requests;
   /// Requests that are no longer needed.
-  std::vector<RequestId> forgotten;
+  std::vector<RequestId> deleted_requests;
 
-  [[nodiscard]] bool empty() const { return pins.empty() && requests.empty() && forgotten.empty(); }
+  [[nodiscard]] bool empty() const {
+    return flow_records.empty() && requests.empty() && deleted_requests.empty();
+  }
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& pins& requests& forgotten;
+    archive& flow_records& requests& deleted_requests;
   }
 };
 
--- a/src/core/balancer/replica_choice.cc
+++ b/src/core/balancer/replica_selector.cc
@@ -1,4 +1,4 @@
-#include "core/balancer/replica_choice.h"
+#include "core/balancer/replica_selector.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,7 +9,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr std::uint64_t kHomeSalt = 0x686F6D65ULL;
+constexpr std::uint64_t kPreferredReplicaSalt = 0x686F6D65ULL;
 
 bool contains(const std::vector<Endpoint>& list, const Endpoint& wanted) {
   return std::find(list.begin(), list.end(), wanted) != list.end();
@@ -17,12 +17,13 @@
 
 }  // namespace
 
-ReplicaChoice::ReplicaChoice(const Endpoint& self, std::string zone, std::vector<Endpoint> seeds)
+ReplicaSelector::ReplicaSelector(const Endpoint& self, std::string zone,
+                                 std::vector<Endpoint> seeds)
     : self_(self), zone_(std::move(zone)), seeds_(std::move(seeds)) {
   collect_candidates();
 }
 
-void ReplicaChoice::collect_candidates() {
+void ReplicaSelector::collect_candidates() {
   candidates_ = replicas_;
   for (const auto& seed : seeds_) {
     if (!contains(candidates_, seed)) {
@@ -31,14 +32,14 @@
   }
 }
 
-void ReplicaChoice::begin_search() { searching_ = true; }
+void ReplicaSelector::begin_search() { searching_ = true; }
 
-void ReplicaChoice::choose(const Endpoint& replica) {
+void ReplicaSelector::choose(const Endpoint& replica) {
   chosen_ = replica;
   searching_ = false;
 }
 
-void ReplicaChoice::take_replicas(const std::vector<Endpoint>& replicas) {
+void ReplicaSelector::set_replicas(const std::vector<Endpoint>& replicas) {
   if (replicas.empty() || replicas == replicas_) {
     return;
   }
@@ -47,7 +48,7 @@
   searching_ = searching_ || !contains(replicas_, chosen_);
 }
 
-void ReplicaChoice::set_seeds(std::vector<Endpoint> seeds) {
+void ReplicaSelector::set_seeds(std::vector<Endpoint> seeds) {
   if (seeds.empty()) {
     return;
   }
@@ -55,25 +56,25 @@
   collect_candidates();
 }
 
-void ReplicaChoice::set_zone(const Endpoint& replica, const std::string& zone) {
+void ReplicaSelector::set_zone(const Endpoint& replica, const std::string& zone) {
   zones_[replica] = zone;
 }
 
-std::vector<Endpoint> ReplicaChoice::strangers() const {
+std::vector<Endpoint> ReplicaSelector::with_unknown_zone() const {
   std::vector<Endpoint> result;
   std::copy_if(known().begin(), known().end(), std::back_inserter(result),
                [this](const Endpoint& replica) { return !zones_.contains(replica); });
   return result;
 }
 
-Endpoint ReplicaChoice::home() const {
+Endpoint ReplicaSelector::preferred() const {
   const auto is_near = [this](const Endpoint& replica) {
     const auto found = zones_.find(replica);
     return !zone_.empty() && found != zones_.end() && found->second == zone_;
   };
   const auto score = [&](const Endpoint& replica) {
     const std::uint64_t key = packed(self_) ^ (packed(replica) << 16U);
-    return std::pair(is_near(replica), rendezvous_score(key, 0, kHomeSalt));
+    return std::pair(is_near(replica), rendezvous_score(key, 0, kPreferredReplicaSalt));
   };
   const auto best =
       std::max_element(known().begin(), known().end(),
--- a/src/core/balancer/replica_choice.h
+++ b/src/core/balancer/replica_selector.h
@@ -12,10 +12,10 @@
 
 namespace gorsevalve {
 
-class ReplicaChoice {
+class ReplicaSelector {
  public:
   /// Begins with a search among the seeds. `zone` may be empty: then all replicas are alike.
-  ReplicaChoice(const Endpoint& self, std::string zone, std::vector<Endpoint> seeds);
+  ReplicaSelector(const Endpoint& self, std::string zone, std::vector<Endpoint> seeds);
 
   [[nodiscard]] bool is_searching() const { return searching_; }
   /// The replica that is asked; meaningful while there is no search.
@@ -28,16 +28,16 @@
   /// A replica has shown that it is current.
   void choose(const Endpoint& replica);
   /// Takes the replicas that a current one named. Searches when the chosen one is not among them.
-  void take_replicas(const std::vector<Endpoint>& replicas);
+  void set_replicas(const std::vector<Endpoint>& replicas);
   void set_seeds(std::vector<Endpoint> seeds);
   /// A replica told its zone.
   void set_zone(const Endpoint& replica, const std::string& zone);
   /// The replica that this balancer should be at, so that balancers spread evenly (rendezvous
   /// hashing) over the replicas of their zone, or over all where the zone has none; the chosen one
   /// when none is known.
-  [[nodiscard]] Endpoint home() const;
+  [[nodiscard]] Endpoint preferred() const;
   /// Replicas whose zone is not known yet.
-  [[nodiscard]] std::vector<Endpoint> strangers() const;
+  [[nodiscard]] std::vector<Endpoint> with_unknown_zone() const;
 
  private:
   void collect_candidates();
--- a/src/core/balancer/replication.cc
+++ b/src/core/balancer/replication.cc
@@ -12,12 +12,12 @@
   return static_cast<std::uint32_t>(std::max<std::int64_t>(left, 0));
 }
 
-RequestRecord backup_form(const RequestRecord& record) {
+RequestRecord to_backup_record(const RequestRecord& record) {
   RequestRecord copy = record;
   if (copy.is_waiting()) {
     copy.state = RequestState::kDispatched;
   }
-  if (copy.kind != RequestKind::kFeed) {
+  if (copy.kind != RequestKind::kObserve) {
     copy.request.clear();
   }
   return copy;
@@ -25,16 +25,16 @@
 
 std::size_t estimated_size(const RequestRecord& record) {
   constexpr std::size_t kFixedPart = 80;
-  return kFixedPart + record.request.size() + record.answer.size();
+  return kFixedPart + record.request.size() + record.response.size();
 }
 
-void Replicator::record_now(Partition& partition, const RequestRecord& record, Instant now) {
+void Replicator::replicate_now(Partition& partition, const RequestRecord& record, Instant now) {
   PendingRecord pending;
   pending.message.members_revision = partition.owner_revision;
   pending.message.partition = partition.id;
   pending.message.owner = state_.config().self.incarnation;
   pending.message.batch = ++last_batch_;
-  pending.message.changes.requests.push_back(backup_form(record));
+  pending.message.changes.requests.push_back(to_backup_record(record));
   pending.backup = *partition.backup;
   pending.id = record.id;
   pending.next_send = now + timing::kBatchRetry;
@@ -46,9 +46,9 @@
   partition.unconfirmed.requests.insert(record.id);
 }
 
-void Replicator::mark_forgotten(Partition& partition, const RequestRecord& record) {
+void Replicator::mark_deleted(Partition& partition, const RequestRecord& record) {
   partition.unconfirmed.requests.erase(record.id);
-  partition.unconfirmed.forgotten.push_back(record.id);
+  partition.unconfirmed.deleted_requests.push_back(record.id);
 }
 
 void Replicator::start_copy(Partition& partition) {
@@ -77,7 +77,7 @@
     if (!partition.backup) {
       listener_.on_recorded(partition, id, now);
     } else if (const RequestRecord* record = partition.store.find_request(id)) {
-      record_now(partition, *record, now);
+      replicate_now(partition, *record, now);
     }
   }
 }
@@ -86,25 +86,25 @@
   StateBatch batch;
   std::size_t size = 0;
   auto& changes = partition.unconfirmed;
-  while (!changes.pins.empty() && size < kBatchSize) {
-    const FlowKey flow = *changes.pins.begin();
-    changes.pins.erase(changes.pins.begin());
+  while (!changes.changed_flows.empty() && size < kBatchSize) {
+    const FlowKey flow = *changes.changed_flows.begin();
+    changes.changed_flows.erase(changes.changed_flows.begin());
     if (const FlowRecord* record = partition.store.find_flow(flow)) {
-      batch.pins.push_back({flow, record->target, record->next_message_id});
-      size += kEstimatedPinSize;
+      batch.flow_records.push_back({flow, record->target, record->next_message_id});
+      size += kEstimatedFlowSize;
     }
   }
   while (!changes.requests.empty() && size < kBatchSize) {
     const RequestId id = *changes.requests.begin();
     changes.requests.erase(changes.requests.begin());
     if (const RequestRecord* record = partition.store.find_request(id)) {
-      batch.requests.push_back(backup_form(*record));
+      batch.requests.push_back(to_backup_record(*record));
       size += estimated_size(*record);
     }
   }
-  while (!changes.forgotten.empty() && size < kBatchSize) {
-    batch.forgotten.push_back(changes.forgotten.back());
-    changes.forgotten.pop_back();
+  while (!changes.deleted_requests.empty() && size < kBatchSize) {
+    batch.deleted_requests.push_back(changes.deleted_requests.back());
+    changes.deleted_requests.pop_back();
     size += sizeof(RequestId);
   }
   return batch;
@@ -199,7 +199,7 @@
   Partition& partition = state_.partitions().at(request.partition);
   ReplicateReply reply{request.members_revision, request.partition, request.batch, false};
   const bool sealed =
-      request.members_revision < partition.sealed_revision && !state_.faults().ignore_seal;
+      request.members_revision < partition.fenced_revision && !state_.faults().ignore_seal;
   const bool outdated =
       partition.copy != nullptr && request.members_revision < partition.copy->revision;
   if (!sealed && !outdated) {
@@ -222,8 +222,8 @@
     copy.owner = request.owner;
     copy.complete = false;
   }
-  for (const auto& pin : request.changes.pins) {
-    copy.pins[pin.flow] = {pin, request.members_revision};
+  for (const auto& pin : request.changes.flow_records) {
+    copy.flow_records[pin.flow] = {pin, request.members_revision};
   }
   for (const auto& record : request.changes.requests) {
     auto& held = copy.requests[record.id];
@@ -232,7 +232,7 @@
     }
     held.revision = request.members_revision;
   }
-  for (const auto& id : request.changes.forgotten) {
+  for (const auto& id : request.changes.deleted_requests) {
     copy.requests.erase(id);
   }
   if (request.ends_copy) {
@@ -242,8 +242,8 @@
 }
 
 void BackupStore::drop_older(StateCopy& copy) {
-  for (auto pin = copy.pins.begin(); pin != copy.pins.end();) {
-    pin = pin->second.revision < copy.revision ? copy.pins.erase(pin) : std::next(pin);
+  for (auto pin = copy.flow_records.begin(); pin != copy.flow_records.end();) {
+    pin = pin->second.revision < copy.revision ? copy.flow_records.erase(pin) : std::next(pin);
   }
   for (auto request = copy.requests.begin(); request != copy.requests.end();) {
     request = request->second.revision < copy.revision ? copy.requests.erase(request)
@@ -253,8 +253,8 @@
 
 StateBatch BackupStore::content(const StateCopy& copy) {
   StateBatch batch;
-  for (const auto& [flow, pin] : copy.pins) {
-    batch.pins.push_back(pin.record);
+  for (const auto& [flow, pin] : copy.flow_records) {
+    batch.flow_records.push_back(pin.record);
   }
   for (const auto& [id, request] : copy.requests) {
     batch.requests.push_back(request.record);
--- a/src/core/balancer/replication.h
+++ b/src/core/balancer/replication.h
@@ -22,13 +22,13 @@
       : state_(state), listener_(listener) {}
 
   /// Sends the record of a once-only request at once, in a batch of its own.
-  void record_now(Partition& partition, const RequestRecord& record, Instant now);
+  void replicate_now(Partition& partition, const RequestRecord& record, Instant now);
 
   /// The record changed; it travels with the next batch.
   void mark_changed(Partition& partition, const RequestRecord& record);
 
   /// The record was forgotten; the backup may forget it too.
-  void mark_forgotten(Partition& partition, const RequestRecord& record);
+  void mark_deleted(Partition& partition, const RequestRecord& record);
 
   /// Begins a full copy to the partition's backup.
   void start_copy(Partition& partition);
@@ -79,14 +79,14 @@
 
 /// The form in which a record is copied to the backup. A record there may lag behind the owner's,
 /// so it never claims that nothing was sent; the request's own bytes go along for feeds only.
-RequestRecord backup_form(const RequestRecord& record);
+RequestRecord to_backup_record(const RequestRecord& record);
 
 /// Time left until an instant, in milliseconds; 0 when it has passed.
 std::uint32_t milliseconds_until(Instant until, Instant now);
 
 /// Rough encoded size, in octets, for cutting batches.
 std::size_t estimated_size(const RequestRecord& record);
-constexpr std::size_t kEstimatedPinSize = 28;
+constexpr std::size_t kEstimatedFlowSize = 28;
 /// Batches are cut near this size so that they fit one datagram on an Ethernet path.
 constexpr std::size_t kBatchSize = 1100;
 
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -65,7 +65,7 @@
   }
   record.state = RequestState::kDispatched;
   ++record.version;
-  ++state_.board().at(record.target).outstanding;
+  ++state_.target_table().at(record.target).outstanding;
   ++state_.counters().requests_dispatched;
 }
 
@@ -98,7 +98,7 @@
   if (record.is_outstanding()) {
     // Tell the target that nobody waits any more (RFC 7252 section 4.2: Reset).
     send_to_target(record, encode_empty(CoapType::kReset, record.message_id), now);
-    leave_target(record);
+    release_outstanding(record);
   }
   const ServiceView* service = state_.view()->service(record.flow.service);
   const auto wait =
@@ -115,7 +115,7 @@
     replicator_.mark_changed(partition, record);
   }
   state_.set_deadline(partition.id, record,
-                      now + (once_only ? timing::kExchangeLifetime : timing::kGivenUpMemory));
+                      now + (once_only ? timing::kExchangeLifetime : timing::kGivenUpLifetime));
   repeat_verdict(record);
 }
 
@@ -123,43 +123,43 @@
   Verdict verdict;
   verdict.execution = record.execution;
   verdict.retry_after = std::chrono::seconds(record.retry_after_s);
-  state_.output().send_to_caller(
+  state_.output().send_to_client(
       record.flow, encode_verdict(verdict, record.type, record.message_id, record.token));
 }
 
-void RequestActions::move_feed(Partition& partition, RequestRecord& record, const Endpoint& target,
-                               Instant now) {
+void RequestActions::migrate_observation(Partition& partition, RequestRecord& record,
+                                         const Endpoint& target, Instant now) {
   FlowRecord* flow = partition.store.find_flow(record.flow);
   if (flow == nullptr || record.request.empty()) {
     return;
   }
-  leave_target(record);
+  release_outstanding(record);
   partition.store.change_id(&record, state_.next_request_id());
   record.target = target;
   // The target counts from its own value; the caller's sequence goes on from here.
-  record.feed.offset = 0;
-  record.feed.last_in = 0;
-  record.feed.moved = true;
+  record.observe_state.offset = 0;
+  record.observe_state.last_in = 0;
+  record.observe_state.moved = true;
   Bytes message = record.request;
   set_coap_message_id(message, flow->next_message_id++);
   dispatch(record, message, now);
   record.state = RequestState::kAnswered;
   replicator_.mark_changed(partition, record);
-  --state_.board().at(target).outstanding;
-  state_.set_deadline(partition.id, record, now + timing::kFeedIdle);
+  --state_.target_table().at(target).outstanding;
+  state_.set_deadline(partition.id, record, now + timing::kObservationIdleTimeout);
   ++state_.counters().feeds_moved;
 }
 
-void RequestActions::leave_target(const RequestRecord& record) {
+void RequestActions::release_outstanding(const RequestRecord& record) {
   if (record.is_outstanding()) {
-    --state_.board().at(record.target).outstanding;
+    --state_.target_table().at(record.target).outstanding;
   }
 }
 
-void RequestActions::forget(Partition& partition, RequestRecord& record) {
-  leave_target(record);
+void RequestActions::delete_record(Partition& partition, RequestRecord& record) {
+  release_outstanding(record);
   if (record.kind != RequestKind::kRepeatable) {
-    replicator_.mark_forgotten(partition, record);
+    replicator_.mark_deleted(partition, record);
   }
   partition.store.erase_request(&record);
 }
@@ -168,7 +168,7 @@
   if (target.draining) {
     return false;
   }
-  const TargetState* state = state_.board().find(target.address);
+  const TargetState* state = state_.target_table().find(target.address);
   if (state == nullptr) {
     return true;
   }
@@ -185,7 +185,7 @@
     if (!takes_new_flow(target) || target.address == avoid) {
       continue;
     }
-    const double load = state_.board().load(target, state_.owned_share(), now);
+    const double load = state_.target_table().load(target, state_.owned_share(), now);
     if (best == nullptr || load < best_load) {
       best = &target;
       best_load = load;
@@ -194,8 +194,8 @@
   return best;
 }
 
-const Target* RequestActions::place(const ServiceView& service, const FlowKey& flow, Instant now,
-                                    std::optional<Endpoint> avoid) {
+const Target* RequestActions::select_target(const ServiceView& service, const FlowKey& flow,
+                                            Instant now, std::optional<Endpoint> avoid) {
   const Target* first = state_.view()->first_choice(service, flow);
   const Target* second = state_.view()->second_choice(service, flow);
   const auto usable = [&](const Target* target) {
@@ -207,8 +207,8 @@
   if (!usable(first) || !usable(second) || first == second) {
     return usable(first) ? first : second;
   }
-  const double first_load = state_.board().load(*first, state_.owned_share(), now);
-  const double second_load = state_.board().load(*second, state_.owned_share(), now);
+  const double first_load = state_.target_table().load(*first, state_.owned_share(), now);
+  const double second_load = state_.target_table().load(*second, state_.owned_share(), now);
   return second_load * kSecondChoiceGain < first_load ? second : first;
 }
 
--- a/src/core/balancer/request_actions.h
+++ b/src/core/balancer/request_actions.h
@@ -39,18 +39,19 @@
   void repeat_verdict(const RequestRecord& record);
 
   /// Moves a feed to another target: registers it there under a new id.
-  void move_feed(Partition& partition, RequestRecord& record, const Endpoint& target, Instant now);
+  void migrate_observation(Partition& partition, RequestRecord& record, const Endpoint& target,
+                           Instant now);
 
   /// The request no longer counts against its target.
-  void leave_target(const RequestRecord& record);
+  void release_outstanding(const RequestRecord& record);
 
   /// Erases a record; the backup is told when it has a copy.
-  void forget(Partition& partition, RequestRecord& record);
+  void delete_record(Partition& partition, RequestRecord& record);
 
   /// Target for new work of a flow by its two slots and the loads; nothing when none takes work.
   /// `avoid` is not chosen.
-  [[nodiscard]] const Target* place(const ServiceView& service, const FlowKey& flow, Instant now,
-                                    std::optional<Endpoint> avoid);
+  [[nodiscard]] const Target* select_target(const ServiceView& service, const FlowKey& flow,
+                                            Instant now, std::optional<Endpoint> avoid);
 
   /// Time until a verdict's caller should come back, spread over the service's bounds.
   [[nodiscard]] std::chrono::seconds retry_after(const Service& service,
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-WaitClass wait_class(RequestKind kind) {
+QueuePriority queue_priority(RequestKind kind) {
   switch (kind) {
-    case RequestKind::kFeed:
-      return WaitClass::kFeed;
+    case RequestKind::kObserve:
+      return QueuePriority::kObserve;
     case RequestKind::kOnceOnly:
-      return WaitClass::kOnceOnly;
+      return QueuePriority::kOnceOnly;
     case RequestKind::kRepeatable:
-      return WaitClass::kOther;
+      return QueuePriority::kOther;
   }
-  return WaitClass::kOther;
+  return QueuePriority::kOther;
 }
 
 RequestKind classify(const CoapSummary& summary, const ServiceView& service) {
@@ -35,7 +35,7 @@
   }
   const bool registers = summary.observe && *summary.observe == 0 &&
                          (summary.code == coap_code::kGet || summary.code == coap_code::kFetch);
-  return registers ? RequestKind::kFeed : RequestKind::kRepeatable;
+  return registers ? RequestKind::kObserve : RequestKind::kRepeatable;
 }
 
 FilterStatus DuplicateFilter::on_request(RequestContext& context) {
@@ -44,11 +44,11 @@
     return FilterStatus::kContinue;
   }
   ++state_.counters().requests_duplicate;
-  repeat(context, *record);
+  respond_to_duplicate(context, *record);
   return FilterStatus::kStop;
 }
 
-void DuplicateFilter::repeat(RequestContext& context, RequestRecord& record) {
+void DuplicateFilter::respond_to_duplicate(RequestContext& context, RequestRecord& record) {
   const bool once_only = record.kind == RequestKind::kOnceOnly;
   switch (record.state) {
     case RequestState::kRecording:
@@ -59,7 +59,7 @@
       return;
     case RequestState::kAnswered:
       if (once_only) {
-        state_.output().send_to_caller(record.flow, record.answer);
+        state_.output().send_to_client(record.flow, record.response);
         return;
       }
       break;
@@ -73,13 +73,13 @@
   actions_.send_to_target(record, context.message, context.now);
 }
 
-FilterStatus FeedFilter::on_request(RequestContext& context) {
+FilterStatus ObserveFilter::on_request(RequestContext& context) {
   if (!context.observe) {
     return FilterStatus::kContinue;
   }
   RequestRecord* feed = context.partition.store.find_token(context.flow, context.token);
-  const bool open =
-      feed != nullptr && feed->kind == RequestKind::kFeed && feed->state == RequestState::kAnswered;
+  const bool open = feed != nullptr && feed->kind == RequestKind::kObserve &&
+                    feed->state == RequestState::kAnswered;
   if (!open || state_.view()->target(context.service, feed->target) == nullptr) {
     return FilterStatus::kContinue;
   }
@@ -113,7 +113,7 @@
   if (target == nullptr) {
     return false;
   }
-  const TargetState* state = state_.board().find(flow.target);
+  const TargetState* state = state_.target_table().find(flow.target);
   const bool healthy = state == nullptr || state->healthy;
   return healthy && (!target->draining || context.continuation);
 }
@@ -125,7 +125,8 @@
     context.target = flow->target;
     return FilterStatus::kContinue;
   }
-  const Target* target = actions_.place(context.service, context.flow, context.now, std::nullopt);
+  const Target* target =
+      actions_.select_target(context.service, context.flow, context.now, std::nullopt);
   if (target != nullptr) {
     binding.bind(context.partition, context.flow, target->address, context.now);
     context.target = target->address;
@@ -146,14 +147,15 @@
     return FilterStatus::kContinue;
   }
   state_.set_deadline(context.partition.id, record, context.now + timing::kRecordTimeout);
-  actions_.replicator().record_now(context.partition, record, context.now);
+  actions_.replicator().replicate_now(context.partition, record, context.now);
   return FilterStatus::kStop;
 }
 
-bool AdmissionFilter::displace_lower(TargetState& target, WaitClass wait_class, Instant now) {
-  for (std::size_t lower = kWaitClasses - 1; lower > static_cast<std::size_t>(wait_class);
+bool AdmissionFilter::evict_lower_priority(TargetState& target, QueuePriority wait_class,
+                                           Instant now) {
+  for (std::size_t lower = kQueuePriorities - 1; lower > static_cast<std::size_t>(wait_class);
        --lower) {
-    auto& queue = target.waiting[lower];
+    auto& queue = target.queues[lower];
     for (auto waiting = queue.rbegin(); waiting != queue.rend(); ++waiting) {
       Partition& partition = state_.partitions().at(waiting->partition);
       RequestRecord* record = partition.store.find_request(waiting->id);
@@ -177,20 +179,20 @@
                      context.now);
     return FilterStatus::kStop;
   }
-  TargetState& target = state_.board().at(*context.target);
-  if (state_.board().has_room(*context.target)) {
+  TargetState& target = state_.target_table().at(*context.target);
+  if (state_.target_table().has_capacity(*context.target)) {
     return FilterStatus::kContinue;
   }
   RequestRecord& record = actions_.make_record(context, RequestState::kQueued);
-  const WaitClass own_class = wait_class(context.kind);
-  const bool full = target.waiting_count() >= context.service.service->queue_limit;
-  if (full && !context.continuation && !displace_lower(target, own_class, context.now)) {
+  const QueuePriority own_class = queue_priority(context.kind);
+  const bool full = target.queued_count() >= context.service.service->queue_limit;
+  if (full && !context.continuation && !evict_lower_priority(target, own_class, context.now)) {
     actions_.give_up(context.partition, record, Execution::kNotRun, GiveUpReason::kOverload,
                      context.now);
     return FilterStatus::kStop;
   }
   state_.set_deadline(context.partition.id, record, record.give_up_at);
-  target.waiting[static_cast<std::size_t>(own_class)].push_back({context.partition.id, record.id});
+  target.queues[static_cast<std::size_t>(own_class)].push_back({context.partition.id, record.id});
   return FilterStatus::kStop;
 }
 
@@ -207,17 +209,17 @@
   return FilterStatus::kContinue;
 }
 
-RequestChain::RequestChain(BalancerState& state, RequestActions& actions)
+FilterChain::FilterChain(BalancerState& state, RequestActions& actions)
     : state_(state),
       filters_{std::make_unique<DuplicateFilter>(state, actions),
-               std::make_unique<FeedFilter>(state, actions),
+               std::make_unique<ObserveFilter>(state, actions),
                std::make_unique<LeaseFilter>(state, actions),
                std::make_unique<PlacementFilter>(state, actions),
                std::make_unique<RecordFilter>(state, actions),
                std::make_unique<AdmissionFilter>(state, actions),
                std::make_unique<DispatchFilter>(state, actions)} {}
 
-void RequestChain::run(RequestContext& context, ChainEntry entry) {
+void FilterChain::run(RequestContext& context, ChainEntry entry) {
   for (auto i = static_cast<std::size_t>(entry); i < filters_.size(); ++i) {
     if (filters_[i]->on_request(context) == FilterStatus::kStop) {
       return;
@@ -225,8 +227,8 @@
   }
 }
 
-void RequestChain::resume(Partition& partition, RequestRecord& record, ChainEntry entry,
-                          Instant now) {
+void FilterChain::resume(Partition& partition, RequestRecord& record, ChainEntry entry,
+                         Instant now) {
   const ServiceView* service = state_.view()->service(record.flow.service);
   if (service == nullptr) {
     return;
@@ -244,11 +246,11 @@
   run(context, entry);
 }
 
-void RequestChain::drain_queue(const Endpoint& target, Instant now) {
-  TargetState& target_state = state_.board().at(target);
-  for (auto& queue : target_state.waiting) {
-    while (!queue.empty() && state_.board().has_room(target)) {
-      const WaitingRequest waiting = queue.front();
+void FilterChain::drain_queue(const Endpoint& target, Instant now) {
+  TargetState& target_state = state_.target_table().at(target);
+  for (auto& queue : target_state.queues) {
+    while (!queue.empty() && state_.target_table().has_capacity(target)) {
+      const QueuedRequest waiting = queue.front();
       queue.pop_front();
       Partition& partition = state_.partitions().at(waiting.partition);
       RequestRecord* record = partition.store.find_request(waiting.id);
--- a/src/core/balancer/request_filters.h
+++ b/src/core/balancer/request_filters.h
@@ -17,15 +17,15 @@
   FilterStatus on_request(RequestContext& context) override;
 
  private:
-  void repeat(RequestContext& context, RequestRecord& record);
+  void respond_to_duplicate(RequestContext& context, RequestRecord& record);
   BalancerState& state_;
   RequestActions& actions_;
 };
 
 /// Passes a renewed or cancelled registration to the target of its open feed.
-class FeedFilter : public RequestFilter {
+class ObserveFilter : public RequestFilter {
  public:
-  FeedFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
+  ObserveFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
   FilterStatus on_request(RequestContext& context) override;
 
  private:
@@ -79,7 +79,7 @@
  private:
   /// Frees a place in a full queue by refusing a request of a lower class; false when there is
   /// none.
-  bool displace_lower(TargetState& target, WaitClass wait_class, Instant now);
+  bool evict_lower_priority(TargetState& target, QueuePriority wait_class, Instant now);
   BalancerState& state_;
   RequestActions& actions_;
 };
@@ -107,9 +107,9 @@
   kDispatch = 6,
 };
 
-class RequestChain {
+class FilterChain {
  public:
-  RequestChain(BalancerState& state, RequestActions& actions);
+  FilterChain(BalancerState& state, RequestActions& actions);
 
   void run(RequestContext& context, ChainEntry entry);
 
@@ -125,7 +125,7 @@
 };
 
 /// Class of a request in its target's queue.
-WaitClass wait_class(RequestKind kind);
+QueuePriority queue_priority(RequestKind kind);
 
 /// How a request may be treated, from its method, its options and the service's path rules.
 /// Methods: RFC 7252 section 5.1 and RFC 8132 section 1.1.
--- a/src/core/balancer/answer_path.cc
+++ b/src/core/balancer/response_handler.cc
@@ -1,4 +1,4 @@
-#include "core/balancer/answer_path.h"
+#include "core/balancer/response_handler.h"
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void AnswerPath::on_answer(Partition& partition, const TargetMessage& answer, Instant now) {
+void ResponseHandler::on_response(Partition& partition, const TargetMessage& answer, Instant now) {
   RequestRecord* record = partition.store.find_request(*answer.header.request_id);
   if (record == nullptr) {
     on_unmatched(partition, answer, now);
@@ -28,17 +28,17 @@
   actions_.binding().touch(partition, record->flow, now);
   if (empty) {
     // The target's acknowledgement before a separate response (RFC 7252 section 5.2.2).
-    state_.output().send_to_caller(record->flow, answer.message);
+    state_.output().send_to_client(record->flow, answer.message);
     return;
   }
-  if (record->kind == RequestKind::kFeed && answer.summary.observe) {
+  if (record->kind == RequestKind::kObserve && answer.summary.observe) {
     on_notification(partition, *record, answer, now);
   } else {
-    on_final(partition, *record, answer, now);
+    on_final_response(partition, *record, answer, now);
   }
 }
 
-void AnswerPath::on_unmatched(Partition& partition, const TargetMessage& answer, Instant now) {
+void ResponseHandler::on_unmatched(Partition& partition, const TargetMessage& answer, Instant now) {
   const bool own_id = answer.header.request_id->incarnation == state_.config().self.incarnation;
   const bool newer_request =
       partition.store.find_token(answer.header.flow, answer.summary.token) != nullptr;
@@ -67,36 +67,36 @@
     partition.store.erase_request(record);
     return;
   }
-  record->kind = RequestKind::kFeed;
-  record->feed.last_in = (*answer.summary.observe - 1) & kObserveMask;
-  record->feed.last_out = record->feed.last_in;
+  record->kind = RequestKind::kObserve;
+  record->observe_state.last_in = (*answer.summary.observe - 1) & kObserveMask;
+  record->observe_state.last_out = record->observe_state.last_in;
   partition.store.index(record);
-  ++partition.store.find_flow(record->flow)->feeds;
+  ++partition.store.find_flow(record->flow)->observations;
   ++state_.counters().feeds_relearned;
   on_notification(partition, *record, answer, now);
 }
 
-void AnswerPath::open_feed(Partition& partition, RequestRecord& record, Instant now) {
-  actions_.leave_target(record);
+void ResponseHandler::open_observation(Partition& partition, RequestRecord& record, Instant now) {
+  actions_.release_outstanding(record);
   record.state = RequestState::kAnswered;
   ++record.version;
   if (FlowRecord* flow = partition.store.find_flow(record.flow)) {
-    ++flow->feeds;
-    partition.unconfirmed.pins.insert(record.flow);
+    ++flow->observations;
+    partition.unconfirmed.changed_flows.insert(record.flow);
   }
   actions_.replicator().mark_changed(partition, record);
-  state_.board().on_answer(record.target, false, now);
+  state_.target_table().on_response(record.target, false, now);
   chain_.drain_queue(record.target, now);
 }
 
-void AnswerPath::on_notification(Partition& partition, RequestRecord& record,
-                                 const TargetMessage& answer, Instant now) {
-  FeedState& feed = record.feed;
+void ResponseHandler::on_notification(Partition& partition, RequestRecord& record,
+                                      const TargetMessage& answer, Instant now) {
+  ObserveState& feed = record.observe_state;
   const std::uint32_t value = *answer.summary.observe;
   const bool first = record.state == RequestState::kDispatched;
   const bool is_reply = answer.summary.type == CoapType::kAcknowledgement;
   if (first) {
-    open_feed(partition, record, now);
+    open_observation(partition, record, now);
   } else if (feed.moved) {
     feed.offset = (feed.last_out + 1 - value) & kObserveMask;
   } else if (!observe_is_fresher(feed.last_in, value) && !is_reply) {
@@ -108,20 +108,21 @@
   }
   const std::uint32_t out = (value + feed.offset) & kObserveMask;
   feed.last_out = first || observe_is_fresher(feed.last_out, out) ? out : feed.last_out;
-  state_.set_deadline(partition.id, record, now + timing::kFeedIdle);
+  state_.set_deadline(partition.id, record, now + timing::kObservationIdleTimeout);
   const std::uint16_t id_out = forward(partition, record, answer, out);
-  partition.store.note_notification(&record, id_out, answer.summary.message_id);
+  partition.store.set_last_notification(&record, id_out, answer.summary.message_id);
 }
 
-void AnswerPath::close_feed(Partition& partition, RequestRecord& record) {
+void ResponseHandler::close_observation(Partition& partition, RequestRecord& record) {
   FlowRecord* flow = partition.store.find_flow(record.flow);
-  if (record.kind == RequestKind::kFeed && record.state == RequestState::kAnswered &&
-      flow != nullptr && flow->feeds > 0) {
-    --flow->feeds;
+  if (record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered &&
+      flow != nullptr && flow->observations > 0) {
+    --flow->observations;
   }
 }
 
-bool AnswerPath::retry_elsewhere(Partition& partition, RequestRecord& record, Instant now) {
+bool ResponseHandler::retry_on_other_target(Partition& partition, RequestRecord& record,
+                                            Instant now) {
   const ServiceView* service = state_.view()->service(record.flow.service);
   const bool may_retry = record.kind != RequestKind::kOnceOnly && !record.continuation &&
                          record.retries < kMaxRetries && !record.request.empty() &&
@@ -129,12 +130,12 @@
   if (!may_retry) {
     return false;
   }
-  const Target* target = actions_.place(*service, record.flow, now, record.target);
-  const bool has_room = target != nullptr && state_.board().has_room(target->address);
+  const Target* target = actions_.select_target(*service, record.flow, now, record.target);
+  const bool has_room = target != nullptr && state_.target_table().has_capacity(target->address);
   if (!has_room || !state_.retry_budget().take()) {
     return false;
   }
-  actions_.leave_target(record);
+  actions_.release_outstanding(record);
   record.state = RequestState::kQueued;
   partition.store.change_id(&record, state_.next_request_id());
   record.target = target->address;
@@ -146,14 +147,14 @@
   return true;
 }
 
-void AnswerPath::on_final(Partition& partition, RequestRecord& record, const TargetMessage& answer,
-                          Instant now) {
+void ResponseHandler::on_final_response(Partition& partition, RequestRecord& record,
+                                        const TargetMessage& answer, Instant now) {
   const bool refused = answer.summary.code == coap_code::kServiceUnavailable;
   const Endpoint target = record.target;
   if (record.state == RequestState::kDispatched) {
-    state_.board().on_answer(target, refused, now);
+    state_.target_table().on_response(target, refused, now);
   }
-  if (refused && retry_elsewhere(partition, record, now)) {
+  if (refused && retry_on_other_target(partition, record, now)) {
     return;
   }
   if (record.kind == RequestKind::kOnceOnly && record.state == RequestState::kAnswered) {
@@ -162,25 +163,25 @@
     return;
   }
   forward(partition, record, answer, std::nullopt);
-  actions_.leave_target(record);
+  actions_.release_outstanding(record);
   if (record.kind == RequestKind::kOnceOnly) {
     record.state = RequestState::kAnswered;
-    record.answer.assign(answer.message.begin(), answer.message.end());
+    record.response.assign(answer.message.begin(), answer.message.end());
     record.request.clear();
     ++record.version;
     actions_.replicator().mark_changed(partition, record);
     state_.set_deadline(partition.id, record, now + timing::kExchangeLifetime);
   } else {
-    close_feed(partition, record);
+    close_observation(partition, record);
     record.state = RequestState::kAnswered;
-    actions_.forget(partition, record);
+    actions_.delete_record(partition, record);
   }
   chain_.drain_queue(target, now);
 }
 
-std::uint16_t AnswerPath::forward(Partition& partition, const RequestRecord& record,
-                                  const TargetMessage& answer,
-                                  std::optional<std::uint32_t> observe) {
+std::uint16_t ResponseHandler::forward(Partition& partition, const RequestRecord& record,
+                                       const TargetMessage& answer,
+                                       std::optional<std::uint32_t> observe) {
   std::size_t size = answer.message.size();
   std::copy(answer.message.begin(), answer.message.end(), buffer_.begin());
   const std::span<std::uint8_t> message(buffer_);
@@ -200,21 +201,22 @@
     const std::size_t new_size = set_coap_observe(message, size, *observe);
     size = new_size == 0 ? size : new_size;
   }
-  state_.output().send_to_caller(record.flow, ByteView(buffer_.data(), size));
+  state_.output().send_to_client(record.flow, ByteView(buffer_.data(), size));
   return message_id;
 }
 
-void AnswerPath::on_caller_empty(Partition& partition, const FlowKey& flow,
-                                 const CoapSummary& summary, Instant now) {
+void ResponseHandler::on_client_empty(Partition& partition, const FlowKey& flow,
+                                      const CoapSummary& summary, Instant now) {
   RequestRecord* record = partition.store.find_notification(flow, summary.message_id);
   if (record == nullptr) {
     return;
   }
   actions_.binding().touch(partition, flow, now);
-  actions_.send_to_target(*record, encode_empty(summary.type, record->feed.message_id_in), now);
+  actions_.send_to_target(*record, encode_empty(summary.type, record->observe_state.message_id_in),
+                          now);
   if (summary.type == CoapType::kReset) {
-    close_feed(partition, *record);
-    actions_.forget(partition, *record);
+    close_observation(partition, *record);
+    actions_.delete_record(partition, *record);
   }
 }
 
--- a/src/core/balancer/answer_path.h
+++ b/src/core/balancer/response_handler.h
@@ -15,33 +15,33 @@
   const CoapSummary& summary;
 };
 
-class AnswerPath {
+class ResponseHandler {
  public:
-  AnswerPath(BalancerState& state, RequestActions& actions, RequestChain& chain)
+  ResponseHandler(BalancerState& state, RequestActions& actions, FilterChain& chain)
       : state_(state), actions_(actions), chain_(chain) {}
 
-  void on_answer(Partition& partition, const TargetMessage& answer, Instant now);
+  void on_response(Partition& partition, const TargetMessage& answer, Instant now);
 
   /// An empty message (acknowledgement or reset) from a caller, for a notification it got.
-  void on_caller_empty(Partition& partition, const FlowKey& flow, const CoapSummary& summary,
+  void on_client_empty(Partition& partition, const FlowKey& flow, const CoapSummary& summary,
                        Instant now);
 
  private:
   void on_unmatched(Partition& partition, const TargetMessage& answer, Instant now);
   void on_notification(Partition& partition, RequestRecord& record, const TargetMessage& answer,
                        Instant now);
-  void on_final(Partition& partition, RequestRecord& record, const TargetMessage& answer,
-                Instant now);
-  void close_feed(Partition& partition, RequestRecord& record);
-  void open_feed(Partition& partition, RequestRecord& record, Instant now);
-  bool retry_elsewhere(Partition& partition, RequestRecord& record, Instant now);
+  void on_final_response(Partition& partition, RequestRecord& record, const TargetMessage& answer,
+                         Instant now);
+  void close_observation(Partition& partition, RequestRecord& record);
+  void open_observation(Partition& partition, RequestRecord& record, Instant now);
+  bool retry_on_other_target(Partition& partition, RequestRecord& record, Instant now);
   /// Forwards a message; one that the target originated gets a message id of the owner's.
   std::uint16_t forward(Partition& partition, const RequestRecord& record,
                         const TargetMessage& answer, std::optional<std::uint32_t> observe);
 
   BalancerState& state_;
   RequestActions& actions_;
-  RequestChain& chain_;
+  FilterChain& chain_;
   std::array<std::uint8_t, kMaxCoapSize + 8> buffer_{};
 };
 
--- a/src/core/balancer/target_board.cc
+++ b/src/core/balancer/target_table.cc
@@ -1,4 +1,4 @@
-#include "core/balancer/target_board.h"
+#include "core/balancer/target_table.h"
 
 #include <algorithm>
 
@@ -13,40 +13,40 @@
 constexpr double kWindowDecrease = 0.5;
 /// At most one decrease in this time, so that one burst of refusals counts once.
 constexpr Duration kDecreaseInterval = milliseconds(100);
-/// A cold target gets its full share after this time, starting from kColdShare.
-constexpr Duration kWarmUp = seconds(20);
-constexpr double kColdShare = 0.1;
+/// A cold target gets its full share after this time, starting from kWarmUpMinFactor.
+constexpr Duration kWarmUpPeriod = seconds(20);
+constexpr double kWarmUpMinFactor = 0.1;
 /// A report is ignored after this age.
 constexpr Duration kReportLifetime = seconds(10);
 /// How much of the difference between report and own view is believed.
-constexpr double kReportTrust = 0.5;
+constexpr double kReportWeight = 0.5;
 
-double warm_up_share(const TargetState& state, Instant now) {
-  if (!state.starts_cold) {
+double warm_up_factor(const TargetState& state, Instant now) {
+  if (!state.needs_warm_up) {
     return 1;
   }
   const double age = std::chrono::duration<double>(now - state.first_seen).count();
-  const double full = std::chrono::duration<double>(kWarmUp).count();
-  return std::clamp(age / full, kColdShare, 1.0);
+  const double full = std::chrono::duration<double>(kWarmUpPeriod).count();
+  return std::clamp(age / full, kWarmUpMinFactor, 1.0);
 }
 
 }  // namespace
 
-std::size_t TargetState::waiting_count() const {
+std::size_t TargetState::queued_count() const {
   std::size_t count = 0;
-  for (const auto& queue : waiting) {
+  for (const auto& queue : queues) {
     count += queue.size();
   }
   return count;
 }
 
-void TargetBoard::adopt(const FleetView& view, Instant now) {
+void TargetTable::update_targets(const FleetView& view, Instant now) {
   for (const auto& service : view.state().settings.services) {
     for (const auto& target : service.targets) {
       const auto [found, is_new] = targets_.try_emplace(target.address);
       if (is_new) {
         found->second.first_seen = now;
-        found->second.starts_cold = has_view_;
+        found->second.needs_warm_up = has_view_;
         found->second.window = std::max<double>(target.slots, kMinWindow);
       }
     }
@@ -54,18 +54,18 @@
   has_view_ = has_view_ || !view.state().settings.services.empty();
 }
 
-TargetState& TargetBoard::at(const Endpoint& target) { return targets_[target]; }
+TargetState& TargetTable::at(const Endpoint& target) { return targets_[target]; }
 
-const TargetState* TargetBoard::find(const Endpoint& target) const {
+const TargetState* TargetTable::find(const Endpoint& target) const {
   const auto found = targets_.find(target);
   return found == targets_.end() ? nullptr : &found->second;
 }
 
-bool TargetBoard::report(const TargetReport& report, Instant now) {
+bool TargetTable::on_report(const TargetReport& report, Instant now) {
   TargetState& state = at(report.target);
   if (!report.healthy) {
     ++state.failed_polls;
-    const bool went_down = state.healthy && state.failed_polls >= kPollsUntilDown;
+    const bool went_down = state.healthy && state.failed_polls >= kUnhealthyThreshold;
     state.healthy = state.healthy && !went_down;
     return went_down;
   }
@@ -77,7 +77,7 @@
   return false;
 }
 
-void TargetBoard::on_answer(const Endpoint& target, bool refused, Instant now) {
+void TargetTable::on_response(const Endpoint& target, bool refused, Instant now) {
   TargetState& state = at(target);
   if (!refused) {
     state.window = std::min(state.window + 1 / state.window, kMaxWindow);
@@ -89,23 +89,23 @@
   }
 }
 
-bool TargetBoard::has_room(const Endpoint& target) const {
+bool TargetTable::has_capacity(const Endpoint& target) const {
   const TargetState* state = find(target);
   return state == nullptr || static_cast<double>(state->outstanding) + 1 <= state->window;
 }
 
-double TargetBoard::load(const Target& target, double owned_share, Instant now) const {
+double TargetTable::load(const Target& target, double owned_share, Instant now) const {
   const TargetState* state = find(target.address);
   if (state == nullptr) {
     return 0;
   }
-  double load = state->flows + state->outstanding + static_cast<double>(state->waiting_count());
+  double load = state->flows + state->outstanding + static_cast<double>(state->queued_count());
   if (state->has_report && now - state->reported_at < kReportLifetime) {
     // The share of the reported total that this balancer would expect to have caused itself.
     const double expected = state->report.connections * owned_share;
-    load += kReportTrust * (expected - load);
+    load += kReportWeight * (expected - load);
   }
-  const double share = target.weight * warm_up_share(*state, now);
+  const double share = target.weight * warm_up_factor(*state, now);
   return (load + 1) / std::max(share, 1e-9);
 }
 
--- a/src/core/balancer/target_board.h
+++ b/src/core/balancer/target_table.h
@@ -25,14 +25,14 @@
 };
 
 /// A request that waits for its target.
-struct WaitingRequest {
+struct QueuedRequest {
   PartitionId partition = 0;
   RequestId id;
 };
 
 /// Classes of waiting requests, served and kept in this order.
-enum class WaitClass : std::uint8_t { kFeed = 0, kOnceOnly = 1, kOther = 2 };
-constexpr std::size_t kWaitClasses = 3;
+enum class QueuePriority : std::uint8_t { kObserve = 0, kOnceOnly = 1, kOther = 2 };
+constexpr std::size_t kQueuePriorities = 3;
 
 struct TargetState {
   /// Flows bound to the target by this balancer.
@@ -44,43 +44,43 @@
   Instant last_decrease;
   /// When this balancer first saw the target; its share ramps up from here.
   Instant first_seen;
-  bool starts_cold = false;
+  bool needs_warm_up = false;
   bool healthy = true;
   std::uint32_t failed_polls = 0;
   /// Last report, and when it came.
   TargetReport report;
   Instant reported_at;
   bool has_report = false;
-  std::array<std::deque<WaitingRequest>, kWaitClasses> waiting;
+  std::array<std::deque<QueuedRequest>, kQueuePriorities> queues;
 
-  [[nodiscard]] std::size_t waiting_count() const;
+  [[nodiscard]] std::size_t queued_count() const;
 };
 
-class TargetBoard {
+class TargetTable {
  public:
   /// Follows the targets of a view. Targets that appear after the first view start cold.
-  void adopt(const FleetView& view, Instant now);
+  void update_targets(const FleetView& view, Instant now);
 
   /// State of a target; created on first use.
   TargetState& at(const Endpoint& target);
   [[nodiscard]] const TargetState* find(const Endpoint& target) const;
 
   /// Takes a poll's result. One failed poll is not believed: a target is down after
-  /// kPollsUntilDown failures in a row and up again after one success. Returns true when the target
-  /// went down with this report.
-  bool report(const TargetReport& report, Instant now);
+  /// kUnhealthyThreshold failures in a row and up again after one success. Returns true when the
+  /// target went down with this report.
+  bool on_report(const TargetReport& report, Instant now);
 
   /// Records the outcome of a request: a refusal shrinks the window, anything else widens it.
-  void on_answer(const Endpoint& target, bool refused, Instant now);
+  void on_response(const Endpoint& target, bool refused, Instant now);
 
   /// True when one more request may be sent.
-  [[nodiscard]] bool has_room(const Endpoint& target) const;
+  [[nodiscard]] bool has_capacity(const Endpoint& target) const;
 
   /// Load for comparison between targets, lower is better: the flows and requests of this balancer,
   /// corrected by the target's report, over its weight and its warm-up share.
   [[nodiscard]] double load(const Target& target, double owned_share, Instant now) const;
 
-  static constexpr std::uint32_t kPollsUntilDown = 3;
+  static constexpr std::uint32_t kUnhealthyThreshold = 3;
 
  private:
   absl::flat_hash_map<Endpoint, TargetState> targets_;
--- a/src/core/balancer/timing.h
+++ b/src/core/balancer/timing.h
@@ -47,11 +47,11 @@
 static_assert(kIncompleteTakeover > kMaxTransmitSpan && kIncompleteTakeover > kLease);
 
 /// Verdicts on repeatable requests are remembered this long, to drop late answers.
-constexpr Duration kGivenUpMemory = seconds(20);
+constexpr Duration kGivenUpLifetime = seconds(20);
 /// A flow without feeds and requests is forgotten after this time.
 constexpr Duration kFlowIdle = seconds(300);
 /// A feed that neither side used for this long is forgotten.
-constexpr Duration kFeedIdle = seconds(3600);
+constexpr Duration kObservationIdleTimeout = seconds(3600);
 /// A copy that is no longer updated is dropped after this time.
 constexpr Duration kCopyLifetime = seconds(300);
 
--- a/src/model/flow.h
+++ b/src/model/flow.h
@@ -10,20 +10,20 @@
 
 /// A flow: all datagrams between one caller endpoint and one service address.
 struct FlowKey {
-  Endpoint caller;
+  Endpoint client;
   Endpoint service;
 
   friend auto operator<=>(const FlowKey&, const FlowKey&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& caller& service;
+    archive& client& service;
   }
 };
 
 template <typename Hasher>
 Hasher AbslHashValue(Hasher state, const FlowKey& flow) {  // NOLINT: name fixed by Abseil
-  return Hasher::combine(std::move(state), packed(flow.caller), packed(flow.service));
+  return Hasher::combine(std::move(state), packed(flow.client), packed(flow.service));
 }
 
 /// 64-bit hash of a flow, the same in every process and version (XXH3).
--- a/src/sim/baseline_node.cc
+++ b/src/sim/baseline_node.cc
@@ -100,7 +100,7 @@
   ReplicateRequest request;
   request.members_revision = fleet_.members_revision;
   request.batch = ++last_batch_;
-  request.changes.pins.push_back({flow, target, 0});
+  request.changes.flow_records.push_back({flow, target, 0});
   for (const auto& member : fleet_.members) {
     if (member.address != self_.address) {
       output_.send_peer(member.address, request);
@@ -116,7 +116,7 @@
   }
   const FlowKey& flow = decoded->header.flow;
   if (decoded->header.target) {
-    output_.send_to_caller(flow, decoded->payload);
+    output_.send_to_client(flow, decoded->payload);
     return;
   }
   if (const Endpoint* target = find_or_bind(flow)) {
@@ -130,7 +130,7 @@
 void BaselineNode::on_peer_message(const Endpoint& /*from*/, const PeerMessage& message,
                                    Instant /*now*/) {
   if (const auto* request = std::get_if<ReplicateRequest>(&message)) {
-    for (const auto& pin : request->changes.pins) {
+    for (const auto& pin : request->changes.flow_records) {
       flows_.try_emplace(pin.flow, pin.target);
     }
   }
--- a/src/sim/sim_balancer.cc
+++ b/src/sim/sim_balancer.cc
@@ -12,7 +12,7 @@
 
 void SimBalancer::start() {
   come_up();
-  stop_ = PlannedStop{};
+  stop_ = GracefulShutdown{};
   forced_at_.clear();
   const Member self = make_self(context().random.next());
   make_node(self);
@@ -98,8 +98,8 @@
   }
 }
 
-void SimBalancer::send_to_caller(const FlowKey& flow, ByteView message) {
-  context().network.send_datagram(config_.address, flow.caller,
+void SimBalancer::send_to_client(const FlowKey& flow, ByteView message) {
+  context().network.send_datagram(config_.address, flow.client,
                                   encode_proxy_datagram({flow, {}, {}, {}}, message),
                                   TrafficKind::kData);
 }
@@ -133,7 +133,7 @@
 
 void SimBalancer::on_lease(Instant until) { node_->on_lease(until); }
 
-void SimBalancer::on_expelled(Instant now) {
+void SimBalancer::on_removed(Instant now) {
   context().trace.note(now, config_.name + " was expelled");
   past_counters_.push_back(node_->counters());
   const std::uint64_t incarnation = context().random.next();
--- a/src/sim/sim_balancer.h
+++ b/src/sim/sim_balancer.h
@@ -7,7 +7,7 @@
 #include <optional>
 
 #include "core/balancer/control_client.h"
-#include "core/balancer/planned_stop.h"
+#include "core/balancer/graceful_shutdown.h"
 #include "sim/balancer_node.h"
 #include "sim/sim_process.h"
 
@@ -48,14 +48,14 @@
   void on_tick();
   void poll_targets();
 
-  void send_to_caller(const FlowKey& flow, ByteView message) override;
+  void send_to_client(const FlowKey& flow, ByteView message) override;
   void send_to_target(const Endpoint& target, const ProxyHeader& header, ByteView message) override;
   void relay(const Endpoint& peer, const ProxyHeader& header, ByteView payload) override;
   void send_peer(const Endpoint& peer, const PeerMessage& message) override;
   void send_control(const Endpoint& replica, const NodeMessage& message) override;
   void on_fleet(const FleetState& fleet, Instant now) override;
   void on_lease(Instant until) override;
-  void on_expelled(Instant now) override;
+  void on_removed(Instant now) override;
   [[nodiscard]] Member make_self(std::uint64_t incarnation) const;
   void make_node(const Member& self);
 
@@ -65,7 +65,7 @@
   std::unique_ptr<ControlClient> control_;
   /// On disk: survives kills.
   FleetState stored_;
-  PlannedStop stop_;
+  GracefulShutdown stop_;
   std::function<void()> when_stopped_;
   std::map<Revision, Instant> forced_at_;
   std::vector<BalancerCounters> past_counters_;
--- a/src/sim/sim_callers.cc
+++ b/src/sim/sim_callers.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 void SimCallers::add(CallerConfig config) {
-  const std::uint32_t address = config.flow.caller.address;
+  const std::uint32_t address = config.flow.client.address;
   callers_[address] = std::make_unique<CallerModel>(
       std::move(config), static_cast<CallerOutput&>(*this), context_.events.now());
 }
@@ -59,7 +59,7 @@
 
 void SimCallers::send(const FlowKey& flow, ByteView message) {
   if (const auto balancer = fabric_.pick()) {
-    context_.network.send_datagram(flow.caller, *balancer,
+    context_.network.send_datagram(flow.client, *balancer,
                                    encode_proxy_datagram({flow, {}, {}, {}}, message),
                                    TrafficKind::kData);
   }
--- a/src/standins/caller_main.cc
+++ b/src/standins/caller_main.cc
@@ -39,7 +39,7 @@
       : loop_(loop), model_(config, *this, monotonic_now()) {}
 
   bool start() {
-    auto socket = UdpSocket::open(loop_, model_.config().flow.caller);
+    auto socket = UdpSocket::open(loop_, model_.config().flow.client);
     if (!socket) {
       fail(socket.error(), kExitFailure);
       return false;
--- a/src/standins/caller_model.cc
+++ b/src/standins/caller_model.cc
@@ -56,7 +56,7 @@
       output_(output),
       random_(config_.seed),
       next_message_id_(static_cast<std::uint16_t>(random_())),
-      first_port_(config_.flow.caller.port),
+      first_port_(config_.flow.client.port),
       next_work_(now + config_.start_after) {}
 
 bool CallerModel::is_idle() const { return !outstanding_ && next_block_ == 0; }
@@ -110,7 +110,7 @@
                    Block{0, false, kDownloadBlockExponent}, now);
       break;
     case CallerKind::kLookup:
-      config_.flow.caller.port =
+      config_.flow.client.port =
           static_cast<std::uint16_t>(first_port_ + next_number_ % config_.ports);
       send_request(coap_code::kGet, target_path::kLookup, id, std::nullopt, std::nullopt, now);
       break;
--- a/src/standins/fabric_main.cc
+++ b/src/standins/fabric_main.cc
@@ -129,7 +129,7 @@
     }
     const auto socket = service_sockets_.find(decoded->header.flow.service);
     if (socket != service_sockets_.end()) {
-      sender_.send(*socket->second, decoded->header.flow.caller,
+      sender_.send(*socket->second, decoded->header.flow.client,
                    Bytes(decoded->payload.begin(), decoded->payload.end()));
       socket->second->flush();
     }
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -13,7 +13,7 @@
 #include "codec/coap.h"
 #include "codec/proxy_header.h"
 #include "core/balancer/partition_store.h"
-#include "core/balancer/target_board.h"
+#include "core/balancer/target_table.h"
 #include "model/time.h"
 
 namespace gorsevalve {
--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -136,7 +136,7 @@
   balancer_->on_target_report(report, monotonic_now());
 }
 
-void BalancerTask::send_to_caller(const FlowKey& flow, ByteView message) {
+void BalancerTask::send_to_client(const FlowKey& flow, ByteView message) {
   std::array<std::uint8_t, kMaxProxyHeaderSize> head{};
   const std::size_t size = encode_proxy_header({flow, {}, {}, {}}, head.data());
   socket_->send(config_.egress, ByteView(head.data(), size), message);
@@ -175,7 +175,7 @@
                                          {"members", fleet.members.size()}});
 }
 
-void BalancerTask::on_expelled(Instant /*now*/) {
+void BalancerTask::on_removed(Instant /*now*/) {
   config_.self.incarnation = random_number();
   balancer_ = std::make_unique<Balancer>(BalancerConfig{config_.self, {}},
                                          static_cast<BalancerOutput&>(*this));
@@ -192,7 +192,7 @@
   network_.drop(replica);
 }
 
-void BalancerTask::on_behind(const Endpoint& replica, Revision revisions) {
+void BalancerTask::on_updates_overdue(const Endpoint& replica, Revision revisions) {
   log_behind(replica, revisions, control_.fleet().revision);
 }
 
--- a/src/tasks/balancer_task.h
+++ b/src/tasks/balancer_task.h
@@ -11,7 +11,7 @@
 #include "codec/envelope.h"
 #include "core/balancer/balancer.h"
 #include "core/balancer/control_client.h"
-#include "core/balancer/planned_stop.h"
+#include "core/balancer/graceful_shutdown.h"
 #include "storage/disk.h"
 #include "tasks/event_loop.h"
 #include "tasks/frame_network.h"
@@ -65,7 +65,7 @@
   std::optional<Endpoint> on_frame(ByteView frame);
   void on_tick();
 
-  void send_to_caller(const FlowKey& flow, ByteView message) override;
+  void send_to_client(const FlowKey& flow, ByteView message) override;
   void send_to_target(const Endpoint& target, const ProxyHeader& header, ByteView message) override;
   void relay(const Endpoint& peer, const ProxyHeader& header, ByteView payload) override;
   void send_peer(const Endpoint& peer, const PeerMessage& message) override;
@@ -74,9 +74,9 @@
   void on_lease(Instant until) override;
   void on_replica_chosen(const Endpoint& replica, Revision held) override;
   void on_replica_silent(const Endpoint& replica) override;
-  void on_behind(const Endpoint& replica, Revision revisions) override;
+  void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
   void on_update_refused(const RefusedUpdate& refused) override;
-  void on_expelled(Instant now) override;
+  void on_removed(Instant now) override;
 
   EventLoop& loop_;
   BalancerTaskConfig config_;
@@ -87,7 +87,7 @@
   std::unique_ptr<UdpSocket> socket_;
   FrameNetwork network_;
   std::uint64_t messages_refused_ = 0;
-  PlannedStop stop_;
+  GracefulShutdown stop_;
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -338,7 +338,7 @@
   network_.drop(replica);
 }
 
-void SteeringTask::on_behind(const Endpoint& replica, Revision revisions) {
+void SteeringTask::on_updates_overdue(const Endpoint& replica, Revision revisions) {
   log_behind(replica, revisions, control_.fleet().revision);
 }
 
@@ -389,7 +389,7 @@
             {{"replica", replica ? to_string(*replica) : "searching"},
              {"age_ms", age / milliseconds(1)},
              {"revision", control_.fleet().revision},
-             {"awaited", control_.awaited_revision()}});
+             {"awaited", control_.pending_revision()}});
 }
 
 void SteeringTask::on_fleet(const FleetState& fleet, Instant now) {
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -142,9 +142,9 @@
     steering_.set_balancer_rank(place, now);
   }
   void on_lease(Instant /*until*/) override {}
-  void on_expelled(Instant /*now*/) override {}
+  void on_removed(Instant /*now*/) override {}
   void on_replica_silent(const Endpoint& replica) override;
-  void on_behind(const Endpoint& replica, Revision revisions) override;
+  void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
   void on_replica_chosen(const Endpoint& replica, Revision held) override;
   void on_update_refused(const RefusedUpdate& refused) override;
   /// Tells which targets turned cold, and what those that are warm now took from here.
--- a/src/tasks/target_poller.h
+++ b/src/tasks/target_poller.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <vector>
 
-#include "core/balancer/target_board.h"
+#include "core/balancer/target_table.h"
 #include "tasks/event_loop.h"
 #include "tasks/http_client.h"
 
--- a/tests/sim/test_following_workload.cc
+++ b/tests/sim/test_following_workload.cc
@@ -64,7 +64,7 @@
   void send_control(const Endpoint& replica, const NodeMessage& message) override;
   void on_fleet(const FleetState& /*fleet*/, Instant /*now*/) override {}
   void on_lease(Instant /*until*/) override {}
-  void on_expelled(Instant /*now*/) override {}
+  void on_removed(Instant /*now*/) override {}
   void on_replica_silent(const Endpoint& replica) override { links[replica.address] = {}; }
   std::vector<TargetObservation> take_observations() override;
 
--- a/tests/unit/balancer_fixture.h
+++ b/tests/unit/balancer_fixture.h
@@ -12,10 +12,10 @@
 constexpr Endpoint kSecondService{0x0A000102, 5683};
 constexpr Endpoint kFirstTarget{0x0A000A01, 5683};
 constexpr Endpoint kSecondTarget{0x0A000B01, 5683};
-constexpr Endpoint kCaller{0x0A010001, 40000};
+constexpr Endpoint kClient{0x0A010001, 40000};
 constexpr std::uint64_t kIncarnation = 42;
 
-struct SentToCaller {
+struct SentToClient {
   FlowKey flow;
   Bytes message;
 };
@@ -28,8 +28,8 @@
 
 class BalancerOutputRecorder : public BalancerOutput {
  public:
-  void send_to_caller(const FlowKey& flow, ByteView message) override {
-    to_caller.push_back({flow, Bytes(message.begin(), message.end())});
+  void send_to_client(const FlowKey& flow, ByteView message) override {
+    to_client.push_back({flow, Bytes(message.begin(), message.end())});
   }
   void send_to_target(const Endpoint& target, const ProxyHeader& header,
                       ByteView message) override {
@@ -43,7 +43,7 @@
     to_peer.push_back(message);
   }
 
-  std::vector<SentToCaller> to_caller;
+  std::vector<SentToClient> to_client;
   std::vector<SentToTarget> to_target;
   std::vector<PeerMessage> to_peer;
   int relayed = 0;
@@ -84,12 +84,12 @@
 
   /// A request from a caller, as the fabric brings it.
   void request(const Endpoint& service, const CoapMessage& message,
-               const Endpoint& caller = kCaller) {
+               const Endpoint& caller = kClient) {
     datagram({{caller, service}, {}, {}, {}}, encode_coap(message));
   }
 
   /// A target's answer to something that it was sent.
-  void answer(const SentToTarget& sent, const CoapMessage& message) {
+  void respond(const SentToTarget& sent, const CoapMessage& message) {
     ProxyHeader header;
     header.flow = sent.header.flow;
     header.request_id = sent.header.request_id;
@@ -101,14 +101,14 @@
     balancer.on_datagram(encode_proxy_datagram(header, payload), now);
   }
 
-  void change(const FleetState& next) {
+  void apply_fleet(const FleetState& next) {
     fleet = next;
     ++fleet.revision;
     balancer.on_fleet(fleet, now);
   }
 
   /// Lets time pass with a tick at each interval.
-  void pass(Duration time) {
+  void advance_time(Duration time) {
     const Instant end = now + time;
     while (now < end) {
       now += Balancer::kTickInterval;
@@ -132,7 +132,7 @@
   return message;
 }
 
-inline CoapMessage make_answer(const CoapMessage& request, const std::string& text) {
+inline CoapMessage make_response(const CoapMessage& request, const std::string& text) {
   CoapMessage message;
   message.type = CoapType::kAcknowledgement;
   message.code = coap_code::kContent;
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -158,8 +158,10 @@
   }
   void on_fleet(const FleetState& /*fleet*/, Instant /*now*/) override {}
   void on_lease(Instant /*until*/) override {}
-  void on_expelled(Instant /*now*/) override {}
-  void on_behind(const Endpoint& /*replica*/, Revision /*revisions*/) override { ++behind_events; }
+  void on_removed(Instant /*now*/) override {}
+  void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) override {
+    ++behind_events;
+  }
   void on_update_refused(const RefusedUpdate& /*update*/) override { ++refused_updates; }
 
   /// Lets time pass, and carries messages each 20 ms.
--- a/tests/unit/test_allocation.cc
+++ b/tests/unit/test_allocation.cc
@@ -11,7 +11,7 @@
 /// Sends without keeping anything.
 class DiscardingOutput : public BalancerOutput {
  public:
-  void send_to_caller(const FlowKey& /*flow*/, ByteView /*message*/) override { ++answers; }
+  void send_to_client(const FlowKey& /*flow*/, ByteView /*message*/) override { ++answers; }
   void send_to_target(const Endpoint& target, const ProxyHeader& header,
                       ByteView /*message*/) override {
     last_target = target;
@@ -37,8 +37,8 @@
     balancer.on_fleet(fleet, now);
     const CoapMessage request = make_request(coap_code::kGet, 1, 1);
     const Bytes datagram =
-        encode_proxy_datagram({{kCaller, kFirstService}, {}, {}, {}}, encode_coap(request));
-    const Bytes answer = encode_coap(make_answer(request, "answer"));
+        encode_proxy_datagram({{kClient, kFirstService}, {}, {}, {}}, encode_coap(request));
+    const Bytes answer = encode_coap(make_response(request, "answer"));
     std::array<std::uint8_t, 256> buffer{};
     const auto exchange = [&] {
       balancer.on_datagram(datagram, now);
--- a/tests/unit/test_balancer.cc
+++ b/tests/unit/test_balancer.cc
@@ -23,26 +23,26 @@
   TEST_CASE("requests reach only targets of their own service") {
     BalancerFixture test;
     for (std::uint16_t i = 0; i < 200; ++i) {
-      const Endpoint caller{kCaller.address + i, 40000};
+      const Endpoint caller{kClient.address + i, 40000};
       test.request(kFirstService, make_request(coap_code::kGet, i, 1), caller);
       test.request(kSecondService, make_request(coap_code::kGet, i, 1), caller);
-      test.pass(Balancer::kTickInterval);
+      test.advance_time(Balancer::kTickInterval);
       while (!test.output.to_target.empty()) {
         const auto sent = test.output.to_target.front();
         test.output.to_target.erase(test.output.to_target.begin());
         const bool first = sent.header.flow.service == kFirstService;
         CHECK(sent.target == (first ? kFirstTarget : kSecondTarget));
-        test.answer(sent, make_answer(make_request(coap_code::kGet, i, 1), "x"));
+        test.respond(sent, make_response(make_request(coap_code::kGet, i, 1), "x"));
       }
     }
-    CHECK(test.output.to_caller.size() == 400);
+    CHECK(test.output.to_client.size() == 400);
   }
 
   TEST_CASE("a datagram for a service that does not exist goes nowhere") {
     BalancerFixture test;
     test.request({0x0A0001FF, 5683}, make_request(coap_code::kGet, 1, 1));
     CHECK(test.output.to_target.empty());
-    CHECK(test.output.to_caller.empty());
+    CHECK(test.output.to_client.empty());
     CHECK(test.balancer.counters().datagrams_unknown_service == 1);
   }
 
@@ -51,10 +51,10 @@
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
     FleetState next = test.fleet;
     next.settings.services[0].targets[0].address = {0x0A000A02, 5683};
-    test.change(next);
+    test.apply_fleet(next);
     test.output.to_target.clear();
     test.request(kFirstService, make_request(coap_code::kGet, 2, 2));
-    test.pass(std::chrono::seconds(10));
+    test.advance_time(std::chrono::seconds(10));
     REQUIRE_FALSE(test.output.to_target.empty());
     for (const auto& sent : test.output.to_target) {
       CHECK(sent.target == Endpoint{0x0A000A02, 5683});
@@ -65,17 +65,17 @@
     BalancerFixture test;
     const auto one = make_request(coap_code::kGet, 1, 0x11);
     const auto two = make_request(coap_code::kGet, 2, 0x22);
-    test.request(kFirstService, one, {kCaller.address, 1001});
-    test.request(kFirstService, two, {kCaller.address, 1002});
+    test.request(kFirstService, one, {kClient.address, 1001});
+    test.request(kFirstService, two, {kClient.address, 1002});
     REQUIRE(test.output.to_target.size() == 2);
     const auto sent = test.output.to_target;
-    test.answer(sent[1], make_answer(two, "two"));
-    test.answer(sent[0], make_answer(one, "one"));
-    REQUIRE(test.output.to_caller.size() == 2);
-    CHECK(test.output.to_caller[0].flow.caller.port == 1002);
-    CHECK(payload_of(test.output.to_caller[0].message) == "two");
-    CHECK(test.output.to_caller[1].flow.caller.port == 1001);
-    CHECK(payload_of(test.output.to_caller[1].message) == "one");
+    test.respond(sent[1], make_response(two, "two"));
+    test.respond(sent[0], make_response(one, "one"));
+    REQUIRE(test.output.to_client.size() == 2);
+    CHECK(test.output.to_client[0].flow.client.port == 1002);
+    CHECK(payload_of(test.output.to_client[0].message) == "two");
+    CHECK(test.output.to_client[1].flow.client.port == 1001);
+    CHECK(payload_of(test.output.to_client[1].message) == "one");
   }
 
   TEST_CASE("an answer with another request's token or id is not passed on") {
@@ -83,11 +83,11 @@
     const auto one = make_request(coap_code::kGet, 1, 0x11);
     test.request(kFirstService, one);
     const auto sent = test.output.to_target.front();
-    test.answer(sent, make_answer(make_request(coap_code::kGet, 1, 0x99), "foreign"));
+    test.respond(sent, make_response(make_request(coap_code::kGet, 1, 0x99), "foreign"));
     SentToTarget other = sent;
     other.header.request_id->sequence += 1000;
-    test.answer(other, make_answer(one, "foreign"));
-    CHECK(test.output.to_caller.empty());
+    test.respond(other, make_response(one, "foreign"));
+    CHECK(test.output.to_client.empty());
     CHECK(test.balancer.counters().answers_unmatched == 2);
   }
 
@@ -95,13 +95,13 @@
     BalancerFixture test;
     const auto request = make_request(coap_code::kPost, 1, 1);
     test.request(kFirstService, request);
-    test.pass(std::chrono::seconds(5));
-    REQUIRE(test.output.to_caller.size() == 1);
-    const auto verdict = parse(test.output.to_caller[0].message);
+    test.advance_time(std::chrono::seconds(5));
+    REQUIRE(test.output.to_client.size() == 1);
+    const auto verdict = parse(test.output.to_client[0].message);
     CHECK(verdict->code == coap_code::kGatewayTimeout);
     CHECK(verdict->max_age);
-    test.answer(test.output.to_target.front(), make_answer(request, "late"));
-    CHECK(test.output.to_caller.size() == 1);
+    test.respond(test.output.to_target.front(), make_response(request, "late"));
+    CHECK(test.output.to_client.size() == 1);
   }
 
   TEST_CASE("a once-only request is sent once, whatever the caller repeats") {
@@ -109,19 +109,19 @@
     const auto request = make_request(coap_code::kPost, 1, 1);
     for (int i = 0; i < 5; ++i) {
       test.request(kFirstService, request);
-      test.pass(std::chrono::milliseconds(500));
+      test.advance_time(std::chrono::milliseconds(500));
     }
     CHECK(test.output.to_target.size() == 1);
-    test.answer(test.output.to_target[0], make_answer(request, "done"));
+    test.respond(test.output.to_target[0], make_response(request, "done"));
     test.request(kFirstService, request);
-    REQUIRE(test.output.to_caller.size() == 2);
-    CHECK(test.output.to_caller[0].message == test.output.to_caller[1].message);
+    REQUIRE(test.output.to_client.size() == 2);
+    CHECK(test.output.to_client[0].message == test.output.to_client[1].message);
   }
 
   TEST_CASE("a repeatable request without an answer is sent again to the same target") {
     BalancerFixture test;
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
-    test.pass(std::chrono::seconds(2));
+    test.advance_time(std::chrono::seconds(2));
     REQUIRE(test.output.to_target.size() >= 3);
     for (const auto& sent : test.output.to_target) {
       CHECK(sent.target == kFirstTarget);
@@ -134,7 +134,7 @@
     test.request(kFirstService, make_request(coap_code::kPost, 1, 1));
     REQUIRE(test.output.to_target.size() == 1);
     CHECK(test.output.to_target[0].header.time_left_ms == 4000);
-    test.pass(std::chrono::seconds(5));
+    test.advance_time(std::chrono::seconds(5));
     REQUIRE(test.output.to_target.size() == 2);
     CHECK(parse(test.output.to_target[1].message)->type == CoapType::kReset);
   }
@@ -144,53 +144,53 @@
     test.balancer.on_lease(test.now);
     test.request(kFirstService, make_request(coap_code::kPost, 1, 1));
     CHECK(test.output.to_target.empty());
-    REQUIRE(test.output.to_caller.size() == 1);
-    CHECK(parse(test.output.to_caller[0].message)->code == coap_code::kGatewayTimeout);
+    REQUIRE(test.output.to_client.size() == 1);
+    CHECK(parse(test.output.to_client[0].message)->code == coap_code::kGatewayTimeout);
   }
 
   TEST_CASE("over the limit a request is refused at once, with a time to come back") {
     BalancerFixture test;
     FleetState next = test.fleet;
     next.settings.services[0].queue_limit = 3;
-    test.change(next);
+    test.apply_fleet(next);
     const Instant before = test.now;
     for (std::uint16_t i = 0; i < 40; ++i) {
       test.request(kFirstService, make_request(coap_code::kGet, i, 1),
-                   {kCaller.address + i, 40000});
+                   {kClient.address + i, 40000});
     }
     CHECK(test.now == before);
-    REQUIRE_FALSE(test.output.to_caller.empty());
+    REQUIRE_FALSE(test.output.to_client.empty());
     std::set<std::uint32_t> times;
-    for (const auto& sent : test.output.to_caller) {
+    for (const auto& sent : test.output.to_client) {
       const auto verdict = parse(sent.message);
       CHECK(verdict->code == coap_code::kServiceUnavailable);
       REQUIRE(verdict->max_age);
       times.insert(*verdict->max_age);
     }
     CHECK(times.size() > 1);
-    CHECK(test.output.to_target.size() + test.output.to_caller.size() + 3 == 40);
+    CHECK(test.output.to_target.size() + test.output.to_client.size() + 3 == 40);
   }
 
   TEST_CASE("a feed takes the queue's place of an ordinary request, a continuation is kept") {
     BalancerFixture test;
     FleetState next = test.fleet;
     next.settings.services[0].queue_limit = 1;
-    test.change(next);
+    test.apply_fleet(next);
     std::uint16_t id = 0;
-    while (test.output.to_caller.empty()) {
+    while (test.output.to_client.empty()) {
       ++id;
-      test.request(kFirstService, make_request(coap_code::kGet, id, 1), {kCaller.address + id, 1});
+      test.request(kFirstService, make_request(coap_code::kGet, id, 1), {kClient.address + id, 1});
     }
-    test.output.to_caller.clear();
+    test.output.to_client.clear();
     CoapMessage feed = make_request(coap_code::kGet, 500, 5);
     feed.observe = 0;
-    test.request(kFirstService, feed, {kCaller.address, 5});
-    REQUIRE(test.output.to_caller.size() == 1);
-    CHECK(test.output.to_caller[0].flow.caller.port == 1);
+    test.request(kFirstService, feed, {kClient.address, 5});
+    REQUIRE(test.output.to_client.size() == 1);
+    CHECK(test.output.to_client[0].flow.client.port == 1);
     CoapMessage block = make_request(coap_code::kGet, 501, 6);
     block.block2 = Block{2, false, 4};
-    test.request(kFirstService, block, {kCaller.address, 6});
-    CHECK(test.output.to_caller.size() == 1);
+    test.request(kFirstService, block, {kClient.address, 6});
+    CHECK(test.output.to_client.size() == 1);
   }
 
   TEST_CASE("a draining target keeps its feeds and downloads and gets no new work") {
@@ -203,11 +203,11 @@
     CoapMessage feed = make_request(coap_code::kGet, 1, 1);
     feed.observe = 0;
     test.request(kFirstService, feed);
-    CoapMessage opened = make_answer(feed, "state");
+    CoapMessage opened = make_response(feed, "state");
     opened.observe = 1;
-    test.answer(test.output.to_target[0], opened);
+    test.respond(test.output.to_target[0], opened);
     next.settings.services[0].targets.push_back(second);
-    test.change(next);
+    test.apply_fleet(next);
     test.output.to_target.clear();
     test.request(kFirstService, make_request(coap_code::kGet, 2, 2));
     REQUIRE(test.output.to_target.size() == 1);
@@ -218,11 +218,11 @@
 
   TEST_CASE("after a pause of the process datagrams are dropped until control can be heard") {
     BalancerFixture test;
-    test.pass(std::chrono::milliseconds(100));
+    test.advance_time(std::chrono::milliseconds(100));
     test.now += std::chrono::seconds(10);
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
     CHECK(test.output.to_target.empty());
-    test.pass(std::chrono::milliseconds(300));
+    test.advance_time(std::chrono::milliseconds(300));
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
     CHECK(test.output.to_target.size() == 1);
   }
@@ -254,8 +254,8 @@
       balancer.on_peer_message({7, 6000}, TakeoverRequest{3, 0, 0, last_owner}, now);
       REQUIRE(output.to_peer.size() == 2);
       const auto& chunk = std::get<TakeoverChunk>(output.to_peer[1]);
-      CHECK(chunk.holding ==
-            (last_owner == kOwner ? HoldingState::kComplete : HoldingState::kIncomplete));
+      CHECK(chunk.source_state ==
+            (last_owner == kOwner ? SourceState::kComplete : SourceState::kIncomplete));
     }
   }
 
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -21,7 +21,7 @@
   void send_control(const Endpoint& replica, const NodeMessage& message) override {
     if (const auto* heartbeat = std::get_if<NodeHeartbeat>(&message)) {
       heartbeats.push_back(*heartbeat);
-      asked.push_back(replica);
+      recipients.push_back(replica);
     }
   }
   void on_fleet(const FleetState& fleet, Instant /*now*/) override {
@@ -32,22 +32,24 @@
   std::vector<TargetObservation> take_observations() override { return seen; }
   void on_target_health(const std::vector<TargetHealth>& told) override { figures = told; }
   void on_lease(Instant until) override { lease = until; }
-  void on_expelled(Instant /*now*/) override { ++expelled; }
+  void on_removed(Instant /*now*/) override { ++removed; }
   void on_replica_silent(const Endpoint& /*replica*/) override { ++silent; }
-  void on_behind(const Endpoint& /*replica*/, Revision /*revisions*/) override { ++behind; }
+  void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) override {
+    ++lagging;
+  }
 
   std::vector<NodeHeartbeat> heartbeats;
   /// Where each heartbeat went.
-  std::vector<Endpoint> asked;
+  std::vector<Endpoint> recipients;
   std::vector<Revision> revisions;
   std::vector<TargetObservation> seen;
   std::vector<TargetHealth> figures;
   bool urgent = false;
   Instant lease;
   int confirmed = 0;
-  int expelled = 0;
+  int removed = 0;
   int silent = 0;
-  int behind = 0;
+  int lagging = 0;
 };
 
 Member make_self() { return {"b", "z", {0x0A00C901, 6000}, 42, MemberState::kActive}; }
@@ -61,7 +63,7 @@
   return before;
 }
 
-FleetUpdate whole(const FleetState& fleet) {
+FleetUpdate make_snapshot(const FleetState& fleet) {
   FleetUpdate update;
   update.is_snapshot = true;
   update.snapshot = fleet;
@@ -110,13 +112,13 @@
 
 /// Lets an observer run for three seconds among replicas that are all current and tell their zones;
 /// the first one answers first. Gives the one that it asks at the end.
-Endpoint settle(Observer& test, const std::map<Endpoint, std::string>& zones) {
+Endpoint run_until_settled(Observer& test, const std::map<Endpoint, std::string>& zones) {
   std::size_t answered = 0;
   Instant now = kStart;
   for (int turn = 0; turn < 6; ++turn) {
     test.client.on_tick(0, now);
-    for (; answered < test.output.asked.size(); ++answered) {
-      const Endpoint replica = test.output.asked[answered];
+    for (; answered < test.output.recipients.size(); ++answered) {
+      const Endpoint replica = test.output.recipients[answered];
       const auto zone = zones.find(replica);
       if (zone != zones.end()) {
         HeartbeatReply reply = current_reply(test.output.heartbeats[answered], 0);
@@ -127,7 +129,7 @@
     now += milliseconds(600);
   }
   test.client.on_tick(0, now);
-  return test.output.asked.back();
+  return test.output.recipients.back();
 }
 
 }  // namespace
@@ -137,15 +139,15 @@
     Client test;
     const FleetState older = next_members({}, {make_self()});
     const FleetState newer = next_members(older, {make_self()});
-    test.client.on_message(kReplica, whole(newer), kStart);
-    test.client.on_message(kReplica, whole(older), kStart);
+    test.client.on_message(kReplica, make_snapshot(newer), kStart);
+    test.client.on_message(kReplica, make_snapshot(older), kStart);
     CHECK(test.output.revisions == std::vector<Revision>{2});
     CHECK(test.client.fleet().revision == 2);
   }
 
   TEST_CASE("a state whose digest does not match is refused") {
     Client test;
-    FleetUpdate update = whole(next_members({}, {make_self()}));
+    FleetUpdate update = make_snapshot(next_members({}, {make_self()}));
     ++update.digest;
     test.client.on_message(kReplica, update, kStart);
     CHECK(test.output.revisions.empty());
@@ -155,7 +157,7 @@
     Observer test{{kReplica}};
     FleetState fleet;
     fleet.revision = 4;
-    test.client.on_message(kReplica, whole(fleet), kStart);
+    test.client.on_message(kReplica, make_snapshot(fleet), kStart);
     REQUIRE(test.output.revisions == std::vector<Revision>{4});
     FleetDelta delta;
     delta.base = 4;
@@ -171,17 +173,17 @@
     // What was in force is not taken back meanwhile.
     FleetState older;
     older.revision = 3;
-    test.client.on_message(kReplica, whole(older), kStart);
+    test.client.on_message(kReplica, make_snapshot(older), kStart);
     CHECK(test.output.revisions == std::vector<Revision>{4});
     fleet.revision = 5;
-    test.client.on_message(kReplica, whole(fleet), kStart);
+    test.client.on_message(kReplica, make_snapshot(fleet), kStart);
     CHECK(test.output.revisions == std::vector<Revision>{4, 5});
   }
 
   TEST_CASE("memberships that come together are put in force one by one") {
     Client test;
     FleetState fleet = next_members({}, {make_self()});
-    test.client.on_message(kReplica, whole(fleet), kStart);
+    test.client.on_message(kReplica, make_snapshot(fleet), kStart);
     FleetUpdate update;
     const Member other{"c", "z", {0x0A00C902, 6000}, 43, MemberState::kActive};
     update.deltas.push_back(members_delta(fleet, {{other}, {}}));
@@ -191,19 +193,19 @@
     update.digest = fleet_digest(fleet);
     test.client.on_message(kReplica, update, kStart);
     CHECK(test.output.revisions == std::vector<Revision>{1, 2, 3});
-    CHECK(test.output.expelled == 0);
+    CHECK(test.output.removed == 0);
   }
 
   TEST_CASE("a process that was removed while it runs rejoins as another member") {
     Client test;
     FleetState fleet = next_members({}, {make_self()});
-    test.client.on_message(kReplica, whole(fleet), kStart);
+    test.client.on_message(kReplica, make_snapshot(fleet), kStart);
     FleetUpdate update;
     update.deltas.push_back(members_delta(fleet, {{}, {make_self().address}}));
     apply_delta(fleet, update.deltas.back());
     update.digest = fleet_digest(fleet);
     test.client.on_message(kReplica, update, kStart);
-    CHECK(test.output.expelled == 1);
+    CHECK(test.output.removed == 1);
     test.client.rejoin(99);
     test.client.on_tick(0, kStart + std::chrono::seconds(1));
     CHECK(test.output.heartbeats.back().member.incarnation == 99);
@@ -212,15 +214,15 @@
   TEST_CASE("a whole state that skips memberships expels, too") {
     Client test;
     const FleetState first = next_members({}, {make_self()});
-    test.client.on_message(kReplica, whole(first), kStart);
+    test.client.on_message(kReplica, make_snapshot(first), kStart);
     const FleetState third = next_members(next_members(first, {}), {make_self()});
-    test.client.on_message(kReplica, whole(third), kStart);
-    CHECK(test.output.expelled == 1);
+    test.client.on_message(kReplica, make_snapshot(third), kStart);
+    CHECK(test.output.removed == 1);
   }
 
   TEST_CASE("a new member asks for a lease at once, and counts it from its question") {
     Client test;
-    test.client.on_message(kReplica, whole(next_members({}, {make_self()})), kStart);
+    test.client.on_message(kReplica, make_snapshot(next_members({}, {make_self()})), kStart);
     REQUIRE(test.output.heartbeats.size() == 1);
     const HeartbeatReply reply{test.output.heartbeats[0].sequence, 10000, false};
     test.client.on_message(kReplica, reply, kStart + std::chrono::seconds(3));
@@ -232,15 +234,15 @@
     // never learned of that, because it had never been a member in its own view.
     Client test;
     const FleetState without = next_members({}, {});
-    test.client.on_message(kReplica, whole(without), kStart);
+    test.client.on_message(kReplica, make_snapshot(without), kStart);
     test.client.on_tick(0, kStart);
     test.client.on_tick(0, kStart + std::chrono::seconds(19));
-    CHECK(test.output.expelled == 0);
+    CHECK(test.output.removed == 0);
     test.client.on_tick(0, kStart + std::chrono::seconds(21));
-    CHECK(test.output.expelled == 1);
+    CHECK(test.output.removed == 1);
     test.client.rejoin(43);
     test.client.on_tick(0, kStart + std::chrono::seconds(22));
-    CHECK(test.output.expelled == 1);
+    CHECK(test.output.removed == 1);
   }
 
   TEST_CASE("a starting observer asks all replicas at once, and often, until one is current") {
@@ -248,24 +250,24 @@
     // and the others were asked 0.8 s later only.
     Observer test{{kReplica, kOther, kThird}};
     test.client.on_tick(0, kStart);
-    CHECK(test.output.asked == std::vector<Endpoint>{kReplica, kOther, kThird});
+    CHECK(test.output.recipients == std::vector<Endpoint>{kReplica, kOther, kThird});
     // Which of them holds anything is not known yet: the first to answer is asked for its state.
     const auto wanted = std::count_if(test.output.heartbeats.begin(), test.output.heartbeats.end(),
                                       [](const auto& sent) { return sent.wants_update; });
     CHECK(wanted == 0);
     test.client.on_tick(0, kStart + milliseconds(110));
-    CHECK(test.output.asked.size() == 6);
+    CHECK(test.output.recipients.size() == 6);
     // The one that is current gets the next heartbeats, and sends its state.
     test.client.on_message(kOther, current_reply(test.output.heartbeats[4], 3),
                            kStart + milliseconds(115));
-    REQUIRE(test.output.asked.size() == 7);
-    CHECK(test.output.asked.back() == kOther);
+    REQUIRE(test.output.recipients.size() == 7);
+    CHECK(test.output.recipients.back() == kOther);
     CHECK(test.output.heartbeats.back().wants_update);
     // It holds more than this node has: not confirmed yet.
     CHECK_FALSE(test.client.has_been_current());
     FleetState state;
     state.revision = 3;
-    test.client.on_message(kOther, whole(state), kStart + milliseconds(116));
+    test.client.on_message(kOther, make_snapshot(state), kStart + milliseconds(116));
     // What it held when it was current is in force: that confirms it, once.
     CHECK(test.client.has_been_current());
     CHECK(test.output.confirmed == 1);
@@ -273,8 +275,10 @@
     // From now on the usual pause holds, and the chosen replica alone is asked.
     test.client.on_tick(0, kStart + milliseconds(250));
     test.client.on_tick(0, kStart + milliseconds(400));
-    CHECK(std::count(test.output.asked.begin() + 7, test.output.asked.end(), kOther) == 1);
-    CHECK(std::count(test.output.asked.begin() + 7, test.output.asked.end(), kThird) <= 1);
+    CHECK(std::count(test.output.recipients.begin() + 7, test.output.recipients.end(), kOther) ==
+          1);
+    CHECK(std::count(test.output.recipients.begin() + 7, test.output.recipients.end(), kThird) <=
+          1);
     test.client.on_message(kOther, current_reply(test.output.heartbeats.back(), 3),
                            kStart + milliseconds(405));
     CHECK(test.output.confirmed == 1);
@@ -285,15 +289,15 @@
     test.client.on_tick(0, kStart);
     HeartbeatReply stale = stale_reply(test.output.heartbeats[0], 2);
     test.client.on_message(kReplica, stale, kStart + milliseconds(5));
-    CHECK(test.output.asked.back() == kReplica);
+    CHECK(test.output.recipients.back() == kReplica);
     CHECK(test.output.heartbeats.back().wants_update);
     FleetState state;
     state.revision = 2;
-    test.client.on_message(kReplica, whole(state), kStart + milliseconds(6));
+    test.client.on_message(kReplica, make_snapshot(state), kStart + milliseconds(6));
     CHECK(test.client.fleet().revision == 2);
     CHECK_FALSE(test.client.has_been_current());
     test.client.on_tick(0, kStart + milliseconds(110));
-    CHECK(test.output.asked.back() == kOther);
+    CHECK(test.output.recipients.back() == kOther);
   }
 
   TEST_CASE("a starting observer asks one replica at a time for its state") {
@@ -308,14 +312,14 @@
     };
     for (std::size_t i = 0; i < first.size(); ++i) {
       HeartbeatReply reply = stale_reply(first[i], 2);
-      test.client.on_message(test.output.asked[i], reply, kStart + milliseconds(5));
+      test.client.on_message(test.output.recipients[i], reply, kStart + milliseconds(5));
     }
     CHECK(states_wanted() == 1);
     // It does not come: after a while another one is asked.
     test.client.on_tick(0, kStart + milliseconds(480));
     REQUIRE(test.output.heartbeats.size() == 7);
     HeartbeatReply later = stale_reply(test.output.heartbeats[5], 2);
-    test.client.on_message(test.output.asked[5], later, kStart + milliseconds(485));
+    test.client.on_message(test.output.recipients[5], later, kStart + milliseconds(485));
     CHECK(states_wanted() == 2);
   }
 
@@ -327,14 +331,14 @@
     for (int turn = 1; turn <= 4; ++turn) {
       test.client.on_tick(0, kStart + milliseconds(101) * turn);
     }
-    CHECK(std::count(test.output.asked.begin(), test.output.asked.end(), kReplica) == 1);
+    CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kReplica) == 1);
     // The other one may be dark: it is asked often.
-    CHECK(std::count(test.output.asked.begin(), test.output.asked.end(), kOther) == 5);
+    CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kOther) == 5);
     // It tells by the number of the same heartbeat, and counts.
     reply.is_current = true;
     test.client.on_message(kReplica, reply, kStart + milliseconds(430));
     CHECK(test.client.has_been_current());
-    CHECK(test.output.asked.back() == kReplica);
+    CHECK(test.output.recipients.back() == kReplica);
   }
 
   TEST_CASE("an observer searches again when its replica is silent or not current") {
@@ -352,7 +356,8 @@
       test.client.on_tick(0, kStart + milliseconds(600));
       CHECK(test.output.silent == 0);
     }
-    const std::vector<Endpoint> last(test.output.asked.end() - 2, test.output.asked.end());
+    const std::vector<Endpoint> last(test.output.recipients.end() - 2,
+                                     test.output.recipients.end());
     CHECK(last == std::vector<Endpoint>{kReplica, kOther});
   }
 
@@ -364,7 +369,7 @@
     constexpr Duration kQueue = std::chrono::seconds(2);
     std::size_t answered = test.output.heartbeats.size();
     std::vector<Instant> sent_at(answered, kStart);
-    for (int turn = 1; turn <= 100 && test.output.behind == 0; ++turn) {
+    for (int turn = 1; turn <= 100 && test.output.lagging == 0; ++turn) {
       const Instant now = kStart + milliseconds(20) * turn;
       for (; answered < sent_at.size() && sent_at[answered] + kQueue <= now; ++answered) {
         test.client.on_message(kReplica, current_reply(test.output.heartbeats[answered], 0), now);
@@ -374,7 +379,7 @@
       test.client.on_tick(0, now);
       sent_at.resize(test.output.heartbeats.size(), now);
     }
-    CHECK(test.output.behind == 1);
+    CHECK(test.output.lagging == 1);
     CHECK(test.output.silent == 0);
     CHECK_FALSE(test.client.replica());
   }
@@ -387,7 +392,7 @@
       const Instant now = kStart + milliseconds(200) * turn;
       FleetState fleet;
       fleet.revision = turn;
-      test.client.on_message(kReplica, whole(fleet), now);
+      test.client.on_message(kReplica, make_snapshot(fleet), now);
       test.client.on_message(kReplica, TargetHealthUpdate{turn, {}}, now);
       test.client.on_tick(0, now);
     }
@@ -412,7 +417,7 @@
     std::map<Endpoint, int> chosen;
     for (std::uint16_t port = 1; port <= 90; ++port) {
       Observer test{{kReplica, kOther, kThird}, port};
-      ++chosen[settle(test, {{kReplica, ""}, {kOther, ""}, {kThird, ""}})];
+      ++chosen[run_until_settled(test, {{kReplica, ""}, {kOther, ""}, {kThird, ""}})];
     }
     for (const Endpoint& replica : {kReplica, kOther, kThird}) {
       CHECK(chosen[replica] >= 20);
@@ -423,7 +428,7 @@
     std::map<Endpoint, int> chosen;
     for (std::uint16_t port = 1; port <= 90; ++port) {
       Observer test{{kReplica, kOther, kThird}, port};
-      ++chosen[settle(test, {{kReplica, "y"}, {kOther, "z"}, {kThird, "z"}})];
+      ++chosen[run_until_settled(test, {{kReplica, "y"}, {kOther, "z"}, {kThird, "z"}})];
     }
     CHECK(chosen[kReplica] == 0);
     CHECK(chosen[kOther] >= 30);
@@ -459,7 +464,7 @@
 
   TEST_CASE("a silent replica keeps nobody from the one where it should be") {
     Observer test{{kReplica, kOther, kThird}};
-    CHECK(settle(test, {{kReplica, "y"}, {kOther, "z"}}) == kOther);
+    CHECK(run_until_settled(test, {{kReplica, "y"}, {kOther, "z"}}) == kOther);
   }
 
   TEST_CASE("an observer follows the replicas that a current replica names, and new seeds") {
@@ -471,10 +476,10 @@
     reply.replicas = {kNew};
     test.client.on_message(kReplica, reply, kStart);
     test.client.on_tick(0, kStart + std::chrono::seconds(1));
-    CHECK(std::count(test.output.asked.begin(), test.output.asked.end(), kNew) == 1);
+    CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kNew) == 1);
     test.client.set_seeds({kSeed});
     test.client.on_tick(0, kStart + std::chrono::seconds(3));
-    CHECK(test.output.asked.back() == kSeed);
+    CHECK(test.output.recipients.back() == kSeed);
   }
 }
 
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -72,7 +72,7 @@
   TEST_CASE("datagrams from callers never reach another service's target") {
     BalancerFixture test;
     ProxyHeader header;
-    header.flow = {kCaller, kFirstService};
+    header.flow = {kClient, kFirstService};
     const Bytes valid = encode_proxy_datagram(header, encode_coap(rich_request()));
     fuzz(valid, [&](const Bytes& datagram) {
       test.balancer.on_datagram(datagram, test.now);
@@ -81,7 +81,7 @@
         CHECK(sent.target == (first ? kFirstTarget : kSecondTarget));
       }
       test.output.to_target.clear();
-      test.output.to_caller.clear();
+      test.output.to_client.clear();
     });
   }
 
@@ -93,7 +93,7 @@
     ProxyHeader header = sent.header;
     header.target = sent.target;
     header.request_id->incarnation = kIncarnation;
-    const Bytes valid = encode_proxy_datagram(header, encode_coap(make_answer(request, "x")));
+    const Bytes valid = encode_proxy_datagram(header, encode_coap(make_response(request, "x")));
     fuzz(valid, [&](const Bytes& datagram) {
       test.balancer.on_datagram(datagram, test.now);
       test.output.to_target.clear();
@@ -105,7 +105,7 @@
     Envelope sender("c", {{"key-0123456789abcdef"}}, kSelf, 1);
     Envelope receiver("c", {{"key-0123456789abcdef"}}, kSelf, 1);
     TakeoverChunk chunk;
-    chunk.state.pins.push_back({{kCaller, kFirstService}, kFirstTarget, 5});
+    chunk.state.flow_records.push_back({{kClient, kFirstService}, kFirstTarget, 5});
     chunk.state.requests.emplace_back();
     const Bytes sealed = sender.seal(PeerMessage(chunk));
     std::uint64_t opened = 0;
--- a/tests/unit/test_state_freshness.cc
+++ b/tests/unit/test_state_freshness.cc
@@ -14,44 +14,44 @@
 TEST_SUITE("state_freshness") {
   TEST_CASE("nothing is confirmed before the first answer") {
     StateFreshness freshness;
-    freshness.on_in_force(7);
+    freshness.on_applied(7);
     CHECK_FALSE(freshness.confirmed_at());
-    CHECK(freshness.awaited() == 0);
+    CHECK(freshness.pending() == 0);
   }
 
   TEST_CASE("an answer confirms the state as of the question, not as of its arrival") {
     StateFreshness freshness;
-    freshness.on_in_force(7);
-    freshness.on_answer(kStart, 7);
+    freshness.on_applied(7);
+    freshness.on_current_reply(kStart, 7);
     CHECK(freshness.confirmed_at() == kStart);
     // An answer to an earlier question that comes late takes nothing back.
-    freshness.on_answer(kStart - milliseconds(500), 7);
+    freshness.on_current_reply(kStart - milliseconds(500), 7);
     CHECK(freshness.confirmed_at() == kStart);
   }
 
   TEST_CASE("an answer about a newer revision confirms once that is in force") {
     StateFreshness freshness;
-    freshness.on_in_force(7);
-    freshness.on_answer(kStart, 7);
-    freshness.on_answer(kStart + milliseconds(500), 9);
-    freshness.on_answer(kStart + milliseconds(1000), 12);
+    freshness.on_applied(7);
+    freshness.on_current_reply(kStart, 7);
+    freshness.on_current_reply(kStart + milliseconds(500), 9);
+    freshness.on_current_reply(kStart + milliseconds(1000), 12);
     CHECK(freshness.confirmed_at() == kStart);
-    CHECK(freshness.awaited() == 9);
-    freshness.on_in_force(8);
+    CHECK(freshness.pending() == 9);
+    freshness.on_applied(8);
     CHECK(freshness.confirmed_at() == kStart);
-    freshness.on_in_force(10);
+    freshness.on_applied(10);
     CHECK(freshness.confirmed_at() == kStart + milliseconds(500));
-    CHECK(freshness.awaited() == 0);
+    CHECK(freshness.pending() == 0);
   }
 
   TEST_CASE("a state that was given up is not confirmed by what confirmed it before") {
     StateFreshness freshness;
-    freshness.on_in_force(7);
-    freshness.on_answer(kStart, 7);
-    freshness.on_in_force(0);
-    freshness.on_answer(kStart + milliseconds(500), 7);
+    freshness.on_applied(7);
+    freshness.on_current_reply(kStart, 7);
+    freshness.on_applied(0);
+    freshness.on_current_reply(kStart + milliseconds(500), 7);
     CHECK(freshness.confirmed_at() == kStart);
-    CHECK(freshness.awaited() == 7);
+    CHECK(freshness.pending() == 7);
   }
 }
 
--- a/tests/unit/test_target_board.cc
+++ b/tests/unit/test_target_table.cc
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 #include "core/balancer/balancer_state.h"
-#include "core/balancer/target_board.h"
+#include "core/balancer/target_table.h"
 
 namespace gorsevalve {
 namespace {
@@ -11,39 +11,39 @@
 
 }  // namespace
 
-TEST_SUITE("target_board") {
+TEST_SUITE("target_table") {
   TEST_CASE("one failed poll is not believed, three are, and one success brings it back") {
-    TargetBoard board;
+    TargetTable board;
     const TargetReport failed{kTarget, false, 0, 0};
-    CHECK_FALSE(board.report(failed, kStart));
-    CHECK_FALSE(board.report(failed, kStart));
+    CHECK_FALSE(board.on_report(failed, kStart));
+    CHECK_FALSE(board.on_report(failed, kStart));
     CHECK(board.at(kTarget).healthy);
-    CHECK(board.report(failed, kStart));
+    CHECK(board.on_report(failed, kStart));
     CHECK_FALSE(board.at(kTarget).healthy);
-    board.report({kTarget, true, 0, 0}, kStart);
+    board.on_report({kTarget, true, 0, 0}, kStart);
     CHECK(board.at(kTarget).healthy);
   }
 
   TEST_CASE("a refusal halves the window once for a burst, answers widen it again") {
-    TargetBoard board;
+    TargetTable board;
     board.at(kTarget).window = 8;
-    board.on_answer(kTarget, true, kStart);
-    board.on_answer(kTarget, true, kStart + std::chrono::milliseconds(1));
+    board.on_response(kTarget, true, kStart);
+    board.on_response(kTarget, true, kStart + std::chrono::milliseconds(1));
     CHECK(board.at(kTarget).window == doctest::Approx(4));
     for (int i = 0; i < 4; ++i) {
-      board.on_answer(kTarget, false, kStart);
+      board.on_response(kTarget, false, kStart);
     }
     CHECK(board.at(kTarget).window > 4.8);
     CHECK(board.at(kTarget).window < 5.0);
   }
 
   TEST_CASE("room is the window less what is outstanding") {
-    TargetBoard board;
+    TargetTable board;
     board.at(kTarget).window = 2.5;
     board.at(kTarget).outstanding = 1;
-    CHECK(board.has_room(kTarget));
+    CHECK(board.has_capacity(kTarget));
     board.at(kTarget).outstanding = 2;
-    CHECK_FALSE(board.has_room(kTarget));
+    CHECK_FALSE(board.has_capacity(kTarget));
   }
 
   TEST_CASE("the retry budget is a share of the requests") {
