--- a/src/codec/archive.h
+++ b/src/codec/archive.h
@@ -107,7 +107,7 @@
   using is_saving = boost::mpl::bool_<false>;  // NOLINT: names fixed by the Archive concept
   using is_loading = boost::mpl::bool_<true>;  // NOLINT
 
-  explicit ArchiveReader(ByteView bytes) : rest_(bytes) {}
+  explicit ArchiveReader(ByteView bytes) : remaining_(bytes) {}
 
   template <typename T>
   ArchiveReader& operator>>(T& value) {
@@ -122,13 +122,13 @@
   }
 
   [[nodiscard]] bool failed() const { return failed_; }
-  [[nodiscard]] bool at_end() const { return rest_.empty(); }
+  [[nodiscard]] bool at_end() const { return remaining_.empty(); }
 
  private:
   template <typename T>
   void load(T& value) {
     if constexpr (std::is_integral_v<T> && sizeof(T) == 1) {
-      value = static_cast<T>(load_octet());
+      value = static_cast<T>(load_byte());
     } else if constexpr (std::is_enum_v<T>) {
       std::underlying_type_t<T> raw{};
       load(raw);
@@ -141,8 +141,8 @@
       value = static_cast<T>(std::bit_cast<double>(load_varint(~std::uint64_t{0})));
     } else if constexpr (std::is_same_v<T, std::string> || std::is_same_v<T, Bytes>) {
       const std::size_t size = load_length();
-      value.assign(rest_.begin(), rest_.begin() + static_cast<std::ptrdiff_t>(size));
-      rest_ = rest_.subspan(size);
+      value.assign(remaining_.begin(), remaining_.begin() + static_cast<std::ptrdiff_t>(size));
+      remaining_ = remaining_.subspan(size);
     } else if constexpr (archive_internal::IsVector<T>::value) {
       load_vector(value);
     } else if constexpr (archive_internal::IsOptional<T>::value) {
@@ -167,20 +167,20 @@
     }
   }
 
-  std::uint8_t load_octet() {
-    if (rest_.empty()) {
+  std::uint8_t load_byte() {
+    if (remaining_.empty()) {
       failed_ = true;
       return 0;
     }
-    const std::uint8_t octet = rest_.front();
-    rest_ = rest_.subspan(1);
+    const std::uint8_t octet = remaining_.front();
+    remaining_ = remaining_.subspan(1);
     return octet;
   }
 
   std::uint64_t load_varint(std::uint64_t maximum) {
     std::uint64_t value = 0;
     for (unsigned shift = 0; shift < 64; shift += 7) {
-      const std::uint8_t octet = load_octet();
+      const std::uint8_t octet = load_byte();
       value |= std::uint64_t{octet & 0x7FU} << shift;
       if ((octet & 0x80U) == 0) {
         failed_ = failed_ || value > maximum;
@@ -194,14 +194,14 @@
   /// A length that is not more than the octets that are left; 0 after a failure.
   std::size_t load_length() {
     const std::uint64_t size = load_varint(~std::uint64_t{0});
-    if (size > rest_.size()) {
+    if (size > remaining_.size()) {
       failed_ = true;
       return 0;
     }
     return size;
   }
 
-  ByteView rest_;
+  ByteView remaining_;
   bool failed_ = false;
 };
 
--- a/src/codec/coap.cc
+++ b/src/codec/coap.cc
@@ -35,9 +35,10 @@
   return coap_decode_var_bytes(value.data(), static_cast<unsigned>(value.size()));
 }
 
-Block decode_block(ByteView value) {
+BlockOption decode_block(ByteView value) {
   const std::uint32_t number = option_uint(value);
-  return Block{number >> 4U, (number & 0x08U) != 0, static_cast<std::uint8_t>(number & 0x07U)};
+  return BlockOption{number >> 4U, (number & 0x08U) != 0,
+                     static_cast<std::uint8_t>(number & 0x07U)};
 }
 
 /// Stores one option; false when its value is out of the bounds of its definition.
@@ -101,7 +102,7 @@
   std::uint16_t last_number_ = 0;
 };
 
-std::uint32_t block_value(const Block& block) {
+std::uint32_t encode_block(const BlockOption& block) {
   return (block.number << 4U) | (block.more ? 0x08U : 0U) | block.size_exponent;
 }
 
@@ -155,7 +156,7 @@
   }
   const coap_bin_const_t token = coap_pdu_get_token(state_->pdu);
   summary.token.length = static_cast<std::uint8_t>(token.length);
-  std::memcpy(summary.token.octets.data(), token.s, token.length);
+  std::memcpy(summary.token.bytes.data(), token.s, token.length);
   if (summary.code == coap_code::kEmpty) {
     return summary;
   }
@@ -215,8 +216,8 @@
   out.push_back(message.code);
   out.push_back(static_cast<std::uint8_t>(message.message_id >> 8U));
   out.push_back(static_cast<std::uint8_t>(message.message_id & 0xFFU));
-  out.insert(out.end(), message.token.octets.begin(),
-             message.token.octets.begin() + message.token.length);
+  out.insert(out.end(), message.token.bytes.begin(),
+             message.token.bytes.begin() + message.token.length);
   OptionWriter options(out);
   if (message.observe) {
     options.add_uint(COAP_OPTION_OBSERVE, *message.observe);
@@ -231,7 +232,7 @@
     options.add_text(COAP_OPTION_URI_QUERY, query);
   }
   if (message.block2) {
-    options.add_uint(COAP_OPTION_BLOCK2, block_value(*message.block2));
+    options.add_uint(COAP_OPTION_BLOCK2, encode_block(*message.block2));
   }
   if (!message.payload.empty()) {
     out.push_back(kPayloadMarker);
@@ -286,7 +287,7 @@
 }
 
 Bytes encode_verdict(const Verdict& verdict, CoapType request_type, std::uint16_t message_id,
-                     const Token& token) {
+                     const CoapToken& token) {
   CoapMessage message;
   message.type = request_type == CoapType::kConfirmable ? CoapType::kAcknowledgement
                                                         : CoapType::kNonConfirmable;
@@ -298,7 +299,7 @@
   return encode_coap(message);
 }
 
-Bytes encode_empty(CoapType type, std::uint16_t message_id) {
+Bytes encode_empty_message(CoapType type, std::uint16_t message_id) {
   CoapMessage message;
   message.type = type;
   message.message_id = message_id;
--- a/src/codec/coap.h
+++ b/src/codec/coap.h
@@ -46,15 +46,15 @@
 }  // namespace coap_code
 
 /// Token of up to eight octets, kept inline.
-struct Token {
-  std::array<std::uint8_t, 8> octets{};
+struct CoapToken {
+  std::array<std::uint8_t, 8> bytes{};
   std::uint8_t length = 0;
 
-  friend auto operator<=>(const Token&, const Token&) = default;
+  friend auto operator<=>(const CoapToken&, const CoapToken&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    for (auto& octet : octets) {
+    for (auto& octet : bytes) {
       archive& octet;
     }
     archive& length;
@@ -62,12 +62,12 @@
 };
 
 template <typename Hasher>
-Hasher AbslHashValue(Hasher state, const Token& token) {  // NOLINT: name fixed by Abseil
-  return Hasher::combine(std::move(state), token.octets, token.length);
+Hasher AbslHashValue(Hasher state, const CoapToken& token) {  // NOLINT: name fixed by Abseil
+  return Hasher::combine(std::move(state), token.bytes, token.length);
 }
 
 /// Block number, more flag and size exponent of a Block1 or Block2 option (RFC 7959 section 2.2).
-struct Block {
+struct BlockOption {
   std::uint32_t number = 0;
   bool more = false;
   std::uint8_t size_exponent = 0;
@@ -78,11 +78,11 @@
   CoapType type = CoapType::kConfirmable;
   std::uint8_t code = 0;
   std::uint16_t message_id = 0;
-  Token token;
+  CoapToken token;
   /// Observe value; in requests 0 registers and 1 deregisters.
   std::optional<std::uint32_t> observe;
-  std::optional<Block> block1;
-  std::optional<Block> block2;
+  std::optional<BlockOption> block1;
+  std::optional<BlockOption> block2;
   /// Max-Age in seconds.
   std::optional<std::uint32_t> max_age;
   /// Hash of the Uri-Path, as coap_path_hash gives it for the same path.
@@ -135,12 +135,12 @@
   CoapType type = CoapType::kConfirmable;
   std::uint8_t code = 0;
   std::uint16_t message_id = 0;
-  Token token;
+  CoapToken token;
   std::optional<std::uint32_t> observe;
   std::vector<std::string> path;
   std::optional<std::uint32_t> max_age;
   std::vector<std::string> queries;
-  std::optional<Block> block2;
+  std::optional<BlockOption> block2;
   Bytes payload;
 };
 
@@ -161,9 +161,9 @@
 /// The answer that tells a caller of a verdict: 5.03 with Max-Age for "not run", 5.04 with Max-Age
 /// for "may have run"; piggybacked when the request was confirmable.
 Bytes encode_verdict(const Verdict& verdict, CoapType request_type, std::uint16_t message_id,
-                     const Token& token);
+                     const CoapToken& token);
 
 /// An empty message (acknowledgement or reset) for a message id.
-Bytes encode_empty(CoapType type, std::uint16_t message_id);
+Bytes encode_empty_message(CoapType type, std::uint16_t message_id);
 
 }  // namespace gorsevalve
--- a/src/codec/compression.cc
+++ b/src/codec/compression.cc
@@ -10,9 +10,9 @@
 /// The size of the plain body, little endian.
 constexpr std::size_t kSizeField = 4;
 /// zlib's fastest level: settings repeat themselves so much that more effort gains little.
-constexpr int kLevel = 1;
+constexpr int kZlibLevel = 1;
 /// No input gives more than this many times its size (zlib's own bound is about 1032).
-constexpr std::size_t kMaxExpansion = 1100;
+constexpr std::size_t kMaxExpansionRatio = 1100;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   Bytes out(kSizeField + size);
   const auto plain_size = static_cast<std::uint32_t>(plain.size());
   std::memcpy(out.data(), &plain_size, kSizeField);
-  ::compress2(out.data() + kSizeField, &size, plain.data(), plain.size(), kLevel);
+  ::compress2(out.data() + kSizeField, &size, plain.data(), plain.size(), kZlibLevel);
   out.resize(kSizeField + size);
   return out;
 }
@@ -32,7 +32,7 @@
     return std::nullopt;
   }
   std::memcpy(&plain_size, compressed.data(), kSizeField);
-  if (plain_size > max_size || plain_size > compressed.size() * kMaxExpansion) {
+  if (plain_size > max_size || plain_size > compressed.size() * kMaxExpansionRatio) {
     return std::nullopt;
   }
   Bytes plain(plain_size);
--- a/src/codec/compression.h
+++ b/src/codec/compression.h
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 
 /// Smaller bodies go as they are: little is gained.
-constexpr std::size_t kMinCompressedBody = 1024;
+constexpr std::size_t kMinBodySizeToCompress = 1024;
 
 Bytes compress(ByteView plain);
 
--- a/src/codec/envelope.cc
+++ b/src/codec/envelope.cc
@@ -15,17 +15,17 @@
 constexpr std::array<std::uint8_t, 3> kMagic = {'G', 'V', 'M'};
 constexpr std::uint8_t kVersion = 9;
 /// Set in the type of a message whose body is compressed.
-constexpr std::uint8_t kCompressed = 0x80;
+constexpr std::uint8_t kCompressedFlag = 0x80;
 constexpr std::size_t kHeaderSize = 36;
-constexpr std::size_t kCodeSize = std::tuple_size_v<MessageCode>;
+constexpr std::size_t kMacSize = std::tuple_size_v<MessageMac>;
 
-void put(Bytes& out, std::uint64_t value, std::size_t size) {
+void append_big_endian(Bytes& out, std::uint64_t value, std::size_t size) {
   for (std::size_t i = size; i > 0; --i) {
     out.push_back(static_cast<std::uint8_t>(value >> (8U * (i - 1))));
   }
 }
 
-std::uint64_t get(ByteView bytes, std::size_t offset, std::size_t size) {
+std::uint64_t read_big_endian(ByteView bytes, std::size_t offset, std::size_t size) {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < size; ++i) {
     value = (value << 8U) | bytes[offset + i];
@@ -54,7 +54,7 @@
 }
 
 /// A replica message's sender and term, 8 octets each, go before its body.
-std::optional<ReplicaMessage> decode_replica(std::size_t type, ByteView body) {
+std::optional<ReplicaMessage> decode_replica_message(std::size_t type, ByteView body) {
   constexpr std::size_t kPrefixSize = 16;
   if (body.size() < kPrefixSize) {
     return std::nullopt;
@@ -64,16 +64,17 @@
   if (!decoded) {
     return std::nullopt;
   }
-  return ReplicaMessage{get(body, 0, 8), get(body, 8, 8), std::move(*decoded)};
+  return ReplicaMessage{read_big_endian(body, 0, 8), read_big_endian(body, 8, 8),
+                        std::move(*decoded)};
 }
 
 /// Compresses large bodies.
-EncodedMessage encoded(MessageKind kind, std::size_t type, Bytes body) {
+EncodedMessage make_encoded_message(MessageKind kind, std::size_t type, Bytes body) {
   const auto plain_type = static_cast<std::uint8_t>(type);
-  if (body.size() < kMinCompressedBody) {
+  if (body.size() < kMinBodySizeToCompress) {
     return {kind, plain_type, std::move(body)};
   }
-  return {kind, static_cast<std::uint8_t>(plain_type | kCompressed), compress(body)};
+  return {kind, static_cast<std::uint8_t>(plain_type | kCompressedFlag), compress(body)};
 }
 
 }  // namespace
@@ -114,94 +115,95 @@
       self_(self),
       incarnation_(incarnation) {
   for (const auto& key : keys.keys) {
-    coders_.emplace_back(key);
+    authenticators_.emplace_back(key);
   }
 }
 
-bool Envelope::looks_sealed(ByteView datagram) {
-  return datagram.size() >= kHeaderSize + kCodeSize &&
+bool Envelope::has_envelope_magic(ByteView datagram) {
+  return datagram.size() >= kHeaderSize + kMacSize &&
          std::equal(kMagic.begin(), kMagic.end(), datagram.begin());
 }
 
 EncodedMessage encode_message(const NodeMessage& message) {
-  return encoded(MessageKind::kNode, message.index(), encode_alternative(message));
+  return make_encoded_message(MessageKind::kNode, message.index(), encode_alternative(message));
 }
 
 Bytes Envelope::seal(const EncodedMessage& message) {
   Bytes out;
-  out.reserve(kHeaderSize + message.body.size() + kCodeSize);
+  out.reserve(kHeaderSize + message.body.size() + kMacSize);
   out.assign(kMagic.begin(), kMagic.end());
   out.push_back(kVersion);
   out.push_back(static_cast<std::uint8_t>(message.kind));
   out.push_back(message.type);
-  put(out, self_.address, 4);
-  put(out, self_.port, 2);
-  put(out, incarnation_, 8);
-  put(out, ++sequence_, 8);
-  put(out, cluster_, 8);
+  append_big_endian(out, self_.address, 4);
+  append_big_endian(out, self_.port, 2);
+  append_big_endian(out, incarnation_, 8);
+  append_big_endian(out, ++sequence_, 8);
+  append_big_endian(out, cluster_, 8);
   out.insert(out.end(), message.body.begin(), message.body.end());
-  const MessageCode code = coders_.front().code(out);
+  const MessageMac code = authenticators_.front().compute(out);
   out.insert(out.end(), code.begin(), code.end());
   return out;
 }
 
 Bytes Envelope::seal(const PeerMessage& message) {
-  return seal(encoded(MessageKind::kPeer, message.index(), encode_alternative(message)));
+  return seal(
+      make_encoded_message(MessageKind::kPeer, message.index(), encode_alternative(message)));
 }
 
 Bytes Envelope::seal(const NodeMessage& message) { return seal(encode_message(message)); }
 
 Bytes Envelope::seal(const ReplicaMessage& message) {
   Bytes body;
-  put(body, message.from, 8);
-  put(body, message.term, 8);
+  append_big_endian(body, message.from, 8);
+  append_big_endian(body, message.term, 8);
   const Bytes rest = encode_alternative(message.body);
   body.insert(body.end(), rest.begin(), rest.end());
-  return seal(encoded(MessageKind::kReplica, message.body.index(), std::move(body)));
+  return seal(make_encoded_message(MessageKind::kReplica, message.body.index(), std::move(body)));
 }
 
-bool Envelope::has_valid_code(ByteView sealed) {
-  const ByteView signed_part = sealed.first(sealed.size() - kCodeSize);
-  const ByteView code = sealed.last(kCodeSize);
-  return std::any_of(coders_.begin(), coders_.end(),
-                     [&](MessageCoder& coder) { return coder.matches(signed_part, code); });
+bool Envelope::has_valid_mac(ByteView sealed) {
+  const ByteView signed_part = sealed.first(sealed.size() - kMacSize);
+  const ByteView code = sealed.last(kMacSize);
+  return std::any_of(authenticators_.begin(), authenticators_.end(),
+                     [&](MessageAuthenticator& coder) { return coder.verify(signed_part, code); });
 }
 
 tl::expected<OpenedMessage, EnvelopeError> Envelope::open(ByteView sealed) {
-  if (!looks_sealed(sealed) || sealed.size() > kMaxEnvelopeSize) {
+  if (!has_envelope_magic(sealed) || sealed.size() > kMaxEnvelopeSize) {
     return tl::unexpected(EnvelopeError::kMalformed);
   }
   if (sealed[3] != kVersion) {
-    return tl::unexpected(EnvelopeError::kVersion);
+    return tl::unexpected(EnvelopeError::kUnsupportedVersion);
   }
-  if (get(sealed, 28, 8) != cluster_) {
-    return tl::unexpected(EnvelopeError::kForeignCluster);
+  if (read_big_endian(sealed, 28, 8) != cluster_) {
+    return tl::unexpected(EnvelopeError::kWrongCluster);
   }
-  if (!has_valid_code(sealed)) {
-    return tl::unexpected(EnvelopeError::kForged);
+  if (!has_valid_mac(sealed)) {
+    return tl::unexpected(EnvelopeError::kAuthenticationFailed);
   }
   OpenedMessage opened;
   opened.kind = static_cast<MessageKind>(sealed[4]);
-  opened.sender = {static_cast<std::uint32_t>(get(sealed, 6, 4)),
-                   static_cast<std::uint16_t>(get(sealed, 10, 2))};
+  opened.sender = {static_cast<std::uint32_t>(read_big_endian(sealed, 6, 4)),
+                   static_cast<std::uint16_t>(read_big_endian(sealed, 10, 2))};
   Sender& sender = senders_[opened.sender];
-  const std::uint64_t incarnation = get(sealed, 12, 8);
+  const std::uint64_t incarnation = read_big_endian(sealed, 12, 8);
   if (sender.incarnation != incarnation) {
     sender = Sender{incarnation, {}};
   }
-  if (!sender.window.accept(get(sealed, 20, 8))) {
+  if (!sender.window.accept(read_big_endian(sealed, 20, 8))) {
     return tl::unexpected(EnvelopeError::kReplayed);
   }
-  ByteView body = sealed.subspan(kHeaderSize, sealed.size() - kHeaderSize - kCodeSize);
+  ByteView body = sealed.subspan(kHeaderSize, sealed.size() - kHeaderSize - kMacSize);
   std::optional<Bytes> plain;
-  if ((sealed[5] & kCompressed) != 0) {
+  if ((sealed[5] & kCompressedFlag) != 0) {
     plain = decompress(body, kMaxEnvelopeSize);
     if (!plain) {
       return tl::unexpected(EnvelopeError::kMalformed);
     }
     body = *plain;
   }
-  const auto type = static_cast<std::uint8_t>(sealed[5] & ~kCompressed);
+  const auto type = static_cast<std::uint8_t>(sealed[5] & ~kCompressedFlag);
   const auto keep = [&](auto decoded) {
     if (decoded) {
       opened.message = std::move(*decoded);
@@ -212,7 +214,7 @@
   if (opened.kind == MessageKind::kPeer) {
     decoded = keep(decode_alternative<PeerMessage>(type, body));
   } else if (opened.kind == MessageKind::kReplica) {
-    decoded = keep(decode_replica(type, body));
+    decoded = keep(decode_replica_message(type, body));
   } else if (opened.kind == MessageKind::kNode) {
     decoded = keep(decode_alternative<NodeMessage>(type, body));
   }
--- a/src/codec/envelope.h
+++ b/src/codec/envelope.h
@@ -19,7 +19,7 @@
 #include <tl/expected.hpp>
 #include <vector>
 
-#include "codec/message_code.h"
+#include "codec/message_authentication.h"
 #include "core/balancer/peer_messages.h"
 #include "core/control/node_messages.h"
 #include "core/control/replica_messages.h"
@@ -36,9 +36,9 @@
 /// Why a message was dropped.
 enum class EnvelopeError : std::uint8_t {
   kMalformed = 0,
-  kVersion = 1,
-  kForeignCluster = 2,
-  kForged = 3,
+  kUnsupportedVersion = 1,
+  kWrongCluster = 2,
+  kAuthenticationFailed = 3,
   kReplayed = 4,
 };
 
@@ -83,7 +83,7 @@
   [[nodiscard]] tl::expected<OpenedMessage, EnvelopeError> open(ByteView sealed);
 
   /// True when the datagram begins like an envelope; PROXY headers never do.
-  [[nodiscard]] static bool looks_sealed(ByteView datagram);
+  [[nodiscard]] static bool has_envelope_magic(ByteView datagram);
 
  private:
   /// Sequence numbers of one sender that were seen (RFC 4303 section 3.4.3 describes the window).
@@ -99,11 +99,11 @@
     ReplayWindow window;
   };
 
-  [[nodiscard]] bool has_valid_code(ByteView sealed);
+  [[nodiscard]] bool has_valid_mac(ByteView sealed);
 
   std::uint64_t cluster_;
   /// One for each key, the first one for sending.
-  std::vector<MessageCoder> coders_;
+  std::vector<MessageAuthenticator> authenticators_;
   Endpoint self_;
   std::uint64_t incarnation_;
   std::uint64_t sequence_ = 0;
--- a/src/codec/message_code.cc
+++ b/src/codec/message_authentication.cc
@@ -1,4 +1,4 @@
-#include "codec/message_code.h"
+#include "codec/message_authentication.h"
 
 #include <openssl/core_names.h>
 #include <openssl/crypto.h>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-MessageCoder::MessageCoder(const std::string& key) {
+MessageAuthenticator::MessageAuthenticator(const std::string& key) {
   initialize_openssl();
   EVP_MAC* algorithm = EVP_MAC_fetch(nullptr, "HMAC", nullptr);
   context_.reset(EVP_MAC_CTX_new(algorithm));
@@ -34,19 +34,19 @@
                parameters.data());
 }
 
-MessageCode MessageCoder::code(ByteView message) {
+MessageMac MessageAuthenticator::compute(ByteView message) {
   std::array<std::uint8_t, EVP_MAX_MD_SIZE> digest{};
   std::size_t size = 0;
   EVP_MAC_init(context_.get(), nullptr, 0, nullptr);
   EVP_MAC_update(context_.get(), message.data(), message.size());
   EVP_MAC_final(context_.get(), digest.data(), &size, digest.size());
-  MessageCode code{};
+  MessageMac code{};
   std::copy_n(digest.begin(), code.size(), code.begin());
   return code;
 }
 
-bool MessageCoder::matches(ByteView message, ByteView expected) {
-  const MessageCode own = code(message);
+bool MessageAuthenticator::verify(ByteView message, ByteView expected) {
+  const MessageMac own = compute(message);
   return expected.size() == own.size() &&
          CRYPTO_memcmp(own.data(), expected.data(), own.size()) == 0;
 }
--- a/src/codec/message_code.h
+++ b/src/codec/message_authentication.h
@@ -12,23 +12,23 @@
 
 namespace gorsevalve {
 
-using MessageCode = std::array<std::uint8_t, 16>;
+using MessageMac = std::array<std::uint8_t, 16>;
 
 /// One key, prepared once: looking the algorithm up for each message costs more than the message.
-class MessageCoder {
+class MessageAuthenticator {
  public:
-  explicit MessageCoder(const std::string& key);
+  explicit MessageAuthenticator(const std::string& key);
 
-  [[nodiscard]] MessageCode code(ByteView message);
+  [[nodiscard]] MessageMac compute(ByteView message);
   /// Compares in constant time.
-  [[nodiscard]] bool matches(ByteView message, ByteView code);
+  [[nodiscard]] bool verify(ByteView message, ByteView code);
 
  private:
-  struct Free {
+  struct ContextDeleter {
     void operator()(EVP_MAC_CTX* context) const { EVP_MAC_CTX_free(context); }
   };
 
-  std::unique_ptr<EVP_MAC_CTX, Free> context_;
+  std::unique_ptr<EVP_MAC_CTX, ContextDeleter> context_;
 };
 
 }  // namespace gorsevalve
--- a/src/codec/proxy_header.cc
+++ b/src/codec/proxy_header.cc
@@ -9,10 +9,10 @@
 constexpr std::array<std::uint8_t, 12> kSignature = {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D,
                                                      0x0A, 0x51, 0x55, 0x49, 0x54, 0x0A};
 constexpr std::uint8_t kVersionAndProxyCommand = 0x21;
-constexpr std::uint8_t kInetDatagram = 0x12;
+constexpr std::uint8_t kUdpOverIpv4 = 0x12;
 constexpr std::size_t kFixedSize = 16;
-constexpr std::size_t kInetAddressSize = 12;
-constexpr std::size_t kExtensionHeaderSize = 3;
+constexpr std::size_t kIpv4AddressBlockSize = 12;
+constexpr std::size_t kTlvHeaderSize = 3;
 constexpr std::uint8_t kTypeUniqueId = 0x05;
 constexpr std::uint8_t kTypeTarget = 0xE0;
 constexpr std::uint8_t kTypeRelay = 0xE1;
@@ -32,9 +32,9 @@
 }
 
 /// Appends big-endian integers to a buffer that is large enough.
-class Writer {
+class BigEndianWriter {
  public:
-  explicit Writer(std::uint8_t* out) : begin_(out), position_(out) {}
+  explicit BigEndianWriter(std::uint8_t* out) : begin_(out), position_(out) {}
 
   void write(std::uint64_t value, std::size_t size) {
     for (std::size_t i = size; i > 0; --i) {
@@ -42,7 +42,7 @@
     }
   }
 
-  void write_extension_header(std::uint8_t type, std::size_t size) {
+  void write_tlv_header(std::uint8_t type, std::size_t size) {
     write(type, 1);
     write(size, 2);
   }
@@ -60,7 +60,7 @@
 }
 
 /// Stores one extension in the header; false when its length is wrong.
-bool apply_extension(std::uint8_t type, ByteView value, ProxyHeader& header) {
+bool apply_tlv(std::uint8_t type, ByteView value, ProxyHeader& header) {
   switch (type) {
     case kTypeUniqueId:
       if (value.size() != kUniqueIdSize) {
@@ -79,7 +79,7 @@
       if (value.size() != kRelaySize) {
         return false;
       }
-      header.relay = RelayMark{value[0], read_big_endian(value.data() + 1, 8)};
+      header.relay = RelayInfo{value[0], read_big_endian(value.data() + 1, 8)};
       return true;
     case kTypeTimeLeft:
       if (value.size() != kTimeLeftSize) {
@@ -93,18 +93,18 @@
   }
 }
 
-bool decode_extensions(ByteView extensions, ProxyHeader& header) {
+bool decode_tlvs(ByteView extensions, ProxyHeader& header) {
   while (!extensions.empty()) {
-    if (extensions.size() < kExtensionHeaderSize) {
+    if (extensions.size() < kTlvHeaderSize) {
       return false;
     }
     const std::uint8_t type = extensions[0];
     const std::size_t size = read_big_endian(extensions.data() + 1, 2);
-    extensions = extensions.subspan(kExtensionHeaderSize);
+    extensions = extensions.subspan(kTlvHeaderSize);
     if (extensions.size() < size) {
       return false;
     }
-    if (!apply_extension(type, extensions.first(size), header)) {
+    if (!apply_tlv(type, extensions.first(size), header)) {
       return false;
     }
     extensions = extensions.subspan(size);
@@ -112,24 +112,24 @@
   return true;
 }
 
-void write_extensions(const ProxyHeader& header, Writer& writer) {
+void write_tlvs(const ProxyHeader& header, BigEndianWriter& writer) {
   if (header.request_id) {
-    writer.write_extension_header(kTypeUniqueId, kUniqueIdSize);
+    writer.write_tlv_header(kTypeUniqueId, kUniqueIdSize);
     writer.write(header.request_id->incarnation, 8);
     writer.write(header.request_id->sequence, 8);
   }
   if (header.target) {
-    writer.write_extension_header(kTypeTarget, kTargetSize);
+    writer.write_tlv_header(kTypeTarget, kTargetSize);
     writer.write(header.target->address, 4);
     writer.write(header.target->port, 2);
   }
   if (header.relay) {
-    writer.write_extension_header(kTypeRelay, kRelaySize);
+    writer.write_tlv_header(kTypeRelay, kRelaySize);
     writer.write(header.relay->hops, 1);
     writer.write(header.relay->members_revision, 8);
   }
   if (header.time_left_ms) {
-    writer.write_extension_header(kTypeTimeLeft, kTimeLeftSize);
+    writer.write_tlv_header(kTypeTimeLeft, kTimeLeftSize);
     writer.write(*header.time_left_ms, kTimeLeftSize);
   }
 }
@@ -137,17 +137,17 @@
 }  // namespace
 
 std::optional<ProxyDatagram> decode_proxy_datagram(ByteView datagram) {
-  if (datagram.size() < kFixedSize + kInetAddressSize) {
+  if (datagram.size() < kFixedSize + kIpv4AddressBlockSize) {
     return std::nullopt;
   }
   if (std::memcmp(datagram.data(), kSignature.data(), kSignature.size()) != 0) {
     return std::nullopt;
   }
-  if (datagram[12] != kVersionAndProxyCommand || datagram[13] != kInetDatagram) {
+  if (datagram[12] != kVersionAndProxyCommand || datagram[13] != kUdpOverIpv4) {
     return std::nullopt;
   }
   const std::size_t length = read_big_endian(datagram.data() + 14, 2);
-  if (length < kInetAddressSize || datagram.size() < kFixedSize + length) {
+  if (length < kIpv4AddressBlockSize || datagram.size() < kFixedSize + length) {
     return std::nullopt;
   }
   const std::uint8_t* addresses = datagram.data() + kFixedSize;
@@ -158,8 +158,8 @@
   result.header.flow.client.port = static_cast<std::uint16_t>(read_big_endian(addresses + 8, 2));
   result.header.flow.service.port = static_cast<std::uint16_t>(read_big_endian(addresses + 10, 2));
   const ByteView extensions =
-      datagram.subspan(kFixedSize + kInetAddressSize, length - kInetAddressSize);
-  if (!decode_extensions(extensions, result.header)) {
+      datagram.subspan(kFixedSize + kIpv4AddressBlockSize, length - kIpv4AddressBlockSize);
+  if (!decode_tlvs(extensions, result.header)) {
     return std::nullopt;
   }
   result.payload = datagram.subspan(kFixedSize + length);
@@ -169,14 +169,14 @@
 std::size_t encode_proxy_header(const ProxyHeader& header, std::uint8_t* out) {
   std::memcpy(out, kSignature.data(), kSignature.size());
   out[12] = kVersionAndProxyCommand;
-  out[13] = kInetDatagram;
-  Writer writer(out + kFixedSize);
+  out[13] = kUdpOverIpv4;
+  BigEndianWriter writer(out + kFixedSize);
   writer.write(header.flow.client.address, 4);
   writer.write(header.flow.service.address, 4);
   writer.write(header.flow.client.port, 2);
   writer.write(header.flow.service.port, 2);
-  write_extensions(header, writer);
-  Writer(out + 14).write(writer.size(), 2);
+  write_tlvs(header, writer);
+  BigEndianWriter(out + 14).write(writer.size(), 2);
   return kFixedSize + writer.size();
 }
 
--- a/src/codec/proxy_header.h
+++ b/src/codec/proxy_header.h
@@ -14,7 +14,7 @@
 namespace gorsevalve {
 
 /// Marks a datagram that one balancer passed to another.
-struct RelayMark {
+struct RelayInfo {
   /// Balancers passed so far; bounded by kMaxRelayHops.
   std::uint8_t hops = 0;
   /// Membership revision of the sender when it relayed.
@@ -32,7 +32,7 @@
   /// Set on answers: the target that sent it (custom type 0xE0).
   std::optional<Endpoint> target;
   /// Set on datagrams between balancers (custom type 0xE1).
-  std::optional<RelayMark> relay;
+  std::optional<RelayInfo> relay;
   /// Set on requests to targets: milliseconds until the balancer gives the request up (custom type
   /// 0xE2). A target need not begin it later.
   std::optional<std::uint32_t> time_left_ms{};
--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -93,7 +93,7 @@
     return;
   }
   ProxyHeader relayed = header;
-  RelayMark mark = header.relay.value_or(RelayMark{});
+  RelayInfo mark = header.relay.value_or(RelayInfo{});
   if (mark.hops >= kMaxRelayHops) {
     ++counters_.datagrams_hop_limit;
     return;
@@ -123,7 +123,7 @@
   if (summary->type == CoapType::kConfirmable) {
     // A ping (RFC 7252 section 4.3).
     state_.output().send_to_client(header.flow,
-                                   encode_empty(CoapType::kReset, summary->message_id));
+                                   encode_empty_message(CoapType::kReset, summary->message_id));
     return;
   }
   response_handler_.on_client_empty(partition, header.flow, *summary, now);
@@ -242,17 +242,17 @@
   const Endpoint target = record.target;
   switch (record.state) {
     case RequestState::kRecording:
-      actions_.give_up(partition, record, Execution::kMayHaveRun, GiveUpReason::kNoBackup, now);
+      actions_.give_up(partition, record, Execution::kMayHaveRun, FailureReason::kNoBackup, now);
       return;
     case RequestState::kQueued:
-      actions_.give_up(partition, record, Execution::kNotRun, GiveUpReason::kDeadline, now);
+      actions_.give_up(partition, record, Execution::kNotRun, FailureReason::kDeadline, now);
       return;
     case RequestState::kDispatched:
       if (now < record.give_up_at) {
         actions_.resend(partition, record, now);
         return;
       }
-      actions_.give_up(partition, record, Execution::kMayHaveRun, GiveUpReason::kDeadline, now);
+      actions_.give_up(partition, record, Execution::kMayHaveRun, FailureReason::kDeadline, now);
       chain_.drain_queue(target, now);
       return;
     case RequestState::kAnswered:
--- a/src/core/balancer/balancer_state.h
+++ b/src/core/balancer/balancer_state.h
@@ -44,8 +44,8 @@
   std::uint64_t partitions_incomplete = 0;
   std::uint64_t partitions_superseded = 0;
   std::uint64_t dispatches_blocked = 0;
-  /// Verdicts by GiveUpReason.
-  std::array<std::uint64_t, kGiveUpReasons> given_up{};
+  /// Verdicts by FailureReason.
+  std::array<std::uint64_t, kFailureReasonCount> given_up{};
 };
 
 /// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
--- a/src/core/balancer/partition_store.cc
+++ b/src/core/balancer/partition_store.cc
@@ -74,7 +74,7 @@
   return find_in(by_message_, MessageKey{flow, message_id});
 }
 
-RequestRecord* PartitionStore::find_token(const FlowKey& flow, const Token& token) {
+RequestRecord* PartitionStore::find_token(const FlowKey& flow, const CoapToken& token) {
   return find_in(by_token_, TokenKey{flow, token});
 }
 
--- a/src/core/balancer/partition_store.h
+++ b/src/core/balancer/partition_store.h
@@ -40,7 +40,7 @@
 /// A token within a flow.
 struct TokenKey {
   FlowKey flow;
-  Token token;
+  CoapToken token;
 
   friend auto operator<=>(const TokenKey&, const TokenKey&) = default;
 };
@@ -72,7 +72,7 @@
   /// The request that arrived with this message id, if it is remembered.
   [[nodiscard]] RequestRecord* find_message(const FlowKey& flow, std::uint16_t message_id);
   /// The latest request of the flow with this token, if it is remembered.
-  [[nodiscard]] RequestRecord* find_token(const FlowKey& flow, const Token& token);
+  [[nodiscard]] RequestRecord* find_token(const FlowKey& flow, const CoapToken& token);
   /// Open feed of the flow whose last notification had this message id.
   [[nodiscard]] RequestRecord* find_notification(const FlowKey& flow, std::uint16_t message_id);
 
--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -71,7 +71,7 @@
 struct RequestRecord {
   FlowKey flow;
   RequestId id;
-  Token token;
+  CoapToken token;
   std::uint16_t message_id = 0;
   CoapType type = CoapType::kConfirmable;
   RequestKind kind = RequestKind::kRepeatable;
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -94,10 +94,10 @@
 }
 
 void RequestActions::give_up(Partition& partition, RequestRecord& record, Execution execution,
-                             GiveUpReason reason, Instant now) {
+                             FailureReason reason, Instant now) {
   if (record.is_outstanding()) {
     // Tell the target that nobody waits any more (RFC 7252 section 4.2: Reset).
-    send_to_target(record, encode_empty(CoapType::kReset, record.message_id), now);
+    send_to_target(record, encode_empty_message(CoapType::kReset, record.message_id), now);
     release_outstanding(record);
   }
   const ServiceView* service = state_.view()->service(record.flow.service);
--- a/src/core/balancer/request_actions.h
+++ b/src/core/balancer/request_actions.h
@@ -33,7 +33,7 @@
 
   /// Gives up on a request that has a record: answers the caller at once and remembers the verdict.
   void give_up(Partition& partition, RequestRecord& record, Execution execution,
-               GiveUpReason reason, Instant now);
+               FailureReason reason, Instant now);
 
   /// Sends the verdict that was given before.
   void repeat_verdict(const RequestRecord& record);
--- a/src/core/balancer/request_context.h
+++ b/src/core/balancer/request_context.h
@@ -20,7 +20,7 @@
   /// The request as the caller sent it.
   ByteView message;
   Instant now;
-  Token token;
+  CoapToken token;
   std::uint16_t message_id = 0;
   CoapType type = CoapType::kConfirmable;
   RequestKind kind = RequestKind::kRepeatable;
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -102,8 +102,8 @@
     return FilterStatus::kContinue;
   }
   RequestRecord& record = actions_.make_record(context, RequestState::kRecording);
-  const GiveUpReason reason =
-      has_lease ? GiveUpReason::kIncompleteTakeover : GiveUpReason::kNoLease;
+  const FailureReason reason =
+      has_lease ? FailureReason::kIncompleteTakeover : FailureReason::kNoLease;
   actions_.give_up(context.partition, record, Execution::kMayHaveRun, reason, context.now);
   return FilterStatus::kStop;
 }
@@ -163,7 +163,7 @@
         continue;
       }
       queue.erase(std::next(waiting).base());
-      actions_.give_up(partition, *record, Execution::kNotRun, GiveUpReason::kOverload, now);
+      actions_.give_up(partition, *record, Execution::kNotRun, FailureReason::kOverload, now);
       return true;
     }
   }
@@ -175,7 +175,7 @@
       context.target && state_.view()->target(context.service, *context.target) != nullptr;
   if (!exists) {
     RequestRecord& record = actions_.make_record(context, RequestState::kQueued);
-    actions_.give_up(context.partition, record, Execution::kNotRun, GiveUpReason::kNoTarget,
+    actions_.give_up(context.partition, record, Execution::kNotRun, FailureReason::kNoTarget,
                      context.now);
     return FilterStatus::kStop;
   }
@@ -187,7 +187,7 @@
   const QueuePriority own_class = queue_priority(context.kind);
   const bool full = target.queued_count() >= context.service.service->queue_limit;
   if (full && !context.continuation && !evict_lower_priority(target, own_class, context.now)) {
-    actions_.give_up(context.partition, record, Execution::kNotRun, GiveUpReason::kOverload,
+    actions_.give_up(context.partition, record, Execution::kNotRun, FailureReason::kOverload,
                      context.now);
     return FilterStatus::kStop;
   }
@@ -200,7 +200,7 @@
   RequestRecord& record = actions_.make_record(context, RequestState::kQueued);
   const bool has_lease = context.now < state_.lease_until() || state_.faults().skip_lease_check;
   if (context.kind == RequestKind::kOnceOnly && !has_lease) {
-    actions_.give_up(context.partition, record, Execution::kMayHaveRun, GiveUpReason::kNoLease,
+    actions_.give_up(context.partition, record, Execution::kMayHaveRun, FailureReason::kNoLease,
                      context.now);
     return FilterStatus::kStop;
   }
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -212,8 +212,8 @@
     return;
   }
   actions_.binding().touch(partition, flow, now);
-  actions_.send_to_target(*record, encode_empty(summary.type, record->observe_state.message_id_in),
-                          now);
+  actions_.send_to_target(
+      *record, encode_empty_message(summary.type, record->observe_state.message_id_in), now);
   if (summary.type == CoapType::kReset) {
     close_observation(partition, *record);
     actions_.delete_record(partition, *record);
--- a/src/core/control/evacuation.h
+++ b/src/core/control/evacuation.h
@@ -39,8 +39,7 @@
 /// True when the state is already what the command asks for.
 bool is_already_applied(const SteeringState& state, const EvacuationCommand& command);
 
-/// The change that a command makes to a state as revision `started_at`; nothing when it is in
-/// force.
+/// The change that a command makes to a state as revision `since`; nothing when it is in force.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const EvacuationCommand& command, Revision since);
 
--- a/src/core/link/bulk_admission.cc
+++ b/src/core/link/bulk_admission.cc
@@ -7,11 +7,11 @@
 
 /// A flow that brought nothing for this long is not counted any more: senders repeat each 1.6 s at
 /// the latest.
-constexpr Duration kSilentAfter = std::chrono::seconds(2);
+constexpr Duration kIdleTimeout = std::chrono::seconds(2);
 /// A flow that has brought what is usual may bring this much more, in octets: a window.
-constexpr double kLeastLeft = 16 * 1200;
+constexpr double kMinRemainingBytes = 16 * 1200;
 /// Share of a new size in the usual one.
-constexpr double kSmoothing = 0.05;
+constexpr double kAverageWeight = 0.05;
 /// Part of the link that bulk flows may count on; the rest is for short requests, which are never
 /// refused.
 constexpr double kBulkShare = 0.75;
@@ -19,34 +19,35 @@
 /// what takes a time on average takes twice that for many. A bound by the latency objective would
 /// serve more in time, but refuse uploads that would land, and on slow links all but one; their
 /// callers have no other way.
-constexpr int kTimeoutParts = 2;
+constexpr int kTimeoutDivisor = 2;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
 
-double BulkAdmission::left_of(const OpenFlow& flow) const {
-  return std::max(usual_size_ - flow.passed, kLeastLeft);
+double BulkAdmission::expected_remaining_bytes(const OpenFlow& flow) const {
+  return std::max(average_flow_size_ - flow.received_bytes, kMinRemainingBytes);
 }
 
-Duration BulkAdmission::time_for(double more) const {
-  if (!link_.is_known()) {
+Duration BulkAdmission::transmission_time(double more) const {
+  if (!link_.is_rate_known()) {
     return Duration::zero();
   }
   double octets = more;
   for (const auto& [key, flow] : flows_) {
-    octets += left_of(flow);
+    octets += expected_remaining_bytes(flow);
   }
   const double seconds = octets / (link_.rate() * kBulkShare);
   return Duration(static_cast<Duration::rep>(seconds * kMicrosecondsPerSecond));
 }
 
-bool BulkAdmission::admits(const SteeredFlow& flow, Duration timeout, Instant now) {
-  if (!link_.is_known() || flows_.contains(flow)) {
+bool BulkAdmission::try_admit(const SteeredFlow& flow, Duration timeout, Instant now) {
+  if (!link_.is_rate_known() || flows_.contains(flow)) {
     return true;
   }
-  const bool ends_in_vain = !flows_.empty() && time_for(usual_size_) > timeout / kTimeoutParts;
+  const bool ends_in_vain =
+      !flows_.empty() && transmission_time(average_flow_size_) > timeout / kTimeoutDivisor;
   if (ends_in_vain || flows_.size() >= kMaxFlows) {
-    ++refused_;
+    ++rejected_;
     return false;
   }
   ++admitted_;
@@ -57,25 +58,25 @@
 void BulkAdmission::on_data(const SteeredFlow& flow, std::size_t octets, Instant now) {
   const auto found = flows_.find(flow);
   if (found != flows_.end()) {
-    found->second.passed += static_cast<double>(octets);
-    found->second.last_data = now;
+    found->second.received_bytes += static_cast<double>(octets);
+    found->second.last_data_at = now;
   }
 }
 
-void BulkAdmission::on_end(const SteeredFlow& flow, bool is_whole) {
+void BulkAdmission::on_flow_end(const SteeredFlow& flow, bool is_whole) {
   const auto found = flows_.find(flow);
   if (found == flows_.end()) {
     return;
   }
-  if (is_whole && found->second.passed > 0) {
-    usual_size_ += kSmoothing * (found->second.passed - usual_size_);
+  if (is_whole && found->second.received_bytes > 0) {
+    average_flow_size_ += kAverageWeight * (found->second.received_bytes - average_flow_size_);
   }
   flows_.erase(found);
 }
 
 void BulkAdmission::on_tick(Instant now) {
   absl::erase_if(flows_,
-                 [&](const auto& one) { return now - one.second.last_data >= kSilentAfter; });
+                 [&](const auto& one) { return now - one.second.last_data >= kIdleTimeout; });
 }
 
 }  // namespace gorsevalve
--- a/src/core/link/bulk_admission.h
+++ b/src/core/link/bulk_admission.h
@@ -26,45 +26,45 @@
 
   /// What a flow is taken to bring before any has ended, in octets: two windows of 16 large
   /// packets.
-  static constexpr double kFirstGuess = 2 * 16 * 1200;
+  static constexpr double kInitialFlowSize = 2 * 16 * 1200;
 
   /// A flow wants to open whose caller waits for `timeout`. False when it would end after its
   /// caller has left: when all that is open here and this flow take the link longer than half of
   /// that. Copies of an opening that was admitted are admitted, too.
-  bool admits(const SteeredFlow& flow, Duration timeout, Instant now);
+  bool try_admit(const SteeredFlow& flow, Duration timeout, Instant now);
   /// A packet of an open flow passed, with this much data that is not a copy, in octets.
   void on_data(const SteeredFlow& flow, std::size_t octets, Instant now);
   /// The flow's caller ended it, or was told that it has ended. `is_snapshot`: the caller closed
   /// it, so its size tells of others.
-  void on_end(const SteeredFlow& flow, bool is_whole);
+  void on_flow_end(const SteeredFlow& flow, bool is_whole);
   /// Forgets flows that went silent; to be called about once a second.
   void on_tick(Instant now);
 
   /// How long the link needs for what open flows are expected to bring still.
-  [[nodiscard]] Duration committed() const { return time_for(0); }
+  [[nodiscard]] Duration expected_drain_time() const { return transmission_time(0); }
   [[nodiscard]] std::size_t flows() const { return flows_.size(); }
   [[nodiscard]] std::uint64_t admitted() const { return admitted_; }
-  [[nodiscard]] std::uint64_t refused() const { return refused_; }
+  [[nodiscard]] std::uint64_t rejected() const { return rejected_; }
   /// Octets that a flow usually brings.
-  [[nodiscard]] double usual_size() const { return usual_size_; }
+  [[nodiscard]] double average_flow_size() const { return average_flow_size_; }
 
  private:
   struct OpenFlow {
     /// Octets that have passed.
-    double passed = 0;
-    Instant last_data;
+    double received_bytes = 0;
+    Instant last_data_at;
   };
 
   /// How long the link needs for all open flows, and these octets more.
-  [[nodiscard]] Duration time_for(double more) const;
+  [[nodiscard]] Duration transmission_time(double more) const;
   /// Octets that a flow is expected to bring still.
-  [[nodiscard]] double left_of(const OpenFlow& flow) const;
+  [[nodiscard]] double expected_remaining_bytes(const OpenFlow& flow) const;
 
   const LinkModel& link_;
   absl::flat_hash_map<SteeredFlow, OpenFlow> flows_;
-  double usual_size_ = kFirstGuess;
+  double average_flow_size_ = kInitialFlowSize;
   std::uint64_t admitted_ = 0;
-  std::uint64_t refused_ = 0;
+  std::uint64_t rejected_ = 0;
 };
 
 }  // namespace gorsevalve
--- a/src/core/link/link_model.h
+++ b/src/core/link/link_model.h
@@ -15,7 +15,7 @@
   explicit LinkModel(double octets_per_s) : rate_(octets_per_s * kUsableShare) {}
 
   /// What IPv4 (20), UDP (8) and Ethernet (18) add to each datagram, in octets.
-  static constexpr std::size_t kFramingOctets = 46;
+  static constexpr std::size_t kFramingBytes = 46;
   /// Share of the rate that datagrams may use; the rest is for connections to control replicas and
   /// targets, and for timers that fire late. With all of it, and without framing, links beside
   /// other traffic lost a tenth of what transfers sent (885 of 8,722 packets came again; with both,
@@ -23,21 +23,21 @@
   static constexpr double kUsableShare = 0.95;
 
   /// Sizes are of datagrams without their framing, in octets.
-  void on_received(std::size_t octets, Instant now) {
-    in_.add(octets + kFramingOctets, now, rate_);
-  }
-  void on_sent(std::size_t octets, Instant now) { out_.add(octets + kFramingOctets, now, rate_); }
+  void on_received(std::size_t octets, Instant now) { in_.add(octets + kFramingBytes, now, rate_); }
+  void on_sent(std::size_t octets, Instant now) { out_.add(octets + kFramingBytes, now, rate_); }
 
   /// Octets per second that may be used each way; 0 when the rate is not known.
   [[nodiscard]] double rate() const { return rate_; }
-  [[nodiscard]] bool is_known() const { return rate_ > 0; }
+  [[nodiscard]] bool is_rate_known() const { return rate_ > 0; }
   /// How long a datagram that is handed to the link now waits before it leaves.
   [[nodiscard]] Duration send_backlog(Instant now) const { return out_.backlog(now, rate_); }
   /// When what was handed to the link will have left.
-  [[nodiscard]] Instant send_backlog_ends() const { return out_.backlog_ends(rate_); }
+  [[nodiscard]] Instant send_backlog_end() const { return out_.backlog_end(rate_); }
   /// Share of the rate that was used lately, 0 to 1.
-  [[nodiscard]] double receive_use(Instant now) const { return in_.use(now, rate_); }
-  [[nodiscard]] double send_use(Instant now) const { return out_.use(now, rate_); }
+  [[nodiscard]] double receive_utilization(Instant now) const {
+    return in_.utilization(now, rate_);
+  }
+  [[nodiscard]] double send_utilization(Instant now) const { return out_.utilization(now, rate_); }
   /// True while the link is so busy that an answer may be late for want of room: silence then says
   /// nothing of the other end.
   [[nodiscard]] bool is_congested(Instant now) const;
@@ -48,15 +48,15 @@
    public:
     void add(std::size_t octets, Instant now, double rate);
     [[nodiscard]] Duration backlog(Instant now, double rate) const;
-    [[nodiscard]] Instant backlog_ends(double rate) const;
-    [[nodiscard]] double use(Instant now, double rate) const;
+    [[nodiscard]] Instant backlog_end(double rate) const;
+    [[nodiscard]] double utilization(Instant now, double rate) const;
 
    private:
-    /// Octets that had not left at `at_`, as the rate has it.
-    double waiting_ = 0;
+    /// Octets that had not left at `updated_at_`, as the rate has it.
+    double queued_bytes_ = 0;
     /// Octets of late, each losing half of its weight in kHalfLife.
-    double recent_ = 0;
-    Instant at_;
+    double decayed_bytes_ = 0;
+    Instant updated_at_;
   };
 
   double rate_;
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -28,18 +28,18 @@
 
 /// Counters since the start.
 struct LinkCounters {
-  std::uint64_t sent_at_once = 0;
-  std::uint64_t sent_after_waiting = 0;
+  std::uint64_t sent_immediately = 0;
+  std::uint64_t sent_after_queueing = 0;
   /// Copies of packets that waited, or had left too lately to be answered yet.
-  std::uint64_t copies_spared = 0;
+  std::uint64_t retransmissions_suppressed = 0;
   /// For want of room.
-  std::uint64_t dropped_when_full = 0;
+  std::uint64_t dropped_queue_full = 0;
   /// Their callers had left.
-  std::uint64_t dropped_as_given_up = 0;
+  std::uint64_t dropped_expired = 0;
 };
 
 /// How long a packet's caller waits.
-struct PacketPatience {
+struct PacketDeadlines {
   /// The packet is of no use afterwards.
   Duration timeout{0};
   /// From its first packet here, the flow is late after this time; 0 for never.
@@ -47,119 +47,119 @@
 };
 
 /// A datagram whose turn it is; `bytes` are valid until the next call.
-struct DueDatagram {
+struct DequeuedDatagram {
   Endpoint to;
   ByteView bytes;
-  Duration waited{0};
+  Duration queueing_delay{0};
 };
 
 class LinkScheduler {
  public:
   /// Packets that wait at most: 2.5 s of a link of 2 Mbit/s, or 0.7 MB of memory.
-  static constexpr std::size_t kMaxPackets = 512;
+  static constexpr std::size_t kMaxQueuedPackets = 512;
   /// Flows known at most: those with a packet waiting, and those whose packets left lately. 3 MB.
   static constexpr std::size_t kMaxFlows = 4096;
   /// Largest datagram that may wait, in octets.
-  static constexpr std::size_t kMaxSize = 1344;
+  static constexpr std::size_t kMaxDatagramSize = 1344;
 
   /// `link` must outlive the scheduler.
   explicit LinkScheduler(LinkModel& link) : link_(link) {}
 
   /// True when a datagram may leave without waiting.
-  [[nodiscard]] bool may_send_at_once(Instant now) const;
-  void on_sent_at_once(std::size_t size, Instant now);
+  [[nodiscard]] bool can_send_immediately(Instant now) const;
+  void on_sent_immediately(std::size_t size, Instant now);
 
   /// True for a copy of a packet that waits here, or that left so lately that its acknowledgement
   /// may be on its way. It is not needed: senders repeat each 200 ms and more until they are
   /// answered, so if the one that left is lost, a later copy follows and passes.
-  [[nodiscard]] bool is_needless_copy(const ClientPacket& packet, Instant now);
+  [[nodiscard]] bool is_redundant_retransmission(const ClientPacket& packet, Instant now);
 
   /// Room for a datagram of `size` octets in place of a caller's packet; empty when it is dropped.
   std::span<std::uint8_t> enqueue(const ClientPacket& packet, const Endpoint& to, std::size_t size,
-                                  const PacketPatience& patience, Instant now);
+                                  const PacketDeadlines& patience, Instant now);
   /// The next datagram that may leave now; nothing when none waits or the link has no room yet.
-  std::optional<DueDatagram> take_due(Instant now);
-  /// When `take_outgoing` should be called next; nothing when nothing waits.
-  [[nodiscard]] std::optional<Instant> next_turn() const;
+  std::optional<DequeuedDatagram> dequeue(Instant now);
+  /// When `take_due` should be called next; nothing when nothing waits.
+  [[nodiscard]] std::optional<Instant> next_dequeue_at() const;
 
   /// The caller ended the flow: what waits of it is of no use.
   void drop_flow(const SteeredFlow& flow);
   /// Forgets flows that have rested; to be called now and then.
   void on_tick(Instant now);
 
-  [[nodiscard]] std::size_t waiting() const { return waiting_; }
-  [[nodiscard]] std::size_t waiting_octets() const { return waiting_octets_; }
+  [[nodiscard]] std::size_t queued_packets() const { return queued_packets_; }
+  [[nodiscard]] std::size_t queued_bytes() const { return queued_bytes_; }
   [[nodiscard]] const LinkCounters& counters() const { return counters_; }
 
  private:
-  static constexpr std::uint32_t kNone = UINT32_MAX;
-  static constexpr std::size_t kDepartures = 32;
+  static constexpr std::uint32_t kNoSlot = UINT32_MAX;
+  static constexpr std::size_t kDepartureHistorySize = 32;
 
   /// A packet that waits.
   struct Slot {
-    std::array<std::uint8_t, kMaxSize> bytes;
+    std::array<std::uint8_t, kMaxDatagramSize> bytes;
     std::uint32_t size = 0;
     Endpoint to;
     std::uint32_t sequence = 0;
     std::uint32_t data_size = 0;
-    Instant since;
+    Instant enqueued_at;
     /// Its caller waits no longer.
-    Instant given_up_at;
+    Instant expires_at;
     /// The flow's next packet, or the next free slot.
-    std::uint32_t next = kNone;
+    std::uint32_t next = kNoSlot;
   };
   /// A packet that left.
   struct Departure {
     std::uint32_t sequence = 0;
     std::uint32_t data_size = 0;
-    Instant at;
+    Instant sent_at;
   };
   /// What waits of one flow, in the order of its stream, and what left lately.
   struct FlowQueue {
     SteeredFlow flow;
-    std::uint32_t first = kNone;
+    std::uint32_t first_slot = kNoSlot;
     /// Tag of the first packet that waits; after the last one left, of the next to come.
-    double tag = 0;
+    double start_tag = 0;
     /// Order of arrival, between equal tags.
-    std::uint64_t number = 0;
-    std::size_t packets = 0;
-    Instant last_used;
+    std::uint64_t arrival_order = 0;
+    std::size_t packet_count = 0;
+    Instant last_active_at;
     /// Nothing for a flow that is never late.
     std::optional<Instant> late_at;
-    std::array<Departure, kDepartures> departures;
+    std::array<Departure, kDepartureHistorySize> recent_departures;
     std::size_t next_departure = 0;
   };
 
-  std::uint32_t take_slot();
+  std::uint32_t allocate_slot();
   void free_slot(std::uint32_t index);
-  FlowQueue* queue_of(const SteeredFlow& flow);
-  FlowQueue& queue_for(const SteeredFlow& flow);
+  FlowQueue* find_queue(const SteeredFlow& flow);
+  FlowQueue& find_or_create_queue(const SteeredFlow& flow);
   /// The flow whose turn it is; nullptr when nothing waits.
-  FlowQueue* next_flow();
-  void insert(FlowQueue& queue, std::uint32_t index);
+  FlowQueue* next_queue();
+  void insert_by_sequence(FlowQueue& queue, std::uint32_t index);
   /// Takes the packet out that a link of the queue leads to, and frees nothing.
-  std::uint32_t take_out(FlowQueue& queue, std::uint32_t& place);
-  void note_departure(FlowQueue& queue, const Slot& slot, Instant now);
-  void drop_waiting(FlowQueue& queue);
+  std::uint32_t unlink_packet(FlowQueue& queue, std::uint32_t& place);
+  void record_departure(FlowQueue& queue, const Slot& slot, Instant now);
+  void clear_queue(FlowQueue& queue);
   /// Makes room by dropping the last packet of the flow that has most waiting.
-  void drop_from_longest();
+  void drop_from_longest_queue();
 
   LinkModel& link_;
   LinkCounters counters_;
   std::vector<Slot> slots_;
-  std::uint32_t free_ = kNone;
-  /// Queues keep their places; those in `unused_` belong to no flow.
+  std::uint32_t first_free_slot_ = kNoSlot;
+  /// Queues keep their places; those in `free_queues_` belong to no flow.
   std::vector<FlowQueue> queues_;
-  std::vector<std::uint32_t> unused_;
-  absl::flat_hash_map<SteeredFlow, std::uint32_t> by_flow_;
+  std::vector<std::uint32_t> free_queues_;
+  absl::flat_hash_map<SteeredFlow, std::uint32_t> queue_by_flow_;
   /// Queues in which something waits.
-  std::vector<std::uint32_t> busy_;
-  double present_tag_ = 0;
-  std::uint64_t last_number_ = 0;
-  std::size_t waiting_ = 0;
-  std::size_t waiting_octets_ = 0;
+  std::vector<std::uint32_t> active_queues_;
+  double virtual_time_ = 0;
+  std::uint64_t last_arrival_order_ = 0;
+  std::size_t queued_packets_ = 0;
+  std::size_t queued_bytes_ = 0;
   /// The packet that was given out last.
-  std::uint32_t given_ = kNone;
+  std::uint32_t dequeued_slot_ = kNoSlot;
 };
 
 }  // namespace gorsevalve
--- a/src/core/link/narrow_link.h
+++ b/src/core/link/link_shaper.h
@@ -11,30 +11,30 @@
 namespace gorsevalve {
 
 /// What is to become of a packet that came from a caller, before its target is looked for.
-enum class LinkVerdict : std::uint8_t {
-  kPass = 0,
+enum class LinkDecision : std::uint8_t {
+  kForward = 0,
   /// A copy of a packet that waits, or whose acknowledgement may be on its way: to be dropped.
-  kNeedlessCopy = 1,
+  kDropRetransmission = 1,
   /// The opening of a bulk flow that cannot land in time here: to be refused at once.
-  kNoRoom = 2,
+  kReject = 2,
 };
 
-class NarrowLink {
+class LinkShaper {
  public:
   /// `octets_per_s` is the link's rate each way; 0 when it is not known.
-  explicit NarrowLink(double octets_per_s) : model_(octets_per_s) {}
-  NarrowLink(const NarrowLink&) = delete;
-  NarrowLink& operator=(const NarrowLink&) = delete;
+  explicit LinkShaper(double octets_per_s) : model_(octets_per_s) {}
+  LinkShaper(const LinkShaper&) = delete;
+  LinkShaper& operator=(const LinkShaper&) = delete;
 
   /// A packet of a caller came; `frontend` may be nullptr.
-  LinkVerdict on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
-                        Instant now);
+  LinkDecision on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
+                         Instant now);
   /// The caller was told that its flow has ended, by a datagram of `size` octets.
   void on_reset(const SteeredFlow& flow, std::size_t size, Instant now);
   void on_tick(Instant now);
 
   /// How long callers of a frontend wait for what they send now.
-  [[nodiscard]] static PacketPatience patience(const FrontendView* frontend, bool opens);
+  [[nodiscard]] static PacketDeadlines packet_deadlines(const FrontendView* frontend, bool opens);
 
   [[nodiscard]] LinkScheduler& scheduler() { return scheduler_; }
   [[nodiscard]] const LinkScheduler& scheduler() const { return scheduler_; }
--- a/src/model/verdict.h
+++ b/src/model/verdict.h
@@ -16,7 +16,7 @@
 };
 
 /// Why a request was given up on. Used in logs and metrics.
-enum class GiveUpReason : std::uint8_t {
+enum class FailureReason : std::uint8_t {
   kNoTarget = 0,
   kOverload = 1,
   kDeadline = 2,
@@ -24,21 +24,21 @@
   kNoLease = 4,
   kIncompleteTakeover = 5,
 };
-constexpr std::size_t kGiveUpReasons = 6;
+constexpr std::size_t kFailureReasonCount = 6;
 
-constexpr std::string_view to_string(GiveUpReason reason) {
+constexpr std::string_view to_string(FailureReason reason) {
   switch (reason) {
-    case GiveUpReason::kNoTarget:
+    case FailureReason::kNoTarget:
       return "no_target";
-    case GiveUpReason::kOverload:
+    case FailureReason::kOverload:
       return "overload";
-    case GiveUpReason::kDeadline:
+    case FailureReason::kDeadline:
       return "deadline";
-    case GiveUpReason::kNoBackup:
+    case FailureReason::kNoBackup:
       return "no_backup";
-    case GiveUpReason::kNoLease:
+    case FailureReason::kNoLease:
       return "no_lease";
-    case GiveUpReason::kIncompleteTakeover:
+    case FailureReason::kIncompleteTakeover:
       return "incomplete_takeover";
   }
   return "unknown";
@@ -47,7 +47,7 @@
 /// Final answer for a request that was given up on.
 struct Verdict {
   Execution execution = Execution::kMayHaveRun;
-  GiveUpReason reason = GiveUpReason::kDeadline;
+  FailureReason reason = FailureReason::kDeadline;
   /// When the caller should come back (CoAP Max-Age).
   std::chrono::seconds retry_after{1};
 };
--- a/src/settings/settings_file.cc
+++ b/src/settings/settings_file.cc
@@ -47,23 +47,23 @@
 }
 
 std::vector<std::string> read_paths(TableReader& reader, std::string_view key) {
-  std::vector<std::string> paths = reader.optional_texts(key);
+  std::vector<std::string> paths = reader.optional_strings(key);
   for (const auto& path : paths) {
     if (path.empty() || path.front() != '/') {
-      reader.error(key, "path \"" + path + "\" must begin with /");
+      reader.add_error(key, "path \"" + path + "\" must begin with /");
     }
   }
   return paths;
 }
 
 Target read_target(TableReader& reader) {
-  reader.refuse_unknown(keys_of("target"));
+  reader.reject_unknown_keys(keys_of("target"));
   Target target;
-  target.name = reader.text("name");
+  target.name = reader.non_empty_string("name");
   target.address = reader.endpoint("address");
-  target.zone = reader.text("zone");
+  target.zone = reader.non_empty_string("zone");
   target.weight = reader.optional_integer("weight", target.weight, 1, 1000);
-  target.draining = reader.optional_flag("draining", false);
+  target.draining = reader.optional_boolean("draining", false);
   target.slots = reader.optional_integer("slots", target.slots, 1, 1024);
   target.max_connections =
       reader.optional_integer("max_connections", target.max_connections, 1, 1000000);
@@ -72,9 +72,9 @@
 }
 
 Service read_service(TableReader& reader) {
-  reader.refuse_unknown(keys_of("service"));
+  reader.reject_unknown_keys(keys_of("service"));
   Service service;
-  service.name = reader.text("name");
+  service.name = reader.non_empty_string("name");
   service.address = reader.endpoint("address");
   service.repeatable_paths = read_paths(reader, "repeatable_paths");
   service.once_only_paths = read_paths(reader, "once_only_paths");
@@ -87,19 +87,19 @@
   service.retry_after_max_s =
       reader.optional_integer("retry_after_max_s", service.retry_after_max_s, 1, 255);
   if (service.retry_after_min_s > service.retry_after_max_s) {
-    reader.error("retry_after_min_s", "is above retry_after_max_s");
+    reader.add_error("retry_after_min_s", "is above retry_after_max_s");
   }
   for (const auto& path : service.repeatable_paths) {
     const auto& once = service.once_only_paths;
     if (std::find(once.begin(), once.end(), path) != once.end()) {
-      reader.error("repeatable_paths", "path \"" + path + "\" stands in once_only_paths too");
+      reader.add_error("repeatable_paths", "path \"" + path + "\" stands in once_only_paths too");
     }
   }
   for (auto& child : reader.tables("target")) {
     service.targets.push_back(read_target(child));
   }
   if (service.targets.empty()) {
-    reader.error("target", "a service needs at least one target");
+    reader.add_error("target", "a service needs at least one target");
   }
   return service;
 }
@@ -111,7 +111,7 @@
            const TableReader& reader, std::string_view key) {
     const auto [found, is_new] = seen_.emplace(what + " " + value, place);
     if (!is_new) {
-      reader.error(key, what + " " + value + " is used by " + found->second + " already");
+      reader.add_error(key, what + " " + value + " is used by " + found->second + " already");
     }
   }
 
@@ -124,13 +124,13 @@
   auto services = root.tables("service");
   for (std::size_t i = 0; i < settings.services.size(); ++i) {
     const Service& service = settings.services[i];
-    check.add("service name", service.name, services[i].place(), services[i], "name");
-    check.add("address", to_string(service.address), services[i].place(), services[i], "address");
+    check.add("service name", service.name, services[i].path(), services[i], "name");
+    check.add("address", to_string(service.address), services[i].path(), services[i], "address");
     auto targets = services[i].tables("target");
     for (std::size_t j = 0; j < service.targets.size(); ++j) {
       const Target& target = service.targets[j];
-      check.add("target name", target.name, targets[j].place(), targets[j], "name");
-      check.add("address", to_string(target.address), targets[j].place(), targets[j], "address");
+      check.add("target name", target.name, targets[j].path(), targets[j], "name");
+      check.add("address", to_string(target.address), targets[j].path(), targets[j], "address");
     }
   }
 }
@@ -166,13 +166,13 @@
     return tl::unexpected(std::move(errors));
   }
   TableReader root(table, file, "", errors);
-  root.refuse_unknown(keys_of(""));
+  root.reject_unknown_keys(keys_of(""));
   const std::int64_t schema = root.integer("schema", 0, 1000000);
   if (errors.empty() && schema != kSettingsSchema) {
-    root.error("schema", "this program reads schema 1, the file has " + std::to_string(schema));
+    root.add_error("schema", "this program reads schema 1, the file has " + std::to_string(schema));
   }
   Settings settings;
-  settings.deployment = root.text("deployment");
+  settings.deployment = root.non_empty_string("deployment");
   for (auto& child : root.tables("service")) {
     settings.services.push_back(read_service(child));
   }
--- a/src/settings/table_reader.cc
+++ b/src/settings/table_reader.cc
@@ -4,14 +4,14 @@
 
 namespace gorsevalve {
 
-std::string TableReader::field(std::string_view key) const {
-  return place_.empty() ? std::string(key) : place_ + "." + std::string(key);
+std::string TableReader::field_path(std::string_view key) const {
+  return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-void TableReader::error(std::string_view key, const std::string& message) const {
+void TableReader::add_error(std::string_view key, const std::string& message) const {
   const toml::node* node = table_->get(key);
   const toml::source_region& region = node == nullptr ? table_->source() : node->source();
-  SettingsError error{file_, region.begin.line, field(key), message};
+  SettingsError error{file_, region.begin.line, field_path(key), message};
   const bool known = std::any_of(errors_->begin(), errors_->end(), [&](const SettingsError& other) {
     return other.field == error.field && other.message == error.message;
   });
@@ -20,18 +20,18 @@
   }
 }
 
-void TableReader::refuse_unknown(const std::vector<std::string_view>& known) const {
+void TableReader::reject_unknown_keys(const std::vector<std::string_view>& known) const {
   for (const auto& [key, value] : *table_) {
     if (std::find(known.begin(), known.end(), key.str()) == known.end()) {
-      error(key.str(), "unknown key");
+      add_error(key.str(), "unknown key");
     }
   }
 }
 
-std::string TableReader::text(std::string_view key) const {
+std::string TableReader::non_empty_string(std::string_view key) const {
   const auto value = (*table_)[key].value<std::string>();
   if (!value || !(*table_)[key].is_string() || value->empty()) {
-    error(key, "must be a non-empty string");
+    add_error(key, "must be a non-empty string");
     return {};
   }
   return *value;
@@ -41,8 +41,8 @@
                                   std::int64_t maximum) const {
   const auto value = (*table_)[key].value<std::int64_t>();
   if (!value || !(*table_)[key].is_integer() || *value < minimum || *value > maximum) {
-    error(key,
-          "must be an integer from " + std::to_string(minimum) + " to " + std::to_string(maximum));
+    add_error(key, "must be an integer from " + std::to_string(minimum) + " to " +
+                       std::to_string(maximum));
     return minimum;
   }
   return *value;
@@ -52,7 +52,7 @@
   const std::string value = (*table_)[key].value_or(std::string());
   const auto parsed = parse_endpoint(value);
   if (!parsed) {
-    error(key, "must be an address such as \"10.0.0.1:5683\"");
+    add_error(key, "must be an address such as \"10.0.0.1:5683\"");
     return {};
   }
   return *parsed;
@@ -64,12 +64,12 @@
                                : otherwise;
 }
 
-bool TableReader::optional_flag(std::string_view key, bool otherwise) const {
+bool TableReader::optional_boolean(std::string_view key, bool otherwise) const {
   if (!table_->contains(key)) {
     return otherwise;
   }
   if (!(*table_)[key].is_boolean()) {
-    error(key, "must be true or false");
+    add_error(key, "must be true or false");
     return otherwise;
   }
   return (*table_)[key].value_or(otherwise);
@@ -79,20 +79,20 @@
   return table_->contains(key) ? endpoint(key) : Endpoint{};
 }
 
-std::vector<std::string> TableReader::optional_texts(std::string_view key) const {
+std::vector<std::string> TableReader::optional_strings(std::string_view key) const {
   std::vector<std::string> values;
   if (!table_->contains(key)) {
     return values;
   }
   const toml::array* array = (*table_)[key].as_array();
   if (array == nullptr) {
-    error(key, "must be an array of strings");
+    add_error(key, "must be an array of strings");
     return values;
   }
   for (const auto& element : *array) {
     const auto value = element.value<std::string>();
     if (!value || !element.is_string()) {
-      error(key, "must be an array of strings");
+      add_error(key, "must be an array of strings");
       return values;
     }
     values.push_back(*value);
@@ -110,12 +110,12 @@
       array != nullptr && std::all_of(array->begin(), array->end(),
                                       [](const toml::node& node) { return node.is_table(); });
   if (!all_tables) {
-    error(key, "must be written as [[" + field(key) + "]]");
+    add_error(key, "must be written as [[" + field_path(key) + "]]");
     return readers;
   }
   std::size_t index = 0;
   for (const auto& element : *array) {
-    const std::string place = field(key) + "[" + std::to_string(index) + "]";
+    const std::string place = field_path(key) + "[" + std::to_string(index) + "]";
     readers.emplace_back(*element.as_table(), file_, place, *errors_);
     ++index;
   }
--- a/src/sim/sim_balancer.cc
+++ b/src/sim/sim_balancer.cc
@@ -59,7 +59,7 @@
     total.datagrams_in += past.datagrams_in;
     total.datagrams_relayed += past.datagrams_relayed;
     total.requests += past.requests;
-    for (std::size_t i = 0; i < kGiveUpReasons; ++i) {
+    for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
       total.given_up[i] += past.given_up[i];
     }
   }
--- a/src/sim/sim_control.cc
+++ b/src/sim/sim_control.cc
@@ -23,7 +23,7 @@
   ReplicaIdentity identity;
   identity.id = packed(config_.address);
   identity.cluster = kCluster;
-  identity.first_replicas = founding_set(config_.replicas);
+  identity.initial_replicas = founding_set(config_.replicas);
   (void)store.write_identity(identity);
 }
 
@@ -37,7 +37,7 @@
                                                                   : context().random.next();
     fresh.cluster = kCluster;
     if (config_.replica_faults.keep_identity_on_empty_disk) {
-      fresh.first_replicas = founding_set(config_.replicas);
+      fresh.initial_replicas = founding_set(config_.replicas);
     }
     (void)store_->write_identity(fresh);
     identity = store_->read_identity();
@@ -54,7 +54,7 @@
   replica.seeds = config_.replicas;
   replica.random_seed = context().random.next();
   replica.faults = config_.replica_faults;
-  node_ = std::make_unique<ControlNode>(replica, (*identity)->first_replicas, std::move(*stored),
+  node_ = std::make_unique<ControlNode>(replica, (*identity)->initial_replicas, std::move(*stored),
                                         config_.partitions, static_cast<ReplicaStorage&>(*this),
                                         static_cast<ControlOutput&>(*this), now());
   node_->set_faults(config_.control_faults);
--- a/src/sim/sim_main.cc
+++ b/src/sim/sim_main.cc
@@ -197,9 +197,9 @@
     std::printf("VIOLATION %s: %s\n", std::string(to_string(violation.invariant)).c_str(),
                 violation.detail.c_str());
   }
-  for (std::size_t i = 0; i < kGiveUpReasons; ++i) {
+  for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
     std::printf("given up, %s: %llu\n",
-                std::string(to_string(static_cast<GiveUpReason>(i))).c_str(),
+                std::string(to_string(static_cast<FailureReason>(i))).c_str(),
                 static_cast<unsigned long long>(result.given_up[i]));
   }
   std::printf("seed=%llu events=%llu trace_hash=%016llx violations=%zu\n",
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -82,7 +82,7 @@
   Duration longest_force{};
   std::uint64_t datagrams = 0;
   std::uint64_t relayed = 0;
-  std::array<std::uint64_t, kGiveUpReasons> given_up{};
+  std::array<std::uint64_t, kFailureReasonCount> given_up{};
   /// Mean octets a second that a balancer sent to peers, and to control.
   double peer_octets_per_second = 0;
   double node_octets_per_second = 0;
--- a/src/sim/world_checks.cc
+++ b/src/sim/world_checks.cc
@@ -118,7 +118,7 @@
 void World::count_verdicts(RunResult& result) const {
   for (const auto& balancer : balancers_) {
     const BalancerCounters counters = balancer->total_counters();
-    for (std::size_t i = 0; i < kGiveUpReasons; ++i) {
+    for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
       result.given_up[i] += counters.given_up[i];
     }
   }
--- a/src/standins/caller_model.cc
+++ b/src/standins/caller_model.cc
@@ -12,11 +12,11 @@
 constexpr double kAckRandomFactor = 1.5;
 constexpr int kMaxRetransmit = 4;
 
-Token make_token(std::uint32_t number) {
-  Token token;
+CoapToken make_token(std::uint32_t number) {
+  CoapToken token;
   token.length = 4;
   for (unsigned i = 0; i < 4; ++i) {
-    token.octets[i] = static_cast<std::uint8_t>(number >> (8U * i));
+    token.bytes[i] = static_cast<std::uint8_t>(number >> (8U * i));
   }
   return token;
 }
@@ -62,8 +62,8 @@
 bool CallerModel::is_idle() const { return !outstanding_ && next_block_ == 0; }
 
 void CallerModel::send_request(std::uint8_t code, std::string_view path, const std::string& id,
-                               std::optional<std::uint32_t> observe, std::optional<Block> block,
-                               Instant now) {
+                               std::optional<std::uint32_t> observe,
+                               std::optional<BlockOption> block, Instant now) {
   CoapMessage message;
   message.type = CoapType::kConfirmable;
   message.code = code;
@@ -107,7 +107,7 @@
       document_id_ = id;
       next_block_ = 0;
       send_request(coap_code::kGet, target_path::kDownload, id, std::nullopt,
-                   Block{0, false, kDownloadBlockExponent}, now);
+                   BlockOption{0, false, kDownloadBlockExponent}, now);
       break;
     case CallerKind::kLookup:
       config_.flow.client.port =
@@ -174,7 +174,7 @@
   if (summary->type == CoapType::kConfirmable) {
     // A feed that is not wanted any more is refused (RFC 7641 section 3.6).
     const CoapType reply = is_feed ? CoapType::kAcknowledgement : CoapType::kReset;
-    output_.send(config_.flow, encode_empty(reply, summary->message_id));
+    output_.send(config_.flow, encode_empty_message(reply, summary->message_id));
   }
   if (is_feed && summary->observe) {
     on_notification(*summary, text, now);
@@ -265,7 +265,7 @@
   }
   ++next_block_;
   send_request(coap_code::kGet, target_path::kDownload, document_id_, std::nullopt,
-               Block{next_block_, false, kDownloadBlockExponent}, now);
+               BlockOption{next_block_, false, kDownloadBlockExponent}, now);
 }
 
 void CallerModel::on_notification(const CoapSummary& summary, const std::string& text,
--- a/src/standins/caller_model.h
+++ b/src/standins/caller_model.h
@@ -98,7 +98,7 @@
   struct Outstanding {
     std::string id;
     Bytes message;
-    Token token;
+    CoapToken token;
     std::uint16_t message_id = 0;
     Instant first_sent;
     Instant next_send;
@@ -108,7 +108,8 @@
 
   void begin_work(Instant now);
   void send_request(std::uint8_t code, std::string_view path, const std::string& id,
-                    std::optional<std::uint32_t> observe, std::optional<Block> block, Instant now);
+                    std::optional<std::uint32_t> observe, std::optional<BlockOption> block,
+                    Instant now);
   void on_answer(const CoapSummary& summary, const std::string& text, Instant now);
   void on_verdict(const CoapSummary& summary, Instant now);
   void on_notification(const CoapSummary& summary, const std::string& text, Instant now);
@@ -132,7 +133,7 @@
 
   bool feed_open_ = false;
   std::string feed_id_;
-  Token feed_token_;
+  CoapToken feed_token_;
   std::string feed_source_;
   Instant last_notification_;
   std::uint32_t last_observe_ = 0;
--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -101,7 +101,7 @@
   }
   if (running_.size() >= config_.slots && waiting_.size() >= config_.queue_limit) {
     // A copy of a refused request is refused, too, also when there is room by then (RFC 7252 4.5).
-    remember(key) = encode_verdict({Execution::kNotRun, GiveUpReason::kOverload}, summary.type,
+    remember(key) = encode_verdict({Execution::kNotRun, FailureReason::kOverload}, summary.type,
                                    summary.message_id, summary.token);
     answer(header, answered_[key]);
     return;
@@ -239,7 +239,7 @@
   if (!begun_here) {
     return encode_coap(reply);
   }
-  reply.block2 = Block{number, start + size < content.size(), kDownloadBlockExponent};
+  reply.block2 = BlockOption{number, start + size < content.size(), kDownloadBlockExponent};
   reply.payload.assign(content.begin() + static_cast<std::ptrdiff_t>(start),
                        content.begin() + static_cast<std::ptrdiff_t>(start + size));
   return encode_coap(reply);
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -97,7 +97,7 @@
   };
   struct Feed {
     ProxyHeader header;
-    Token token;
+    CoapToken token;
     std::string id;
     std::uint32_t sequence = 0;
     Instant next_at;
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -36,7 +36,7 @@
   return number;
 }
 
-tl::unexpected<StorageError> corrupt(const std::string& file, std::size_t offset) {
+tl::unexpected<StorageError> corruption_error(const std::string& file, std::size_t offset) {
   return tl::unexpected(
       StorageError{StorageErrorKind::kCorrupt,
                    file + ": damaged at offset " + std::to_string(offset) +
@@ -79,7 +79,7 @@
 
 /// Reads a file that holds exactly one frame with one value.
 template <typename Value>
-StorageResult<std::optional<Value>> read_single(Disk& disk, const std::string& name) {
+StorageResult<std::optional<Value>> read_single_frame(Disk& disk, const std::string& name) {
   const auto names = disk.list();
   if (!names) {
     return tl::unexpected(names.error());
@@ -93,11 +93,11 @@
   }
   const auto body = decode_frame(*bytes);
   if (!body) {
-    return corrupt(name, 0);
+    return corruption_error(name, 0);
   }
   auto value = decode_archive<Value>(*body);
   if (!value) {
-    return corrupt(name, kFrameHeaderSize);
+    return corruption_error(name, kFrameHeaderSize);
   }
   return value;
 }
@@ -136,7 +136,7 @@
 }
 
 StorageResult<std::optional<ReplicaIdentity>> LogStore::read_identity() {
-  auto identity = read_single<ReplicaIdentity>(disk_, kIdentityName);
+  auto identity = read_single_frame<ReplicaIdentity>(disk_, kIdentityName);
   if (identity && identity->has_value() && (*identity)->format != kDiskFormat) {
     return tl::unexpected(StorageError{StorageErrorKind::kFormat,
                                        "identity: format " + std::to_string((*identity)->format) +
@@ -149,7 +149,7 @@
   return disk_.replace(kIdentityName, encode_frame(encode_archive(identity)));
 }
 
-StorageResult<std::vector<std::uint64_t>> LogStore::segments() {
+StorageResult<std::vector<std::uint64_t>> LogStore::list_segments() {
   const auto names = disk_.list();
   if (!names) {
     return tl::unexpected(names.error());
@@ -166,12 +166,12 @@
 
 StorageResult<StoredReplica> LogStore::open() {
   StoredReplica stored;
-  auto snapshot = read_single<Snapshot>(disk_, kSnapshotName);
+  auto snapshot = read_single_frame<Snapshot>(disk_, kSnapshotName);
   if (!snapshot) {
     return tl::unexpected(snapshot.error());
   }
   stored.snapshot = std::move(*snapshot);
-  const auto numbers = segments();
+  const auto numbers = list_segments();
   if (!numbers) {
     return tl::unexpected(numbers.error());
   }
@@ -181,7 +181,7 @@
       return tl::unexpected(read.error());
     }
   }
-  segment_ = numbers->empty() ? 1 : numbers->back();
+  current_segment_ = numbers->empty() ? 1 : numbers->back();
   return stored;
 }
 
@@ -198,7 +198,7 @@
     const auto body = decode_frame(rest);
     if (!body) {
       if (!is_last || intact_frame_follows(rest)) {
-        return corrupt(name, offset);
+        return corruption_error(name, offset);
       }
       const auto cut = disk_.truncate(name, offset);
       if (!cut) {
@@ -208,7 +208,7 @@
     }
     auto frame = decode_archive<LogFrame>(*body);
     if (!frame || !apply_frame(std::move(*frame), stored)) {
-      return corrupt(name, offset);
+      return corruption_error(name, offset);
     }
     offset += kFrameHeaderSize + body->size();
   }
@@ -221,7 +221,7 @@
   if (!needs_repair_) {
     return {};
   }
-  auto cut = disk_.truncate(segment_name(segment_), segment_size_);
+  auto cut = disk_.truncate(segment_name(current_segment_), segment_size_);
   needs_repair_ = !cut;
   return cut;
 }
@@ -232,11 +232,11 @@
     return repaired;
   }
   if (segment_size_ >= kSegmentSize) {
-    ++segment_;
+    ++current_segment_;
     segment_size_ = 0;
   }
   const Bytes bytes = encode_frame(encode_archive(frame));
-  const std::string name = segment_name(segment_);
+  const std::string name = segment_name(current_segment_);
   auto written = disk_.append(name, bytes);
   if (written) {
     written = disk_.sync(name);
@@ -264,11 +264,11 @@
   if (!written) {
     return written;
   }
-  const auto old = segments();
+  const auto old = list_segments();
   if (!old) {
     return tl::unexpected(old.error());
   }
-  ++segment_;
+  ++current_segment_;
   segment_size_ = 0;
   log_size_ = 0;
   LogFrame first = frame;
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -39,11 +39,11 @@
   /// Version of the formats in this folder.
   std::uint32_t format = kDiskFormat;
   /// The first replicas of the cluster, when this one is among them; else empty.
-  ReplicaSet first_replicas;
+  ReplicaSet initial_replicas;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& id& cluster& format& first_replicas;
+    archive& id& cluster& format& initial_replicas;
   }
 };
 
@@ -90,12 +90,12 @@
   [[nodiscard]] std::uint64_t log_size() const { return log_size_; }
 
  private:
-  StorageResult<std::vector<std::uint64_t>> segments();
+  StorageResult<std::vector<std::uint64_t>> list_segments();
   StorageResult<void> repair();
   StorageResult<void> read_segment(std::uint64_t number, bool is_last, StoredReplica& stored);
 
   Disk& disk_;
-  std::uint64_t segment_ = 0;
+  std::uint64_t current_segment_ = 0;
   std::uint64_t segment_size_ = 0;
   std::uint64_t log_size_ = 0;
   /// A write failed: the end of the segment is unknown.
--- a/src/storage/posix_disk.cc
+++ b/src/storage/posix_disk.cc
@@ -16,24 +16,24 @@
 constexpr const char* kLockName = "lock";
 constexpr const char* kTemporarySuffix = ".new";
 constexpr mode_t kFileMode = 0600;
-constexpr mode_t kFolderMode = 0700;
+constexpr mode_t kDirectoryMode = 0700;
 
-tl::unexpected<StorageError> failure(const std::string& operation, const std::string& path) {
+tl::unexpected<StorageError> errno_error(const std::string& operation, const std::string& path) {
   return tl::unexpected(StorageError{StorageErrorKind::kOperation,
                                      operation + " " + path + ": " + std::strerror(errno)});
 }
 
 /// Closes a descriptor at the end of a scope.
-class Descriptor {
+class FileDescriptor {
  public:
-  explicit Descriptor(int value) : value_(value) {}
-  ~Descriptor() {
+  explicit FileDescriptor(int value) : value_(value) {}
+  ~FileDescriptor() {
     if (value_ >= 0) {
       ::close(value_);
     }
   }
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
   [[nodiscard]] int get() const { return value_; }
 
  private:
@@ -57,17 +57,17 @@
 }  // namespace
 
 StorageResult<std::unique_ptr<PosixDisk>> PosixDisk::open(const std::string& folder) {
-  if (::mkdir(folder.c_str(), kFolderMode) != 0 && errno != EEXIST) {
-    return failure("mkdir", folder);
+  if (::mkdir(folder.c_str(), kDirectoryMode) != 0 && errno != EEXIST) {
+    return errno_error("mkdir", folder);
   }
   std::unique_ptr<PosixDisk> disk(new PosixDisk(folder));
   const std::string lock_path = disk->path(kLockName);
   disk->lock_descriptor_ = ::open(lock_path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (disk->lock_descriptor_ < 0) {
-    return failure("open", lock_path);
+    return errno_error("open", lock_path);
   }
   if (::flock(disk->lock_descriptor_, LOCK_EX | LOCK_NB) != 0) {
-    return failure("lock (another process uses this data folder)", lock_path);
+    return errno_error("lock (another process uses this data folder)", lock_path);
   }
   return disk;
 }
@@ -84,7 +84,7 @@
 StorageResult<std::vector<std::string>> PosixDisk::list() {
   std::vector<std::string> names;
   std::error_code error;
-  for (const auto& entry : std::filesystem::directory_iterator(folder_, error)) {
+  for (const auto& entry : std::filesystem::directory_iterator(directory_, error)) {
     const std::string name = entry.path().filename().string();
     if (name != kLockName) {
       names.push_back(name);
@@ -92,15 +92,15 @@
   }
   if (error) {
     return tl::unexpected(
-        StorageError{StorageErrorKind::kOperation, "list " + folder_ + ": " + error.message()});
+        StorageError{StorageErrorKind::kOperation, "list " + directory_ + ": " + error.message()});
   }
   return names;
 }
 
 StorageResult<Bytes> PosixDisk::read(const std::string& name) {
-  const Descriptor file(::open(path(name).c_str(), O_RDONLY | O_CLOEXEC));
+  const FileDescriptor file(::open(path(name).c_str(), O_RDONLY | O_CLOEXEC));
   if (file.get() < 0) {
-    return failure("open", path(name));
+    return errno_error("open", path(name));
   }
   Bytes content;
   std::array<std::uint8_t, 65536> buffer{};
@@ -110,7 +110,7 @@
       continue;
     }
     if (size < 0) {
-      return failure("read", path(name));
+      return errno_error("read", path(name));
     }
     if (size == 0) {
       return content;
@@ -128,11 +128,11 @@
   const int descriptor =
       ::open(path(name).c_str(), O_WRONLY | O_APPEND | O_CREAT | O_CLOEXEC, kFileMode);
   if (descriptor < 0) {
-    return failure("open", path(name));
+    return errno_error("open", path(name));
   }
   open_files_[name] = descriptor;
   if (!exists) {
-    const auto synced = sync_folder();
+    const auto synced = sync_directory();
     if (!synced) {
       return tl::unexpected(synced.error());
     }
@@ -146,7 +146,7 @@
     return tl::unexpected(descriptor.error());
   }
   if (!write_all(*descriptor, bytes)) {
-    return failure("write", path(name));
+    return errno_error("write", path(name));
   }
   return {};
 }
@@ -157,7 +157,7 @@
     return tl::unexpected(descriptor.error());
   }
   if (::fsync(*descriptor) != 0) {
-    return failure("fsync", path(name));
+    return errno_error("fsync", path(name));
   }
   return {};
 }
@@ -167,7 +167,7 @@
     if (errno == ENOENT && size == 0) {
       return {};
     }
-    return failure("truncate", path(name));
+    return errno_error("truncate", path(name));
   }
   return sync(name);
 }
@@ -175,37 +175,37 @@
 StorageResult<void> PosixDisk::replace(const std::string& name, ByteView bytes) {
   const std::string temporary = path(name + kTemporarySuffix);
   {
-    const Descriptor file(
+    const FileDescriptor file(
         ::open(temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode));
     if (file.get() < 0) {
-      return failure("open", temporary);
+      return errno_error("open", temporary);
     }
     if (!write_all(file.get(), bytes)) {
-      return failure("write", temporary);
+      return errno_error("write", temporary);
     }
     if (::fsync(file.get()) != 0) {
-      return failure("fsync", temporary);
+      return errno_error("fsync", temporary);
     }
   }
   close_file(name);
   if (::rename(temporary.c_str(), path(name).c_str()) != 0) {
-    return failure("rename", temporary);
+    return errno_error("rename", temporary);
   }
-  return sync_folder();
+  return sync_directory();
 }
 
 StorageResult<void> PosixDisk::remove(const std::string& name) {
   close_file(name);
   if (::unlink(path(name).c_str()) != 0 && errno != ENOENT) {
-    return failure("unlink", path(name));
+    return errno_error("unlink", path(name));
   }
-  return sync_folder();
+  return sync_directory();
 }
 
-StorageResult<void> PosixDisk::sync_folder() {
-  const Descriptor folder(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+StorageResult<void> PosixDisk::sync_directory() {
+  const FileDescriptor folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   if (folder.get() < 0 || ::fsync(folder.get()) != 0) {
-    return failure("fsync", folder_);
+    return errno_error("fsync", directory_);
   }
   return {};
 }
--- a/src/storage/posix_disk.h
+++ b/src/storage/posix_disk.h
@@ -25,13 +25,13 @@
   StorageResult<void> remove(const std::string& name) override;
 
  private:
-  explicit PosixDisk(std::string folder) : folder_(std::move(folder)) {}
-  [[nodiscard]] std::string path(const std::string& name) const { return folder_ + "/" + name; }
+  explicit PosixDisk(std::string folder) : directory_(std::move(folder)) {}
+  [[nodiscard]] std::string path(const std::string& name) const { return directory_ + "/" + name; }
   StorageResult<int> open_for_append(const std::string& name);
-  StorageResult<void> sync_folder();
+  StorageResult<void> sync_directory();
   void close_file(const std::string& name);
 
-  std::string folder_;
+  std::string directory_;
   int lock_descriptor_ = -1;
   /// Files that are open for appending.
   std::map<std::string, int> open_files_;
--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -63,7 +63,7 @@
 }
 
 void BalancerTask::on_datagram(ByteView datagram) {
-  if (!Envelope::looks_sealed(datagram)) {
+  if (!Envelope::has_envelope_magic(datagram)) {
     balancer_->on_datagram(datagram, monotonic_now());
     return;
   }
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -42,8 +42,8 @@
   }
   ReplicaIdentity identity;
   identity.cluster = config.cluster;
-  identity.first_replicas = founding_replicas(config.cluster, config.replicas);
-  for (const auto& replica : identity.first_replicas.replicas) {
+  identity.initial_replicas = founding_replicas(config.cluster, config.replicas);
+  for (const auto& replica : identity.initial_replicas.replicas) {
     if (replica.address == config.address) {
       identity.id = replica.id;
     }
@@ -90,7 +90,7 @@
   ReplicaStorage& storage = self;
   ControlOutput& output = self;
   self.node_ =
-      std::make_unique<ControlNode>(replica, (*identity)->first_replicas, std::move(*stored),
+      std::make_unique<ControlNode>(replica, (*identity)->initial_replicas, std::move(*stored),
                                     kDefaultPartitions, storage, output, monotonic_now());
   const auto listening = self.network_.listen(self.config_.listen.value_or(self.config_.address));
   if (!listening) {
--- a/src/tasks/metrics.cc
+++ b/src/tasks/metrics.cc
@@ -51,7 +51,7 @@
   return sample;
 }
 
-void add_link(std::vector<MetricSample>& samples, const NarrowLink& link) {
+void add_link(std::vector<MetricSample>& samples, const LinkShaper& link) {
   const LinkScheduler& scheduler = link.scheduler();
   const BulkAdmission& admission = link.admission();
   const LinkCounters& counters = scheduler.counters();
@@ -63,20 +63,20 @@
       samples.end(),
       {gauge("link_octets_per_second", "What may be sent over the machine's link; 0: not known",
              link.model().rate()),
-       gauge("link_use", "Share of it that is used now", link.model().send_use(monotonic_now())),
+       gauge("link_use", "Share of it that is used now",
+             link.model().send_utilization(monotonic_now())),
        gauge("link_packets_waiting", "Packets that wait for the link",
-             static_cast<double>(scheduler.waiting())),
-       with_reason(counter("link_packets_sent", sent, counters.sent_at_once), "at_once"),
-       with_reason(counter("link_packets_sent", sent, counters.sent_after_waiting), "waited"),
+             static_cast<double>(scheduler.queued_packets())),
+       with_reason(counter("link_packets_sent", sent, counters.sent_immediately), "at_once"),
+       with_reason(counter("link_packets_sent", sent, counters.sent_after_queueing), "waited"),
        counter("link_copies_spared", "Copies of packets that waited or had just left",
-               counters.copies_spared),
-       with_reason(counter("link_packets_dropped", dropped, counters.dropped_when_full), "full"),
-       with_reason(counter("link_packets_dropped", dropped, counters.dropped_as_given_up),
-                   "given_up"),
+               counters.retransmissions_suppressed),
+       with_reason(counter("link_packets_dropped", dropped, counters.dropped_queue_full), "full"),
+       with_reason(counter("link_packets_dropped", dropped, counters.dropped_expired), "given_up"),
        gauge("link_bulk_flows", "Open bulk flows that the link carries",
              static_cast<double>(admission.flows())),
        with_reason(counter("link_bulk_openings", openings, admission.admitted()), "admitted"),
-       with_reason(counter("link_bulk_openings", openings, admission.refused()), "refused")});
+       with_reason(counter("link_bulk_openings", openings, admission.rejected()), "refused")});
 }
 
 }  // namespace
@@ -194,9 +194,9 @@
       counter("dispatches_blocked", "Dispatches to a target that is not the service's",
               c.dispatches_blocked),
   };
-  for (std::size_t i = 0; i < kGiveUpReasons; ++i) {
+  for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
     samples.push_back(counter("requests_given_up", "Verdicts by reason", c.given_up[i]));
-    samples.back().reason = to_string(static_cast<GiveUpReason>(i));
+    samples.back().reason = to_string(static_cast<FailureReason>(i));
   }
   return samples;
 }
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -93,10 +93,10 @@
   }
   last_packet_ = now;
   const FrontendView* frontend =
-      link_.model().is_known() ? steering_.frontend(packet->flow.frontend) : nullptr;
-  const LinkVerdict verdict = link_.on_packet(*packet, datagram.size(), frontend, now);
-  if (verdict != LinkVerdict::kPass) {
-    if (verdict == LinkVerdict::kNoRoom) {
+      link_.model().is_rate_known() ? steering_.frontend(packet->flow.frontend) : nullptr;
+  const LinkDecision verdict = link_.on_packet(*packet, datagram.size(), frontend, now);
+  if (verdict != LinkDecision::kForward) {
+    if (verdict == LinkDecision::kReject) {
       refuse_for_want_of_room(*packet);
     }
     return;
@@ -322,7 +322,7 @@
   }
   const bool turned_away = now - *stop_since_ > kTurnAwayTime;
   const bool silent = now - last_packet_ > kSilenceBeforeStop;
-  const bool has_sent_all = link_.scheduler().waiting() == 0;
+  const bool has_sent_all = link_.scheduler().queued_packets() == 0;
   if ((turned_away && silent && has_sent_all) || now - *stop_since_ > config_.stop_time) {
     log_event(LogEvent::kStopped);
     loop_.stop();
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -12,7 +12,7 @@
 
 #include "codec/envelope.h"
 #include "core/balancer/control_client.h"
-#include "core/link/narrow_link.h"
+#include "core/link/link_shaper.h"
 #include "core/steering/buffered_packets.h"
 #include "core/steering/flow_steering.h"
 #include "tasks/event_loop.h"
@@ -82,7 +82,7 @@
   /// Time since the latest moment as of which the state in force was known to be the newest; since
   /// the start before the first one.
   [[nodiscard]] Duration state_age(Instant now) const;
-  [[nodiscard]] const NarrowLink& link() const { return link_; }
+  [[nodiscard]] const LinkShaper& link() const { return link_; }
   [[nodiscard]] const FrameCounters& frames() const { return network_.counters(); }
 
  private:
@@ -161,7 +161,7 @@
   FrameNetwork network_;
   std::unique_ptr<UdpSocket> socket_;
   BufferedPackets held_;
-  NarrowLink link_;
+  LinkShaper link_;
   bool sends_later_ = false;
   Instant link_logged_at_;
   TargetProber prober_;
--- a/src/tasks/steering_task_link.cc
+++ b/src/tasks/steering_task_link.cc
@@ -23,7 +23,7 @@
             {{"flow", to_string(packet.flow.client) + ">" + to_string(packet.flow.frontend)},
              {"reason", "link_full"},
              {"copies_before", packet.retransmissions},
-             {"committed_ms", link_.admission().committed() / milliseconds(1)},
+             {"committed_ms", link_.admission().expected_drain_time() / milliseconds(1)},
              {"bulk_flows", link_.admission().flows()}});
   send_reset(reset_of(packet));
 }
@@ -32,12 +32,12 @@
                            const RegisteredTarget& target, Instant now) {
   const std::size_t size = format_.forwarded_size(datagram.size());
   std::span<std::uint8_t> out;
-  if (link_.scheduler().may_send_at_once(now)) {
-    link_.scheduler().on_sent_at_once(size, now);
+  if (link_.scheduler().can_send_immediately(now)) {
+    link_.scheduler().on_sent_immediately(size, now);
     out = socket_->reserve(target.address, size);
   } else {
-    const PacketPatience patience =
-        NarrowLink::patience(steering_.frontend(packet.flow.frontend), packet.opens);
+    const PacketDeadlines patience =
+        LinkShaper::packet_deadlines(steering_.frontend(packet.flow.frontend), packet.opens);
     out = link_.scheduler().enqueue(packet, target.address, size, patience, now);
     send_due_later(now);
   }
@@ -47,10 +47,10 @@
 }
 
 void SteeringTask::send_due(Instant now) {
-  while (const auto due = link_.scheduler().take_due(now)) {
+  while (const auto due = link_.scheduler().dequeue(now)) {
     socket_->send(due->to, due->bytes);
-    if (due->waited > kWaitLogged) {
-      log_busy_link(due->waited, now);
+    if (due->queueing_delay > kWaitLogged) {
+      log_busy_link(due->queueing_delay, now);
     }
   }
   socket_->flush();
@@ -66,18 +66,18 @@
   const LinkCounters& counters = scheduler.counters();
   constexpr double kPercent = 100;
   log_event(LogEvent::kLinkBusy,
-            {{"waiting", scheduler.waiting()},
-             {"octets", scheduler.waiting_octets()},
+            {{"waiting", scheduler.queued_packets()},
+             {"octets", scheduler.queued_bytes()},
              {"waited_ms", waited / milliseconds(1)},
-             {"receive_percent", std::lround(link_.model().receive_use(now) * kPercent)},
-             {"send_percent", std::lround(link_.model().send_use(now) * kPercent)},
-             {"copies_spared", counters.copies_spared},
-             {"dropped_when_full", counters.dropped_when_full},
-             {"dropped_as_given_up", counters.dropped_as_given_up}});
+             {"receive_percent", std::lround(link_.model().receive_utilization(now) * kPercent)},
+             {"send_percent", std::lround(link_.model().send_utilization(now) * kPercent)},
+             {"copies_spared", counters.retransmissions_suppressed},
+             {"dropped_when_full", counters.dropped_queue_full},
+             {"dropped_as_given_up", counters.dropped_expired}});
 }
 
 void SteeringTask::send_due_later(Instant now) {
-  const auto turn = link_.scheduler().next_turn();
+  const auto turn = link_.scheduler().next_dequeue_at();
   if (!turn || sends_later_) {
     return;
   }
--- a/tests/unit/balancer_fixture.h
+++ b/tests/unit/balancer_fixture.h
@@ -127,7 +127,7 @@
   message.code = code;
   message.message_id = message_id;
   message.token.length = 1;
-  message.token.octets[0] = token;
+  message.token.bytes[0] = token;
   message.path = {"p"};
   return message;
 }
--- a/tests/unit/test_balancer.cc
+++ b/tests/unit/test_balancer.cc
@@ -188,7 +188,7 @@
     REQUIRE(test.output.to_client.size() == 1);
     CHECK(test.output.to_client[0].flow.client.port == 1);
     CoapMessage block = make_request(coap_code::kGet, 501, 6);
-    block.block2 = Block{2, false, 4};
+    block.block2 = BlockOption{2, false, 4};
     test.request(kFirstService, block, {kClient.address, 6});
     CHECK(test.output.to_client.size() == 1);
   }
--- a/tests/unit/test_coap.cc
+++ b/tests/unit/test_coap.cc
@@ -10,11 +10,11 @@
   message.code = coap_code::kGet;
   message.message_id = 0x1234;
   message.token.length = 2;
-  message.token.octets = {0xAA, 0xBB};
+  message.token.bytes = {0xAA, 0xBB};
   message.observe = 0;
   message.path = {"feed", "a"};
   message.queries = {"id=7"};
-  message.block2 = Block{3, false, 4};
+  message.block2 = BlockOption{3, false, 4};
   return message;
 }
 
@@ -58,15 +58,16 @@
 
   TEST_CASE("a verdict tells whether the request ran and when to come back") {
     CoapParser parser;
-    Token token;
+    CoapToken token;
     token.length = 1;
-    const Verdict not_run{Execution::kNotRun, GiveUpReason::kOverload, std::chrono::seconds(3)};
+    const Verdict not_run{Execution::kNotRun, FailureReason::kOverload, std::chrono::seconds(3)};
     auto summary = parser.parse(encode_verdict(not_run, CoapType::kConfirmable, 5, token));
     REQUIRE(summary);
     CHECK(summary->code == coap_code::kServiceUnavailable);
     CHECK(summary->type == CoapType::kAcknowledgement);
     CHECK(summary->max_age == 3);
-    const Verdict perhaps{Execution::kMayHaveRun, GiveUpReason::kDeadline, std::chrono::seconds(2)};
+    const Verdict perhaps{Execution::kMayHaveRun, FailureReason::kDeadline,
+                          std::chrono::seconds(2)};
     summary = parser.parse(encode_verdict(perhaps, CoapType::kNonConfirmable, 5, token));
     REQUIRE(summary);
     CHECK(summary->code == coap_code::kGatewayTimeout);
--- a/tests/unit/test_envelope.cc
+++ b/tests/unit/test_envelope.cc
@@ -54,9 +54,10 @@
     const Bytes sealed = sender.seal(kMessage);
     Bytes forged = sealed;
     forged[40] ^= 1U;
-    CHECK(receiver.open(forged).error() == EnvelopeError::kForged);
-    CHECK(make_envelope("c", {kNewKey}).open(sealed).error() == EnvelopeError::kForged);
-    CHECK(make_envelope("d", {kOldKey}).open(sealed).error() == EnvelopeError::kForeignCluster);
+    CHECK(receiver.open(forged).error() == EnvelopeError::kAuthenticationFailed);
+    CHECK(make_envelope("c", {kNewKey}).open(sealed).error() ==
+          EnvelopeError::kAuthenticationFailed);
+    CHECK(make_envelope("d", {kOldKey}).open(sealed).error() == EnvelopeError::kWrongCluster);
     CHECK(receiver.open(ByteView(sealed).first(20)).error() == EnvelopeError::kMalformed);
     CHECK(receiver.open(sealed).has_value());
     CHECK(receiver.open(sealed).error() == EnvelopeError::kReplayed);
@@ -66,7 +67,7 @@
     Envelope sender = make_envelope("c", {kOldKey});
     Bytes sealed = sender.seal(kMessage);
     ++sealed[3];
-    CHECK(make_envelope("c", {kOldKey}).open(sealed).error() == EnvelopeError::kVersion);
+    CHECK(make_envelope("c", {kOldKey}).open(sealed).error() == EnvelopeError::kUnsupportedVersion);
   }
 
   TEST_CASE("messages may cross, and a restarted sender begins anew") {
@@ -117,7 +118,7 @@
     CHECK(prepared.open(switched.seal(kMessage)).has_value());
     CHECK(switched.open(prepared.seal(kMessage)).has_value());
     CHECK(switched.open(old_node.seal(kMessage)).has_value());
-    CHECK(old_node.open(switched.seal(kMessage)).error() == EnvelopeError::kForged);
+    CHECK(old_node.open(switched.seal(kMessage)).error() == EnvelopeError::kAuthenticationFailed);
   }
 }
 
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -61,7 +61,7 @@
   CoapMessage message = make_request(coap_code::kGet, 77, 3);
   message.observe = 0;
   message.queries = {"id=abc"};
-  message.block2 = Block{1, true, 4};
+  message.block2 = BlockOption{1, true, 4};
   message.payload = {'p'};
   return message;
 }
--- a/tests/unit/test_link_model.cc
+++ b/tests/unit/test_link_model.cc
@@ -11,7 +11,7 @@
 /// 2 Mbit/s.
 constexpr double kRate = 250'000;
 /// A packet that takes 5 ms, with its framing, of what may be used.
-constexpr std::size_t kLargePacket = 1188 - LinkModel::kFramingOctets;
+constexpr std::size_t kLargePacket = 1188 - LinkModel::kFramingBytes;
 
 }  // namespace
 
@@ -32,11 +32,12 @@
     Instant now = kStart;
     for (int i = 0; i < 1000; ++i) {
       now += milliseconds(10);
-      link.on_received(1188 - LinkModel::kFramingOctets, now);
+      link.on_received(1188 - LinkModel::kFramingBytes, now);
     }
-    CHECK(link.receive_use(now) == doctest::Approx(0.5).epsilon(0.03));
+    CHECK(link.receive_utilization(now) == doctest::Approx(0.5).epsilon(0.03));
     CHECK_FALSE(link.is_congested(now));
-    CHECK(link.receive_use(now + milliseconds(400)) == doctest::Approx(0.125).epsilon(0.05));
+    CHECK(link.receive_utilization(now + milliseconds(400)) ==
+          doctest::Approx(0.125).epsilon(0.05));
   }
 
   TEST_CASE("a link of unknown rate is never busy") {
@@ -45,7 +46,7 @@
       link.on_sent(kLargePacket, kStart);
     }
     CHECK(link.send_backlog(kStart) == Duration::zero());
-    CHECK(link.send_use(kStart) == 0);
+    CHECK(link.send_utilization(kStart) == 0);
     CHECK_FALSE(link.is_congested(kStart));
   }
 }
--- a/tests/unit/test_link_scheduler.cc
+++ b/tests/unit/test_link_scheduler.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "core/link/narrow_link.h"
+#include "core/link/link_shaper.h"
 
 namespace gorsevalve {
 namespace {
@@ -14,9 +14,9 @@
 constexpr double kRate = 250'000;
 constexpr Endpoint kTarget{10, 80};
 constexpr std::size_t kLarge = 1240;
-constexpr PacketPatience kPatience{std::chrono::seconds(8), milliseconds(1200)};
+constexpr PacketDeadlines kDeadlines{std::chrono::seconds(8), milliseconds(1200)};
 
-ClientPacket data_of(std::uint32_t caller, std::uint32_t sequence, std::uint32_t size = 1200) {
+ClientPacket data_packet(std::uint32_t caller, std::uint32_t sequence, std::uint32_t size = 1200) {
   ClientPacket packet;
   packet.flow = {{caller, 1}, {1, 443}};
   packet.sequence = sequence;
@@ -30,13 +30,13 @@
   LinkScheduler scheduler{model};
 
   BusyLink() {
-    while (scheduler.may_send_at_once(kStart)) {
-      scheduler.on_sent_at_once(kLarge, kStart);
+    while (scheduler.can_send_immediately(kStart)) {
+      scheduler.on_sent_immediately(kLarge, kStart);
     }
   }
 
-  void put(const ClientPacket& packet, Instant now = kStart,
-           const PacketPatience& patience = kPatience) {
+  void enqueue(const ClientPacket& packet, Instant now = kStart,
+               const PacketDeadlines& patience = kDeadlines) {
     const std::size_t size = packet.data_size + 40;
     const auto room = scheduler.enqueue(packet, kTarget, size, patience, now);
     REQUIRE(room.size() == size);
@@ -48,9 +48,9 @@
   /// Callers and places of all that leaves, in order, with the time of the last one.
   std::vector<std::pair<int, int>> drain(Instant& now) {
     std::vector<std::pair<int, int>> left;
-    while (const auto turn = scheduler.next_turn()) {
+    while (const auto turn = scheduler.next_dequeue_at()) {
       now = std::max(now, *turn);
-      while (const auto due = scheduler.take_due(now)) {
+      while (const auto due = scheduler.dequeue(now)) {
         left.emplace_back(due->bytes[0], due->bytes[1]);
       }
     }
@@ -65,16 +65,16 @@
     LinkModel model(0);
     LinkScheduler scheduler(model);
     for (int i = 0; i < 10'000; ++i) {
-      CHECK(scheduler.may_send_at_once(kStart));
-      scheduler.on_sent_at_once(kLarge, kStart);
+      CHECK(scheduler.can_send_immediately(kStart));
+      scheduler.on_sent_immediately(kLarge, kStart);
     }
-    CHECK_FALSE(scheduler.next_turn());
+    CHECK_FALSE(scheduler.next_dequeue_at());
   }
 
   TEST_CASE("what waits leaves at the link's rate, in the order of the stream") {
     BusyLink link;
     for (const int place : {3, 0, 2, 1}) {
-      link.put(data_of(7, place * 1200U));
+      link.enqueue(data_packet(7, place * 1200U));
     }
     Instant now = kStart;
     const auto left = link.drain(now);
@@ -87,14 +87,14 @@
   TEST_CASE("a short request passes transfers that wait, and transfers share evenly") {
     BusyLink link;
     for (std::uint32_t place = 0; place < 4; ++place) {
-      link.put(data_of(1, place * 1200));
+      link.enqueue(data_packet(1, place * 1200));
     }
     for (std::uint32_t place = 0; place < 4; ++place) {
-      link.put(data_of(2, place * 1200));
+      link.enqueue(data_packet(2, place * 1200));
     }
-    Instant now = *link.scheduler.next_turn();
-    REQUIRE(link.scheduler.take_due(now));
-    link.put(data_of(9, 0, 100), now);
+    Instant now = *link.scheduler.next_dequeue_at();
+    REQUIRE(link.scheduler.dequeue(now));
+    link.enqueue(data_packet(9, 0, 100), now);
     const auto left = link.drain(now);
     // One of each transfer at most before it: the second one had waited without a turn.
     CHECK(left[1] == std::pair{9, 0});
@@ -107,16 +107,16 @@
 
   TEST_CASE("a transfer that is late yields to one that can still be in time, and goes on") {
     BusyLink link;
-    link.put(data_of(1, 0));
+    link.enqueue(data_packet(1, 0));
     Instant now = kStart;
     link.drain(now);
     now = kStart + milliseconds(1300);
-    while (link.scheduler.may_send_at_once(now)) {
-      link.scheduler.on_sent_at_once(kLarge, now);
+    while (link.scheduler.can_send_immediately(now)) {
+      link.scheduler.on_sent_immediately(kLarge, now);
     }
     for (std::uint32_t place = 1; place <= 10; ++place) {
-      link.put(data_of(1, place * 1200), now);
-      link.put(data_of(2, place * 1200), now);
+      link.enqueue(data_packet(1, place * 1200), now);
+      link.enqueue(data_packet(2, place * 1200), now);
     }
     const auto left = link.drain(now);
     const auto first = std::count_if(left.begin(), left.begin() + 10,
@@ -128,41 +128,42 @@
 
   TEST_CASE("copies of what waits or left lately are not needed; later ones pass") {
     BusyLink link;
-    const ClientPacket packet = data_of(1, 2400);
-    CHECK_FALSE(link.scheduler.is_needless_copy(packet, kStart));
-    link.put(packet);
-    CHECK(link.scheduler.is_needless_copy(packet, kStart + milliseconds(5)));
+    const ClientPacket packet = data_packet(1, 2400);
+    CHECK_FALSE(link.scheduler.is_redundant_retransmission(packet, kStart));
+    link.enqueue(packet);
+    CHECK(link.scheduler.is_redundant_retransmission(packet, kStart + milliseconds(5)));
     Instant now = kStart;
     link.drain(now);
-    CHECK(link.scheduler.is_needless_copy(packet, now + milliseconds(40)));
+    CHECK(link.scheduler.is_redundant_retransmission(packet, now + milliseconds(40)));
     // Senders repeat after 200 ms: if the packet was lost, that copy must pass.
-    CHECK_FALSE(link.scheduler.is_needless_copy(packet, now + milliseconds(200)));
-    CHECK_FALSE(link.scheduler.is_needless_copy(data_of(1, 3600), now));
-    CHECK(link.scheduler.counters().copies_spared == 2);
+    CHECK_FALSE(link.scheduler.is_redundant_retransmission(packet, now + milliseconds(200)));
+    CHECK_FALSE(link.scheduler.is_redundant_retransmission(data_packet(1, 3600), now));
+    CHECK(link.scheduler.counters().retransmissions_suppressed == 2);
   }
 
   TEST_CASE("data that follows an opening or an acknowledgement is no copy of it") {
     BusyLink link;
-    link.put(data_of(1, 2400, 0));
+    link.enqueue(data_packet(1, 2400, 0));
     Instant now = kStart;
     link.drain(now);
-    CHECK_FALSE(link.scheduler.is_needless_copy(data_of(1, 2400), now + milliseconds(10)));
+    CHECK_FALSE(
+        link.scheduler.is_redundant_retransmission(data_packet(1, 2400), now + milliseconds(10)));
   }
 
   TEST_CASE("flows that come without end do not starve a transfer that waits") {
     BusyLink link;
     for (std::uint32_t place = 0; place < 10; ++place) {
-      link.put(data_of(1, place * 1200));
+      link.enqueue(data_packet(1, place * 1200));
     }
     Instant now = kStart;
     std::uint32_t caller = 100;
     int of_transfer = 0;
     for (int turn = 0; turn < 200; ++turn) {
-      now = std::max(now, *link.scheduler.next_turn());
-      while (link.scheduler.waiting() < 40) {
-        link.put(data_of(++caller, 0, 260), now);
+      now = std::max(now, *link.scheduler.next_dequeue_at());
+      while (link.scheduler.queued_packets() < 40) {
+        link.enqueue(data_packet(++caller, 0, 260), now);
       }
-      while (const auto due = link.scheduler.take_due(now)) {
+      while (const auto due = link.scheduler.dequeue(now)) {
         of_transfer += due->bytes[0] == 1 ? 1 : 0;
       }
     }
@@ -173,36 +174,36 @@
     BusyLink link;
     for (std::uint32_t caller = 0; caller < 2 * LinkScheduler::kMaxFlows; ++caller) {
       static_cast<void>(
-          link.scheduler.enqueue(data_of(caller, 0), kTarget, kLarge, kPatience, kStart));
+          link.scheduler.enqueue(data_packet(caller, 0), kTarget, kLarge, kDeadlines, kStart));
     }
-    CHECK(link.scheduler.waiting() <= LinkScheduler::kMaxPackets);
-    CHECK(link.scheduler.counters().dropped_when_full >=
-          2 * LinkScheduler::kMaxFlows - LinkScheduler::kMaxPackets);
+    CHECK(link.scheduler.queued_packets() <= LinkScheduler::kMaxQueuedPackets);
+    CHECK(link.scheduler.counters().dropped_queue_full >=
+          2 * LinkScheduler::kMaxFlows - LinkScheduler::kMaxQueuedPackets);
   }
 
   TEST_CASE("a packet whose caller has left is dropped, also of a flow that lives on") {
     BusyLink link;
-    link.put(data_of(1, 0), kStart, {milliseconds(10), {}});
-    link.put(data_of(1, 1200), kStart, kPatience);
+    link.enqueue(data_packet(1, 0), kStart, {milliseconds(10), {}});
+    link.enqueue(data_packet(1, 1200), kStart, kDeadlines);
     Instant now = kStart + milliseconds(300);
     CHECK(link.drain(now) == std::vector<std::pair<int, int>>{{1, 1}});
-    CHECK(link.scheduler.counters().dropped_as_given_up == 1);
-    link.put(data_of(1, 2400), now);
-    link.scheduler.drop_flow(data_of(1, 0).flow);
-    CHECK(link.scheduler.waiting() == 0);
-    CHECK_FALSE(link.scheduler.next_turn());
+    CHECK(link.scheduler.counters().dropped_expired == 1);
+    link.enqueue(data_packet(1, 2400), now);
+    link.scheduler.drop_flow(data_packet(1, 0).flow);
+    CHECK(link.scheduler.queued_packets() == 0);
+    CHECK_FALSE(link.scheduler.next_dequeue_at());
   }
 
   TEST_CASE("a flow that never ends does not take the place of others") {
     BusyLink link;
-    link.put(data_of(2, 0));
-    for (std::uint32_t place = 0; place < 2 * LinkScheduler::kMaxPackets; ++place) {
-      static_cast<void>(
-          link.scheduler.enqueue(data_of(1, place * 1200), kTarget, kLarge, kPatience, kStart));
+    link.enqueue(data_packet(2, 0));
+    for (std::uint32_t place = 0; place < 2 * LinkScheduler::kMaxQueuedPackets; ++place) {
+      static_cast<void>(link.scheduler.enqueue(data_packet(1, place * 1200), kTarget, kLarge,
+                                               kDeadlines, kStart));
     }
-    CHECK(link.scheduler.waiting() == LinkScheduler::kMaxPackets);
-    link.put(data_of(3, 0));
-    CHECK(link.scheduler.waiting() == LinkScheduler::kMaxPackets);
+    CHECK(link.scheduler.queued_packets() == LinkScheduler::kMaxQueuedPackets);
+    link.enqueue(data_packet(3, 0));
+    CHECK(link.scheduler.queued_packets() == LinkScheduler::kMaxQueuedPackets);
     Instant now = kStart;
     const auto left = link.drain(now);
     const auto place_of = [&](int caller) {
@@ -212,20 +213,20 @@
     };
     CHECK(place_of(2) <= 1);
     CHECK(place_of(3) <= 2);
-    CHECK(link.scheduler.waiting_octets() == 0);
+    CHECK(link.scheduler.queued_bytes() == 0);
   }
 
   TEST_CASE("flows that rest are forgotten") {
     BusyLink link;
     for (std::uint32_t caller = 0; caller < 200; ++caller) {
-      link.put(data_of(caller, 0));
+      link.enqueue(data_packet(caller, 0));
     }
     Instant now = kStart;
     link.drain(now);
     link.scheduler.on_tick(now + std::chrono::seconds(1));
-    CHECK_FALSE(link.scheduler.is_needless_copy(data_of(199, 0), now));
-    link.put(data_of(5, 0), now);
-    CHECK(link.scheduler.waiting() == 1);
+    CHECK_FALSE(link.scheduler.is_redundant_retransmission(data_packet(199, 0), now));
+    link.enqueue(data_packet(5, 0), now);
+    CHECK(link.scheduler.queued_packets() == 1);
   }
 }
 
@@ -238,57 +239,57 @@
     LinkModel model(kRate);
     BulkAdmission admission(model);
     std::uint32_t admitted = 0;
-    while (admission.admits(flow_of(admitted), kTimeout, kStart)) {
+    while (admission.try_admit(flow_of(admitted), kTimeout, kStart)) {
       ++admitted;
       REQUIRE(admitted < 100);
     }
     // 18 of 38,400 octets take 3.9 s of three quarters of what may be used of 2 Mbit/s.
     CHECK(admitted == 18);
-    CHECK(admission.refused() == 1);
-    CHECK(admission.admits(flow_of(0), kTimeout, kStart));
+    CHECK(admission.rejected() == 1);
+    CHECK(admission.try_admit(flow_of(0), kTimeout, kStart));
     admission.on_data(flow_of(0), 38'400, kStart);
-    admission.on_end(flow_of(0), true);
-    CHECK(admission.admits(flow_of(99), kTimeout, kStart));
+    admission.on_flow_end(flow_of(0), true);
+    CHECK(admission.try_admit(flow_of(99), kTimeout, kStart));
   }
 
   TEST_CASE("one flow is always admitted, and flows that went silent do not count") {
     LinkModel slow(1000);
     BulkAdmission admission(slow);
-    CHECK(admission.admits(flow_of(1), kTimeout, kStart));
-    CHECK_FALSE(admission.admits(flow_of(2), kTimeout, kStart));
+    CHECK(admission.try_admit(flow_of(1), kTimeout, kStart));
+    CHECK_FALSE(admission.try_admit(flow_of(2), kTimeout, kStart));
     admission.on_tick(kStart + std::chrono::seconds(3));
-    CHECK(admission.admits(flow_of(2), kTimeout, kStart));
+    CHECK(admission.try_admit(flow_of(2), kTimeout, kStart));
   }
 
   TEST_CASE("the usual size is learned from flows that ended") {
     LinkModel model(kRate);
     BulkAdmission admission(model);
     for (std::uint32_t i = 0; i < 200; ++i) {
-      REQUIRE(admission.admits(flow_of(i), kTimeout, kStart));
+      REQUIRE(admission.try_admit(flow_of(i), kTimeout, kStart));
       admission.on_data(flow_of(i), 100'000, kStart);
-      admission.on_end(flow_of(i), true);
+      admission.on_flow_end(flow_of(i), true);
     }
-    CHECK(admission.usual_size() == doctest::Approx(100'000).epsilon(0.01));
+    CHECK(admission.average_flow_size() == doctest::Approx(100'000).epsilon(0.01));
     // Neither a flow that never opened nor one that was broken off tells of sizes.
-    REQUIRE(admission.admits(flow_of(1000), kTimeout, kStart));
-    admission.on_end(flow_of(1000), true);
-    REQUIRE(admission.admits(flow_of(1001), kTimeout, kStart));
+    REQUIRE(admission.try_admit(flow_of(1000), kTimeout, kStart));
+    admission.on_flow_end(flow_of(1000), true);
+    REQUIRE(admission.try_admit(flow_of(1001), kTimeout, kStart));
     admission.on_data(flow_of(1001), 1200, kStart);
-    admission.on_end(flow_of(1001), false);
-    CHECK(admission.usual_size() == doctest::Approx(100'000).epsilon(0.01));
+    admission.on_flow_end(flow_of(1001), false);
+    CHECK(admission.average_flow_size() == doctest::Approx(100'000).epsilon(0.01));
   }
 
   TEST_CASE("callers that open without end are refused beyond a bound; wide links refuse nobody") {
     LinkModel model(1e12);
     BulkAdmission admission(model);
     for (std::uint32_t i = 0; i < BulkAdmission::kMaxFlows; ++i) {
-      REQUIRE(admission.admits(flow_of(i), kTimeout, kStart));
+      REQUIRE(admission.try_admit(flow_of(i), kTimeout, kStart));
     }
-    CHECK_FALSE(admission.admits(flow_of(5000), kTimeout, kStart));
+    CHECK_FALSE(admission.try_admit(flow_of(5000), kTimeout, kStart));
     LinkModel wide(0);
     BulkAdmission everything(wide);
     for (std::uint32_t i = 0; i < 5000; ++i) {
-      REQUIRE(everything.admits(flow_of(i), kTimeout, kStart));
+      REQUIRE(everything.try_admit(flow_of(i), kTimeout, kStart));
     }
     CHECK(everything.flows() == 0);
   }
--- a/tests/unit/test_proxy_header.cc
+++ b/tests/unit/test_proxy_header.cc
@@ -13,7 +13,7 @@
   header.flow = kFlow;
   header.request_id = RequestId{7, 9};
   header.target = Endpoint{0x0A000A01, 5683};
-  header.relay = RelayMark{2, 77};
+  header.relay = RelayInfo{2, 77};
   header.time_left_ms = 4000;
   return header;
 }
--- a/tests/unit/test_settings.cc
+++ b/tests/unit/test_settings.cc
@@ -20,7 +20,7 @@
   return text.str();
 }
 
-const std::string kGood = R"(schema = 1
+const std::string kValidFile = R"(schema = 1
 deployment = "d"
 [[service]]
 name = "s"
@@ -41,7 +41,7 @@
   return messages;
 }
 
-bool has(const std::vector<std::string>& messages, const std::string& text) {
+bool any_contains(const std::vector<std::string>& messages, const std::string& text) {
   return std::any_of(messages.begin(), messages.end(), [&](const std::string& message) {
     return message.find(text) != std::string::npos;
   });
@@ -51,7 +51,7 @@
 
 TEST_SUITE("settings") {
   TEST_CASE("a good file is read, with defaults") {
-    const auto settings = parse_settings(kGood, "f.toml");
+    const auto settings = parse_settings(kValidFile, "f.toml");
     REQUIRE(settings);
     CHECK(settings->services[0].targets[0].weight == 100);
     CHECK(settings->services[0].targets[0].slots == 2);
@@ -81,29 +81,29 @@
 weight = 2000
 )";
     const auto messages = errors_of(bad);
-    CHECK(has(messages, "f.toml:3: colour: unknown key"));
-    CHECK(has(messages, "f.toml:6: service[0].address"));
-    CHECK(has(messages, "f.toml:7: service[0].owner_spread"));
-    CHECK(has(messages, "f.toml:12: service[0].target[0].weight"));
+    CHECK(any_contains(messages, "f.toml:3: colour: unknown key"));
+    CHECK(any_contains(messages, "f.toml:6: service[0].address"));
+    CHECK(any_contains(messages, "f.toml:7: service[0].owner_spread"));
+    CHECK(any_contains(messages, "f.toml:12: service[0].target[0].weight"));
   }
 
   TEST_CASE("duplicates and overlaps are refused") {
-    const std::string twice = kGood + kGood.substr(kGood.find("[[service]]"));
+    const std::string twice = kValidFile + kValidFile.substr(kValidFile.find("[[service]]"));
     const auto messages = errors_of(twice);
-    CHECK(has(messages, "service[1].name"));
-    CHECK(has(messages, "service[1].address"));
-    CHECK(has(messages, "target[0].address"));
+    CHECK(any_contains(messages, "service[1].name"));
+    CHECK(any_contains(messages, "service[1].address"));
+    CHECK(any_contains(messages, "target[0].address"));
   }
 
   TEST_CASE("broken syntax, a wrong schema and an oversized file are refused") {
-    CHECK(has(errors_of("schema = = 1"), "f.toml:1"));
-    const std::string newer = "schema = 2" + kGood.substr(kGood.find('\n'));
-    CHECK(has(errors_of(newer), "schema"));
+    CHECK(any_contains(errors_of("schema = = 1"), "f.toml:1"));
+    const std::string newer = "schema = 2" + kValidFile.substr(kValidFile.find('\n'));
+    CHECK(any_contains(errors_of(newer), "schema"));
     CHECK_FALSE(parse_settings(std::string(kMaxSettingsSize + 1, '#'), "f.toml"));
   }
 
   TEST_CASE("what is fixed for the life of a service may not change") {
-    const Settings before = *parse_settings(kGood, "f");
+    const Settings before = *parse_settings(kValidFile, "f");
     Settings after = before;
     after.services[0].owner_spread = before.services[0].owner_spread * 2;
     CHECK_FALSE(check_change(before, after, "f").empty());
