--- a/src/core/control/node_registry.cc
+++ b/src/core/control/node_registry.cc
@@ -41,7 +41,7 @@
 }
 
 void NodeRegistry::drop_older(Instant now, Duration age) {
-  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.heard_at > age; });
+  std::erase_if(nodes_, [&](const auto& entry) { return now - entry.second.last_seen > age; });
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/refusal_relay.cc
+++ b/src/core/control/refusal_relay.cc
@@ -42,7 +42,7 @@
 void RefusalRelay::drop_expired(Instant now) {
   std::erase_if(relayed_at_, [&](const auto& one) { return now - one.second >= kSuppressionTime; });
   std::erase_if(report_windows_,
-                [&](const auto& one) { return now - one.second.since >= kReportWindow; });
+                [&](const auto& one) { return now - one.second.started_at >= kReportWindow; });
 }
 
 std::vector<RefusingTargets> RefusalRelay::take_messages(Pending& pending) {
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -113,7 +113,7 @@
   unreported_.clear();
   has_failures_ = false;
   absl::erase_if(counters_,
-                 [&](const auto& entry) { return now - entry.second.at > kCounterExpiry; });
+                 [&](const auto& entry) { return now - entry.second.updated_at > kCounterExpiry; });
   return result;
 }
 
--- a/src/core/link/bulk_admission.cc
+++ b/src/core/link/bulk_admission.cc
@@ -76,7 +76,7 @@
 
 void BulkAdmission::on_tick(Instant now) {
   absl::erase_if(flows_,
-                 [&](const auto& one) { return now - one.second.last_data >= kIdleTimeout; });
+                 [&](const auto& one) { return now - one.second.last_data_at >= kIdleTimeout; });
 }
 
 }  // namespace gorsevalve
--- a/src/model/target_health.cc
+++ b/src/model/target_health.cc
@@ -6,7 +6,7 @@
 namespace {
 
 std::vector<FlowToken> tokens_where(const std::vector<TargetHealth>& figures,
-                                    bool TargetFigure::*property) {
+                                    bool TargetHealth::*property) {
   std::vector<FlowToken> tokens;
   for (const auto& figure : figures) {
     if (figure.*property) {
