--- a/src/core/control/control_state.cc
+++ b/src/core/control/control_state.cc
@@ -9,7 +9,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Saved form of the state.
+/// Serialized form of the state in a snapshot.
 struct SavedState {
   FleetState fleet;
   std::string settings_text;
@@ -30,7 +30,7 @@
   return found == settings.services.end() ? nullptr : &*found;
 }
 
-/// Services in the order of their addresses, so that equal contents are equal states.
+/// Sorts services by address, so that equal contents give equal states.
 void sort_services(Settings& settings) {
   std::sort(settings.services.begin(), settings.services.end(),
             [](const Service& a, const Service& b) { return a.address < b.address; });
@@ -187,7 +187,7 @@
 }
 
 const FleetDelta* ControlState::delta_after(Revision revision) const {
-  // Each delta is based on the one before it, so they are ordered.
+  // Each delta is based on the previous one, so the deltas are sorted by base revision.
   const auto found =
       std::lower_bound(deltas_.begin(), deltas_.end(), revision,
                        [](const FleetDelta& delta, Revision base) { return delta.base < base; });
--- a/src/core/control/control_state.h
+++ b/src/core/control/control_state.h
@@ -1,4 +1,4 @@
-/// The state that the control log drives: the fleet state, and the outcome of every submission.
+/// State machine of the control log: the fleet state and the outcome of every submission.
 #pragma once
 
 #include <cstdint>
@@ -17,18 +17,18 @@
 
 namespace gorsevalve {
 
-/// Chosen by the submitter; the same id means the same submission.
+/// Idempotency key of a submission, chosen by the submitter.
 using SubmissionId = std::string;
 
-/// A complete settings file, submitted against a revision.
+/// A complete settings file, submitted against a base revision.
 struct SettingsCommand {
   SubmissionId id;
-  /// The settings revision that the file was based on.
+  /// Settings revision that the file was edited from.
   Revision base_revision = 0;
   std::string author;
-  /// When the leader took it, in seconds since 1970.
+  /// When the leader received the submission, in seconds since 1970.
   std::int64_t submitted_at_s = 0;
-  /// The file as submitted, and its checked content.
+  /// The file as submitted, and its validated content.
   std::string text;
   Settings settings;
 
@@ -38,13 +38,13 @@
   }
 };
 
-/// What became of a submission.
+/// Whether a submission was accepted, and the revision that decided it.
 struct SubmissionOutcome {
   SubmissionId id;
   bool accepted = false;
-  /// The settings revision that it made, or that it lost against.
+  /// Settings revision that the submission created or conflicted with.
   Revision revision = 0;
-  /// The submission that made that revision.
+  /// Submission that created `revision`.
   SubmissionId winner;
 
   friend bool operator==(const SubmissionOutcome&, const SubmissionOutcome&) = default;
@@ -55,7 +55,7 @@
   }
 };
 
-/// One accepted settings revision, for the history.
+/// Entry of the settings history.
 struct RevisionInfo {
   Revision revision = 0;
   SubmissionId submission;
@@ -72,9 +72,9 @@
 
 class ControlState : public ReplicatedState {
  public:
-  /// Outcomes of submissions that are remembered.
+  /// Maximum number of stored submission outcomes.
   static constexpr std::size_t kMaxOutcomes = 4096;
-  /// Deltas that are kept for nodes that lag.
+  /// Maximum number of deltas kept for nodes that are behind.
   static constexpr std::size_t kMaxDeltas = 256;
   static constexpr std::size_t kMaxHistory = 128;
 
@@ -87,12 +87,12 @@
   [[nodiscard]] const FleetState& fleet() const { return fleet_; }
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
   [[nodiscard]] const std::string& settings_text() const { return settings_text_; }
-  /// The steering settings as they were submitted.
+  /// Text of the steering settings as submitted.
   [[nodiscard]] const std::string& steering_text() const { return steering_text_; }
   [[nodiscard]] const std::vector<RevisionInfo>& history() const { return history_; }
-  /// Outcome of a submission; nothing when it was not decided or is forgotten.
+  /// Outcome of a submission. Nothing if it is undecided or its outcome was evicted.
   [[nodiscard]] std::optional<SubmissionOutcome> outcome(const SubmissionId& id) const;
-  /// The delta that follows a revision; nullptr when it is no longer kept.
+  /// The delta based on a revision, or nullptr when it is not kept.
   [[nodiscard]] const FleetDelta* delta_after(Revision revision) const;
 
  private:
@@ -103,9 +103,9 @@
   void apply_evacuation(LogIndex index, const EvacuationCommand& command);
   void add_steering_delta(LogIndex index, SteeringDelta change);
   void record_outcome(SubmissionOutcome outcome);
-  /// Applies a change, and keeps it for nodes that lag.
+  /// Applies a delta and keeps it for nodes that are behind.
   void add_delta(FleetDelta delta);
-  /// Builds what is derived from the state anew.
+  /// Rebuilds the token index and the digest from the fleet state.
   void rebuild_derived_state();
 
   FleetState fleet_;
--- a/src/core/control/evacuation.cc
+++ b/src/core/control/evacuation.cc
@@ -68,7 +68,8 @@
 }
 
 std::vector<std::string> pools_without_targets(const FleetState& fleet) {
-  // Whether a pool or service with targets that could take new work has one outside.
+  // Maps each pool and service with eligible targets to whether one is outside of the evacuated
+  // zones.
   std::map<std::string, bool> is_served;
   const auto note = [&](const std::string& name, const std::string& zone) {
     is_served[name] |= find_evacuation(fleet.steering, zone) == nullptr;
--- a/src/core/control/evacuation.h
+++ b/src/core/control/evacuation.h
@@ -1,5 +1,5 @@
-/// Evacuation of a zone: the operator's command of the control log, how it changes the steering
-/// state, and what an operator should know of it. Pure functions.
+/// Zone evacuation: the operator's command in the control log, its effect on the steering state,
+/// and checks for the operator. Pure functions.
 #pragma once
 
 #include <optional>
@@ -12,13 +12,13 @@
 namespace gorsevalve {
 
 enum class EvacuationAction : std::uint8_t {
-  /// The zone's targets get no new flows from now on.
+  /// The zone's targets get no new flows.
   kEvacuate = 0,
-  /// They get new flows again.
+  /// The zone's targets get new flows again.
   kRestore = 1,
 };
 
-/// Name of an order in logs.
+/// Name of an action in logs.
 std::string_view to_string(EvacuationAction order);
 
 struct EvacuationCommand {
@@ -33,25 +33,25 @@
   }
 };
 
-/// The evacuation of a zone, or nullptr.
+/// The evacuation of a zone, or nullptr if it is not evacuated.
 const EvacuatedZone* find_evacuation(const SteeringState& state, std::string_view zone);
 
-/// True when the state is already what the command asks for.
+/// True when the command would not change the state.
 bool is_already_applied(const SteeringState& state, const EvacuationCommand& command);
 
-/// The change that a command makes to a state as revision `since`; nothing when it is in force.
+/// The change that a command makes at revision `since`, or nothing when it has no effect.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const EvacuationCommand& command, Revision since);
 
-/// Zones that may be named in an order, by name: the configured ones, those of targets, and those
-/// that are evacuated. The empty name is none.
+/// Zones that a command may name, sorted: configured zones, zones of targets, and evacuated zones.
+/// Excludes the empty name.
 std::vector<std::string> known_zones(const std::vector<std::string>& configured,
                                      const FleetState& fleet);
 
-/// What an operator is told who named an unknown zone.
+/// Error message for a command that names an unknown zone.
 std::string unknown_zone_error(const std::string& zone, const std::vector<std::string>& known);
 
-/// Pools and services whose targets that could take new work are all in evacuated zones, by name.
+/// Names of the pools and services whose eligible targets are all in evacuated zones, sorted.
 std::vector<std::string> pools_without_targets(const FleetState& fleet);
 
 }  // namespace gorsevalve
--- a/src/core/control/fleet_delta.h
+++ b/src/core/control/fleet_delta.h
@@ -1,4 +1,4 @@
-/// Changes of the fleet state: what the control log brings about, and what balancers follow.
+/// Changes to the fleet state, as committed by the control log and sent to balancers.
 #pragma once
 
 #include <optional>
@@ -9,11 +9,11 @@
 
 namespace gorsevalve {
 
-/// Changes of the balancer members.
+/// Changes to the balancer members.
 struct MembersCommand {
-  /// Members added, or changed in state; by address.
+  /// Members that were added or changed, identified by address.
   std::vector<Member> upserted;
-  /// Addresses removed, unless re-added under another incarnation in the same command.
+  /// Addresses to remove, unless the same command adds them under another incarnation.
   std::vector<Endpoint> removed;
 
   template <class Archive>
@@ -22,7 +22,7 @@
   }
 };
 
-/// What changed between two revisions of the fleet state.
+/// Difference between two revisions of the fleet state.
 struct FleetDelta {
   Revision base = 0;
   Revision revision = 0;
@@ -43,10 +43,10 @@
   }
 };
 
-/// True when the delta follows this state's revision.
+/// True when the delta can be applied to this state's revision.
 bool is_based_on(const FleetState& fleet, const FleetDelta& delta);
 
-/// Applies a delta; false when it is not based on this state's revision.
+/// Applies a delta. Returns false and changes nothing if it is not based on this state's revision.
 bool apply_delta(FleetState& fleet, const FleetDelta& delta);
 
 }  // namespace gorsevalve
--- a/src/core/control/fleet_digest.cc
+++ b/src/core/control/fleet_digest.cc
@@ -10,7 +10,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Kinds of elements, so that equal octets of two kinds give two digests.
+/// Hash seed by element type, so that equal bytes of different types have different digests.
 enum class ElementKind : std::uint8_t { kService = 1, kFrontend = 2, kTarget = 3 };
 
 template <typename Element>
@@ -19,7 +19,7 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), static_cast<std::uint64_t>(kind));
 }
 
-/// What is not among the elements.
+/// Fields of the fleet state outside of the element sum, and that sum.
 struct ScalarFields {
   Revision revision = 0;
   Revision settings_revision = 0;
--- a/src/core/control/log_entry.h
+++ b/src/core/control/log_entry.h
@@ -1,4 +1,4 @@
-/// Entries of the replicated control log, and the configuration of the replicas themselves.
+/// Entries of the replicated control log, and the configuration of its replicas.
 #pragma once
 
 #include <cstdint>
@@ -10,23 +10,23 @@
 
 namespace gorsevalve {
 
-/// Election period. Terms only grow; each has at most one leader.
+/// Election term. Terms increase monotonically, and each has at most one leader.
 using Term = std::uint64_t;
-/// Position in the log, from 1.
+/// Position in the log, starting at 1.
 using LogIndex = std::uint64_t;
 
-/// Identity of a replica: drawn when its data folder is made, and lost with it. A replica whose
-/// disk was replaced is a different replica and has no vote of the old one.
+/// Identity of a replica, generated at random when its data directory is created. A replica with a
+/// replaced disk gets a new identity and does not inherit the vote of the old one.
 using ReplicaId = std::uint64_t;
 
 enum class EntryType : std::uint8_t {
-  /// Written by a new leader, to commit what earlier terms left.
+  /// Appended by a new leader to commit the entries of earlier terms.
   kNoOp = 0,
   /// A SettingsCommand.
   kSettings = 1,
   /// A MembersCommand.
   kMembers = 2,
-  /// A ReplicaSet: in force as soon as it is in the log.
+  /// A ReplicaSet. Takes effect as soon as it is in the log.
   kReplicas = 3,
   /// A SteeringCommand.
   kSteering = 4,
@@ -53,7 +53,7 @@
 struct ReplicaInfo {
   ReplicaId id = 0;
   Endpoint address;
-  /// False for a learner: it gets the log but does not count for elections and commits.
+  /// False for a learner, which receives the log but does not count for elections and commits.
   bool voter = true;
 
   friend bool operator==(const ReplicaInfo&, const ReplicaInfo&) = default;
@@ -64,14 +64,14 @@
   }
 };
 
-/// All replicas. Changes by one voter at a time (Ongaro, "Consensus: bridging theory and practice",
-/// 2014, section 4.1).
+/// The configuration of the cluster. Changes by one voter at a time (Ongaro, "Consensus: bridging
+/// theory and practice", 2014, section 4.1).
 struct ReplicaSet {
   std::vector<ReplicaInfo> replicas;
 
   [[nodiscard]] const ReplicaInfo* find(ReplicaId id) const;
   [[nodiscard]] bool is_voter(ReplicaId id) const;
-  /// Voters that are needed for a majority.
+  /// Number of voters that form a majority.
   [[nodiscard]] std::size_t majority() const;
 
   friend bool operator==(const ReplicaSet&, const ReplicaSet&) = default;
@@ -82,12 +82,12 @@
   }
 };
 
-/// Term and vote, which must survive a restart.
+/// Term, vote and leader, which must survive a restart.
 struct HardState {
   Term term = 0;
-  /// Replica voted for in `term`; 0 for none.
+  /// Replica that received the vote in `term`. 0 for none.
   ReplicaId voted_for = 0;
-  /// Leader of `term`, as far as it is known; 0 when not.
+  /// Leader of `term`. 0 if unknown.
   ReplicaId leader = 0;
 
   friend bool operator==(const HardState&, const HardState&) = default;
@@ -98,7 +98,7 @@
   }
 };
 
-/// State up to and including an index, in place of the entries.
+/// State up to and including `index`, which replaces the entries up to there.
 struct Snapshot {
   LogIndex index = 0;
   Term term = 0;
--- a/src/core/control/membership.cc
+++ b/src/core/control/membership.cc
@@ -97,7 +97,8 @@
     batch_started_at_.reset();
     return std::nullopt;
   }
-  // Changes that come together go together: one transfer instead of several.
+  // Batches changes that arrive together into one, which needs one state transfer instead of
+  // several.
   batch_started_at_ = batch_started_at_.value_or(now);
   if (now - *batch_started_at_ < control_timing::kMembershipBatchWindow) {
     return std::nullopt;
--- a/src/core/control/membership.h
+++ b/src/core/control/membership.h
@@ -1,4 +1,4 @@
-/// The leader's decisions about the balancer members: who joins, leaves and is removed, and when.
+/// Decides at the leader which balancers join, leave and are removed from the members, and when.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,22 @@
 
 class MembershipController {
  public:
-  /// Forgets what an earlier time as leader has seen. Nothing is removed before nodes had the time
-  /// to be heard.
+  /// Resets the state of an earlier leadership. No member is removed until kMemberTimeout has
+  /// passed, so that nodes can report first.
   void on_elected(Instant now);
 
-  /// The next membership change, or nothing. Lost members are removed at once; joins and planned
-  /// leaves wait until the change before them has settled, so that state is handed over step by
-  /// step.
+  /// Returns the next membership change, or nothing. Timed-out members are removed at once. Joins
+  /// and planned leaves wait until the handovers of the previous change are complete, so state
+  /// moves one change at a time.
   [[nodiscard]] std::optional<MembersCommand> next_change(const FleetState& fleet,
                                                           const NodeRegistry& nodes, Instant now);
 
-  /// Leaving members that may end: every other member has settled without them.
+  /// Leaving members that can stop safely: they have handed over, and every other member has
+  /// completed its handovers.
   [[nodiscard]] static std::vector<Endpoint> members_safe_to_stop(const FleetState& fleet,
                                                                   const NodeRegistry& nodes);
 
-  /// True when every active member that is heard has finished the handovers of the present
-  /// revision.
+  /// True when every member has completed the handovers of the current members revision.
   [[nodiscard]] static bool is_handover_complete(const FleetState& fleet,
                                                  const NodeRegistry& nodes);
 
@@ -44,8 +44,8 @@
   Revision handover_revision_ = 0;
   Instant handover_started_at_;
   std::optional<Instant> batch_started_at_;
-  /// Removed processes. One that runs comes back as another member; until it does, late reports
-  /// about it count for nothing.
+  /// Incarnations of removed processes. A removed process that still runs rejoins as a new
+  /// incarnation; late reports about the old one are ignored.
   std::set<std::uint64_t> removed_incarnations_;
 };
 
--- a/src/core/control/replica.cc
+++ b/src/core/control/replica.cc
@@ -10,16 +10,16 @@
 namespace {
 
 constexpr Duration kJoinInterval = std::chrono::milliseconds(500);
-/// A replica that heard of no leader for this long asks to be taken in, even where it believes that
-/// it is a voter.
+/// A replica without leader contact for this long requests admission, even if its replica set lists
+/// it as a voter.
 constexpr Duration kLeaderContactTimeout = std::chrono::milliseconds(3000);
-/// A voter that confirmed nothing to the leader for this long may be removed.
+/// A voter that has acknowledged nothing to the leader for this long may be removed.
 constexpr Duration kVoterTimeout = std::chrono::milliseconds(2000);
-/// Election timeouts after which a leader that no majority confirmed since steps down. Two: its
-/// clients look for another one soon.
+/// A leader steps down after this many election timeouts without an acknowledgement from a
+/// majority, because its clients should find another leader soon.
 constexpr int kQuorumLossTimeouts = 2;
-/// The same for one that has not committed anything yet. Longer, since its followers may first
-/// need much of the log, and another election would cost them as much again.
+/// The same limit before a leader's first commit. It is longer because followers may first need a
+/// large part of the log, which another election would delay again.
 constexpr int kFirstCommitTimeouts = 6;
 
 }  // namespace
@@ -43,15 +43,16 @@
     commit_index_ = snapshot_->index;
     applied_index_ = snapshot_->index;
   }
-  // What was committed stays so: it can be shown before there is a leader again.
+  // Committed entries cannot be lost, so they are applied before a leader is known.
   commit_index_ = std::max(commit_index_, std::min(stored.committed, last_index()));
   apply_committed();
   load_replica_set();
-  // A restarted replica does not know when it last heard from a leader, so it behaves as if it had
-  // just heard from one: `last_leader_contact_` is now.
+  // A restarted replica does not know when it last received a message from a leader. It waits as if
+  // that were now.
   reset_election_timer(now);
   if (hard_state_.leader == config_.id) {
-    // It led its term itself and has just started, so nobody has a lease, and it need not wait.
+    // This replica led the stored term before the restart and no longer holds its lease, so it can
+    // start an election at once.
     released_lease_term_ = hard_state_.term;
     election_deadline_ = now;
   }
@@ -141,7 +142,8 @@
 }
 
 void Replica::reject_stale_leader(const ReplicaMessage& message) {
-  // Nobody votes for this replica while that leader lives, so the leader must learn of the term.
+  // No voter grants a vote to this replica while the older leader is active, so that leader must
+  // learn of the newer term.
   const bool from_leader = std::holds_alternative<AppendRequest>(message.body) ||
                            std::holds_alternative<SnapshotRequest>(message.body);
   const ReplicaInfo* leader = replicas_.find(message.from);
@@ -160,8 +162,8 @@
   const bool asks_pre_vote = vote_request != nullptr && vote_request->pre_vote;
   const bool answers_pre_vote =
       vote_reply != nullptr && vote_reply->pre_vote && vote_reply->granted;
-  // A vote request within the lease of a leader is not even looked at, so that a replica that was
-  // cut off cannot depose a leader that works.
+  // Vote requests are ignored while a leader is active, so a replica that was partitioned cannot
+  // depose a working leader.
   const bool leader_lives =
       is_leader() ? has_lease(now) : now - last_leader_contact_ < config_.timing.election_timeout;
   const bool looks_at_vote =
@@ -261,7 +263,7 @@
     return;
   }
   if (now - last_leader_contact_ > kLeaderContactTimeout) {
-    // Perhaps the others removed this replica while it was away.
+    // The other replicas may have removed this one while it was unreachable.
     send_join_requests(now);
   }
   if (now >= election_deadline_) {
@@ -299,7 +301,7 @@
   const bool waits =
       !leader_ && released_lease_term_ != hard_state_.term && replicas_.is_voter(config_.id);
   if (is_replaced && waits && now - started_at_ < control_timing::kRestartWindow) {
-    // Nobody holds a lease of this term any more, so this replica need not wait.
+    // The leader of this term no longer holds a lease, so an election can start at once.
     released_lease_term_ = hard_state_.term;
     election_deadline_ = now;
   }
@@ -313,8 +315,8 @@
 }
 
 void Replica::propose_replica_change(Instant now) {
-  // One change at a time, and only after an entry of the own term is committed (Raft, section 4.1,
-  // with the correction of 2015).
+  // Allows one change at a time, and only after an entry of the current term is committed (Raft,
+  // section 4.1, with the correction of 2015).
   if (!has_lease(now) || replicas_index_ > commit_index_) {
     return;
   }
@@ -329,8 +331,8 @@
     propose(EntryType::kReplicas, encode_archive(changed), now);
     return;
   }
-  // A voter that is gone is removed when that leaves an odd number of voters: its place was taken,
-  // and the fewer voters bear as many losses. It is taken in again when it comes back.
+  // Removes an unreachable voter if that leaves an odd number of voters: one fewer voter then
+  // tolerates the same number of failures. The voter is admitted again when it returns.
   const auto voters = std::count_if(changed.replicas.begin(), changed.replicas.end(),
                                     [](const ReplicaInfo& replica) { return replica.voter; });
   const ReplicaInfo* lost = unreachable_voter(now);
@@ -349,7 +351,7 @@
     if (replicas_.find(id) != nullptr) {
       continue;
     }
-    // The process at this address has a new identity: the old one is gone with its disk.
+    // A new identity at a known address means that the old replica lost its disk.
     ReplicaSet changed = replicas_;
     std::erase_if(changed.replicas,
                   [&](const ReplicaInfo& replica) { return replica.address == address; });
--- a/src/core/control/replica_election.cc
+++ b/src/core/control/replica_election.cc
@@ -1,4 +1,4 @@
-/// Elections of a replica: pre-votes, votes, becoming the leader. Source: see replica_messages.h.
+/// Leader election: pre-votes, votes, leadership transfer. Source: see replica_messages.h.
 #include <algorithm>
 
 #include "core/control/replica.h"
@@ -7,10 +7,10 @@
 namespace gorsevalve {
 namespace {
 
-/// A replica whose disk refuses writes waits longer before it stands for election again.
+/// Added to the election timeout after a failed write.
 constexpr Duration kWriteFailureBackoff = std::chrono::milliseconds(1500);
-/// A replica that knows after its start that nobody holds a lease asks for pre-votes this often,
-/// since others may start with it.
+/// Pre-vote interval of a restarted replica that knows that no lease is held. Short, since the
+/// other replicas may be starting as well.
 constexpr Duration kRestartPreVoteInterval = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -31,9 +31,9 @@
 void Replica::start_election(bool pre_vote, Instant now) {
   const HardState before = hard_state_;
   reset_election_timer(now);
-  // A pre-vote changes nothing, so it is repeated soon: after a restart of all, voters refuse until
-  // an election timeout after their own start. A split vote is repeated sooner than a lost leader
-  // is noticed, too.
+  // A pre-vote has no side effects and is retried soon: after a restart of all replicas, voters
+  // reject it until an election timeout after their own start. A split vote is also retried sooner
+  // than a lost leader is detected.
   const Duration wait = election_deadline_ - now;
   election_deadline_ = now + (pre_vote ? wait / 4 : wait / 2);
   const bool is_restarting = released_lease_term_ == hard_state_.term &&
@@ -48,7 +48,7 @@
   if (!pre_vote) {
     hard_state_ = {hard_state_.term + 1, config_.id, 0};
     if (!persist_hard_state()) {
-      // Nobody has seen the new term, so it never was.
+      // The new term was neither stored nor sent, so it is rolled back.
       hard_state_ = before;
       step_down_after_write_failure(now);
       return;
@@ -92,14 +92,14 @@
 }
 
 void Replica::handle(const ReplicaMessage& message, const VoteRequest& request, Instant now) {
-  // The candidate counts votes by its own set, so a vote of a replica with a new disk, whose
-  // identity is in no set, counts nowhere.
+  // The candidate counts only votes of replicas in its own set, so a replica with a new disk and a
+  // new identity cannot vote twice.
   const bool current =
       candidate_log_is_up_to_date(request) || config_.faults.vote_without_log_check;
   VoteReply reply{request.pre_vote, false};
   if (request.pre_vote) {
-    // Of two candidates with equal logs the one with the greater id goes on; the other one gives
-    // way, so that they do not split the vote that follows.
+    // When two candidates have equal logs, the one with the greater id continues and the other one
+    // withdraws. This avoids a split vote.
     const bool competes = role_ == ReplicaRole::kCandidate && in_pre_vote_;
     const bool equal_logs =
         request.last_term == term_at(last_index()) && request.last_index == last_index();
@@ -156,7 +156,8 @@
       best_index = progress.match_index;
     }
   }
-  // From here on this replica does not act as leader: the election that follows ignores its lease.
+  // This replica must stop acting as leader before the transfer, because the following election
+  // ignores its lease.
   role_ = ReplicaRole::kFollower;
   leader_.reset();
   reset_election_timer(now);
--- a/src/core/control/replica_log.cc
+++ b/src/core/control/replica_log.cc
@@ -1,5 +1,4 @@
-/// The log of a replica: replication to followers, commit, snapshots. Source: see
-/// replica_messages.h.
+/// Log replication: appends, commit, snapshots. Source: see replica_messages.h.
 #include <algorithm>
 #include <iterator>
 
@@ -10,9 +9,9 @@
 namespace gorsevalve {
 namespace {
 
-/// Octets of payload in one AppendRequest.
+/// Payload size in bytes at which an AppendRequest is full.
 constexpr std::size_t kMaxAppendBytes = 256 * 1024;
-/// Append intervals after which what was not confirmed is sent again.
+/// Append intervals after which unacknowledged data is retransmitted.
 constexpr int kRetransmitIntervals = 5;
 
 std::int64_t to_us(Instant instant) { return instant.time_since_epoch().count(); }
@@ -78,7 +77,8 @@
     size += request.entries.back().payload.size();
   }
   if (!request.entries.empty()) {
-    // What is under way does not go again with the next append: a large entry would go many times.
+    // Entries in flight are not repeated in the next append, which would send a large entry many
+    // times.
     if (progress.first_unacked_index == 0 || progress.next_index <= progress.first_unacked_index) {
       progress.first_unacked_index = progress.next_index;
       progress.retransmit_at = now + kRetransmitIntervals * config_.timing.append_interval;
@@ -105,7 +105,7 @@
   std::sort(matched.begin(), matched.end(), std::greater<>());
   const std::size_t needed = config_.faults.commit_without_majority ? 1 : replicas_.majority();
   const LogIndex committed = matched[needed - 1];
-  // Only entries of the own term are committed by counting (Raft, section 3.6.2).
+  // Only entries of the current term are committed by counting replicas (Raft, section 3.6.2).
   if (committed > commit_index_ && term_at(committed) == hard_state_.term) {
     commit_index_ = committed;
     apply_committed();
@@ -114,7 +114,8 @@
       role_ = ReplicaRole::kFollower;
       return;
     }
-    // Followers serve balancers, too: they learn of the commit at once, not with the next append.
+    // Followers serve balancers as well, so they learn of the commit at once instead of with the
+    // next append.
     replicate_to_all(now);
   }
 }
@@ -165,7 +166,7 @@
   }
   leader_ = message.from;
   if (hard_state_.leader != message.from) {
-    // Goes to disk with the next entries.
+    // Stored with the next frame.
     hard_state_.leader = message.from;
     hard_state_dirty_ = true;
   }
@@ -207,7 +208,7 @@
   if (!covered && request.previous_index > last_index()) {
     reply.index = last_index() + 1;
   } else if (!covered && term_at(request.previous_index) != request.previous_term) {
-    // What is committed here is the same at the leader.
+    // Committed entries match the leader's log, so the search never goes below them.
     reply.index = std::min(request.previous_index, commit_index_ + 1);
   } else {
     if (!store_entries(request)) {
@@ -229,7 +230,7 @@
   if (known == nullptr) {
     return;
   }
-  // A copy: what is committed here may change the set.
+  // Copied because a commit may change the replica set.
   const ReplicaInfo replica = *known;
   Progress& progress = progress_[message.from];
   progress.acked_send_time = std::max(progress.acked_send_time, from_us(reply.sent_at_us));
@@ -245,7 +246,8 @@
       replicate_to(replica, now);
     }
   } else if (reply.index > 0 && reply.index < progress.next_index) {
-    // Refusals of what was sent before the last step back name no smaller index: they are ignored.
+    // Ignores rejections of appends that were sent before the last step back: their index is not
+    // smaller.
     progress.next_index = std::max(reply.index, progress.match_index + 1);
     progress.first_unacked_index = 0;
     progress.is_probing = true;
--- a/src/core/control/replica_messages.h
+++ b/src/core/control/replica_messages.h
@@ -16,10 +16,11 @@
   bool pre_vote = false;
   LogIndex last_index = 0;
   Term last_term = 0;
-  /// Where the candidate listens. A voter may not have learned yet that the candidate is one.
+  /// Address of the candidate, for the reply. The voter may not know yet that the candidate is a
+  /// voter.
   Endpoint address;
-  /// The leader of this term agrees to the election and holds no lease any more, nor does any
-  /// earlier one: it asked for the election, or it is the candidate and was restarted. 0 for none.
+  /// Neither the leader of this term nor any earlier leader holds a lease any more: the leader
+  /// requested this election, or its process has ended or restarted. 0 for none.
   Term released_lease_term = 0;
 
   template <class Archive>
@@ -39,15 +40,15 @@
 };
 
 struct AppendRequest {
-  /// Where the reply goes: a learner may not know its leader's address yet.
+  /// Address for the reply. A learner may not know its leader's address yet.
   Endpoint leader;
   LogIndex previous_index = 0;
   Term previous_term = 0;
   LogIndex commit_index = 0;
-  /// Leader's clock when this was sent, echoed in the reply: what a lease is measured from.
+  /// Leader's clock at sending, in microseconds. The reply echoes it; leases are measured from it.
   std::int64_t sent_at_us = 0;
   std::vector<LogEntry> entries;
-  /// The leader had its lease when it sent this: a majority stood behind it a moment before.
+  /// The leader held its lease at sending, so a majority had acknowledged it recently.
   bool has_lease = false;
 
   template <class Archive>
@@ -58,7 +59,8 @@
 
 struct AppendReply {
   bool accepted = false;
-  /// Highest index known to match when accepted; else a hint from where to try.
+  /// If accepted, the highest index known to match; otherwise a hint for the next index to try, 0
+  /// for none.
   LogIndex index = 0;
   std::int64_t sent_at_us = 0;
 
@@ -69,7 +71,7 @@
 };
 
 struct SnapshotRequest {
-  /// Where the reply goes.
+  /// Address for the reply.
   Endpoint leader;
   Snapshot snapshot;
   std::int64_t sent_at_us = 0;
@@ -80,7 +82,7 @@
   }
 };
 
-/// A replica that is in no replica set it knows of asks to be taken in at its address.
+/// Request of a replica outside of its known replica set to be admitted with this address.
 struct JoinRequest {
   Endpoint address;
 
@@ -90,7 +92,7 @@
   }
 };
 
-/// A leader that stops asks its best follower to take over at once (Raft, section 3.10).
+/// A leader that steps down asks a follower to start an election at once (Raft, section 3.10).
 struct LeadershipTransfer {
   template <class Archive>
   void serialize(Archive& /*archive*/, unsigned /*version*/) {}
--- a/src/core/control/timing.h
+++ b/src/core/control/timing.h
@@ -1,4 +1,4 @@
-/// Time constants of the control plane, with the rule that each follows from.
+/// Time constants of the control plane and the constraints between them.
 #pragma once
 
 #include <chrono>
@@ -11,34 +11,35 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Pause between two AppendRequests of a leader to an idle follower.
+/// Interval between AppendRequests from a leader to an idle follower.
 constexpr Duration kAppendInterval = milliseconds(100);
-/// A follower waits at least this long, and less than twice this long, without a leader before it
-/// starts an election. It grants no vote within the minimum after it heard from a leader.
+/// A follower waits between one and two times this long without leader contact before it starts an
+/// election. It grants no vote within this time after leader contact.
 constexpr Duration kElectionTimeout = milliseconds(600);
-/// For this long after its start a replica goes by signs that nobody holds a lease.
+/// Time after startup in which a replica uses evidence that no lease is held to skip the election
+/// timeout.
 constexpr Duration kRestartWindow = seconds(3);
-/// Clocks of two machines may run apart by this factor within a lease.
+/// Maximum relative drift between the clocks of two machines.
 constexpr double kClockDrift = 0.05;
-/// A leader acts as leader for this long after it sent something that a majority confirmed.
+/// Duration of the leader lease, from the send time of a message that a majority acknowledged.
 constexpr Duration kLeaderLease = Duration(
     static_cast<std::int64_t>(static_cast<double>(kElectionTimeout.count()) * (1 - kClockDrift)));
 
-/// Pause between two heartbeats of a balancer, and between two reports of a follower to the leader.
+/// Interval between heartbeats of a balancer, and between reports of a follower to the leader.
 constexpr Duration kHeartbeatInterval = milliseconds(1000);
-/// A balancer that no replica heard of for this long is removed from the members.
+/// A balancer is removed from the members if no replica receives its heartbeat for this long.
 constexpr Duration kMemberTimeout = milliseconds(3500);
-/// Longest time for which a balancer may run once-only requests after a report that a
-/// majority-backed leader confirmed.
+/// Maximum time for which a balancer may process non-idempotent requests after a report that a
+/// leader with a majority acknowledged.
 constexpr Duration kBalancerLease = timing::kLease;
-/// The membership changes of this time are put into one.
+/// Membership changes within this time are batched into one.
 constexpr Duration kMembershipBatchWindow = milliseconds(200);
-/// A planned membership change waits at most this long for the one before it to settle.
+/// Maximum time that a planned membership change waits for the handovers of the previous one.
 constexpr Duration kHandoverTimeout = seconds(10);
 
 static_assert(kLeaderLease < kElectionTimeout);
-// A new owner may lack records only until leases of lost owners have ended, whichever replica
-// confirmed them last.
+// The records of a new owner may be incomplete only until the leases of the lost owners have
+// expired, whichever replica confirmed them last.
 static_assert(kBalancerLease + kLeaderLease + kMemberTimeout < timing::kIncompleteTakeover);
 
 }  // namespace gorsevalve::control_timing
--- a/src/core/control/update_progress.cc
+++ b/src/core/control/update_progress.cc
@@ -3,8 +3,8 @@
 namespace gorsevalve {
 namespace {
 
-/// An update that is not confirmed after this long was lost: longer than the pause between two
-/// heartbeats and a way there and back.
+/// An update without acknowledgement for this long counts as lost. Exceeds a heartbeat interval
+/// plus a round trip.
 constexpr Duration kAckTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
@@ -30,7 +30,8 @@
   }
   unacked_revision_ = 0;
   if (heartbeat.revision < sent_revision_) {
-    // Not the earliest update after it, so the wait is rather too long, by one heartbeat at most.
+    // The earliest remaining update is not recorded, so the timer restarts at the latest one. This
+    // extends the timeout by at most one heartbeat interval.
     start_ack_timer(sent_revision_, now);
   }
 }
--- a/src/core/control/update_publisher.cc
+++ b/src/core/control/update_publisher.cc
@@ -8,8 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Updates that are kept for other balancers, by the revisions that these have: more than differ
-/// between balancers that are all in touch.
+/// Cache size that exceeds the number of different revisions at connected balancers.
 constexpr std::size_t kMaxCachedUpdates = 16;
 
 }  // namespace
@@ -31,8 +30,8 @@
     return;
   }
   if (!heartbeat.wants_update) {
-    // It follows another replica or looks for one. Pushes would find no connection after a while,
-    // and would count as sent when it comes back.
+    // The balancer uses or searches for another replica. Later pushes would be dropped, but count
+    // as sent when it returns.
     if (!faults_.assume_sends_delivered) {
       subscribers_.erase(from);
     }
@@ -71,7 +70,7 @@
 
 bool UpdatePublisher::send_update(const Endpoint& to, Revision revision, std::uint64_t digest) {
   const FleetState& fleet = state_.fleet();
-  // A node whose state differs at the same revision gets all of it.
+  // A balancer with a different state at the same revision gets a snapshot.
   const bool whole = revision == 0 || revision > fleet.revision ||
                      (revision == fleet.revision && digest != state_.digest());
   return output_.send_shared(to, cached_update(revision, whole));
--- a/src/core/control/update_publisher.h
+++ b/src/core/control/update_publisher.h
@@ -1,6 +1,6 @@
-/// Keeps the balancers that follow this replica up to date: pushes each new revision to them, and
-/// answers what they say that they lack. A balancer follows while its heartbeats want updates and a
-/// connection takes what goes to it.
+/// Sends fleet updates to the balancers that subscribe to this replica: pushes each new revision,
+/// and sends catch-up updates when heartbeats show that a balancer is behind. A balancer is
+/// subscribed while its heartbeats request updates and it has a connection.
 #pragma once
 
 #include <cstdint>
@@ -22,35 +22,37 @@
   /// All references must outlive the publisher.
   UpdatePublisher(const ControlState& state, const NodeRegistry& nodes, ControlOutput& output);
 
-  /// Sends a balancer what it lacks by its own word, unless that may still arrive. To be called
-  /// after the registry has the heartbeat.
+  /// Sends a catch-up update if the heartbeat shows that the balancer is behind and no update is in
+  /// flight. Must be called after the registry has processed the heartbeat.
   void on_heartbeat(const Endpoint& from, const NodeHeartbeat& heartbeat, Instant now);
-  /// Sends a new revision to all followers, once.
+  /// Sends a new revision once to all subscribers.
   void push(Instant now);
-  /// Sends something else to all followers.
+  /// Sends a message to all subscribers.
   void broadcast(const SharedNodeMessage& message);
-  /// Forgets balancers that were not heard for long.
+  /// Removes subscribers without a recent heartbeat.
   void drop_timed_out(Instant now);
 
-  /// How many balancers follow this replica.
+  /// Number of balancers subscribed to this replica.
   [[nodiscard]] std::size_t subscriber_count() const { return subscribers_.size(); }
 
   void set_faults(const ControlFaults& faults) { faults_ = faults; }
 
  private:
-  /// Sends a balancer all that it lacks, whatever was sent before.
+  /// Sends all changes after the balancer's revision, regardless of earlier updates.
   void send_catch_up(const Endpoint& to, const NodeHeartbeat& heartbeat, UpdateProgress& progress,
                      Instant now);
-  /// True while the balancer counts as following this replica.
+  /// True while this replica receives the balancer's heartbeats directly and recently enough.
   [[nodiscard]] bool is_subscribed(const Endpoint& address, Instant now) const;
-  /// Sends one balancer what it was not sent yet; false when it has no connection, or was not heard
-  /// for long, so that it does not follow this replica any more. It asks when it comes back.
+  /// Sends the changes since the last update to one balancer. Returns false when the balancer has
+  /// no connection or its heartbeats have stopped; it is then unsubscribed until its next heartbeat
+  /// that requests updates.
   bool push_to(const Endpoint& address, UpdateProgress& progress, Instant now);
-  /// Sends what follows a revision; false when it was dropped for certain.
+  /// Sends the changes after a revision. Returns false when the message is known to be dropped.
   bool send_update(const Endpoint& to, Revision revision, std::uint64_t digest);
-  /// The changes after a revision; nothing when they are not known any more.
+  /// The changes after a revision, or nothing when they are no longer kept.
   [[nodiscard]] std::optional<FleetUpdate> changes_after(Revision revision) const;
-  /// The update that takes a balancer from a revision, or from nothing, to the present one.
+  /// Update from a revision to the current one, or a snapshot if `whole` is set. Cached for other
+  /// balancers.
   SharedNodeMessage cached_update(Revision revision, bool whole);
 
   const ControlState& state_;
@@ -59,7 +61,7 @@
   ControlFaults faults_;
   std::map<Endpoint, UpdateProgress> subscribers_;
   Revision pushed_revision_ = 0;
-  /// Updates to the present revision by the revision that they follow; 0 for the whole state.
+  /// Updates to the current revision by their base revision. Key 0 holds the snapshot.
   std::map<Revision, SharedNodeMessage> update_cache_;
   Revision cached_revision_ = 0;
 };
