--- a/src/core/control/evacuation.cc
+++ b/src/core/control/evacuation.cc
@@ -71,28 +71,28 @@
   // Maps each pool and service with eligible targets to whether one is outside of the evacuated
   // zones.
   std::map<std::string, bool> is_served;
-  const auto note = [&](const std::string& name, const std::string& zone) {
+  const auto record_target = [&](const std::string& name, const std::string& zone) {
     is_served[name] |= find_evacuation(fleet.steering, zone) == nullptr;
   };
   for (const auto& service : fleet.settings.services) {
     for (const auto& target : service.targets) {
       if (!target.draining) {
-        note(service.name, target.zone);
+        record_target(service.name, target.zone);
       }
     }
   }
   for (const auto& [id, target] : fleet.steering.targets) {
     if (target.phase == TargetPhase::kReady || target.phase == TargetPhase::kSilent) {
-      note(target.pool, target.zone);
+      record_target(target.pool, target.zone);
     }
   }
-  std::vector<std::string> without;
+  std::vector<std::string> unserved;
   for (const auto& [name, served] : is_served) {
     if (!served) {
-      without.push_back(name);
+      unserved.push_back(name);
     }
   }
-  return without;
+  return unserved;
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/membership.cc
+++ b/src/core/control/membership.cc
@@ -34,8 +34,9 @@
     const NodeEntry* entry = nodes.find(member.address);
     const bool replaced =
         entry != nullptr && entry->status.member.incarnation != member.incarnation;
-    const bool silent = entry == nullptr || now - entry->last_seen > control_timing::kMemberTimeout;
-    if (silent || replaced) {
+    const bool timed_out =
+        entry == nullptr || now - entry->last_seen > control_timing::kMemberTimeout;
+    if (timed_out || replaced) {
       change.removed.push_back(member.address);
     }
   }
@@ -48,14 +49,14 @@
     if (now - entry.last_seen > control_timing::kMemberTimeout) {
       continue;
     }
-    const Member& seen = entry.status.member;
+    const Member& reported = entry.status.member;
     const Member* member = find_member(fleet, address);
-    const bool joins = member == nullptr && seen.state == MemberState::kActive &&
-                       !removed_incarnations_.contains(seen.incarnation);
-    const bool leaves =
-        member != nullptr && member->incarnation == seen.incarnation && member->state != seen.state;
+    const bool joins = member == nullptr && reported.state == MemberState::kActive &&
+                       !removed_incarnations_.contains(reported.incarnation);
+    const bool leaves = member != nullptr && member->incarnation == reported.incarnation &&
+                        member->state != reported.state;
     if (joins || leaves) {
-      change.upserted.push_back(seen);
+      change.upserted.push_back(reported);
       any = true;
     }
   }
--- a/src/core/control/replica.cc
+++ b/src/core/control/replica.cc
@@ -164,12 +164,12 @@
       vote_reply != nullptr && vote_reply->pre_vote && vote_reply->granted;
   // Vote requests are ignored while a leader is active, so a replica that was partitioned cannot
   // depose a working leader.
-  const bool leader_lives =
+  const bool leader_is_active =
       is_leader() ? has_lease(now) : now - last_leader_contact_ < config_.timing.election_timeout;
-  const bool looks_at_vote =
-      !leader_lives || config_.faults.vote_despite_live_leader ||
+  const bool considers_vote =
+      !leader_is_active || config_.faults.vote_despite_live_leader ||
       (vote_request != nullptr && vote_request->released_lease_term >= hard_state_.term);
-  if (vote_request != nullptr && !looks_at_vote) {
+  if (vote_request != nullptr && !considers_vote) {
     return false;
   }
   if (message.term > hard_state_.term && !asks_pre_vote && !answers_pre_vote) {
@@ -202,23 +202,24 @@
 }
 
 Instant Replica::majority_acked_send_time(Instant now) const {
-  std::vector<Instant> confirmed;
+  std::vector<Instant> acked_send_times;
   for (const auto& replica : replicas_.replicas) {
     if (!replica.voter) {
       continue;
     }
     if (replica.id == config_.id) {
-      confirmed.push_back(now);
+      acked_send_times.push_back(now);
       continue;
     }
     const auto found = progress_.find(replica.id);
-    confirmed.push_back(found == progress_.end() ? Instant{} : found->second.acked_send_time);
+    acked_send_times.push_back(found == progress_.end() ? Instant{}
+                                                        : found->second.acked_send_time);
   }
-  if (confirmed.size() < replicas_.majority()) {
+  if (acked_send_times.size() < replicas_.majority()) {
     return Instant{};
   }
-  std::sort(confirmed.begin(), confirmed.end(), std::greater<>());
-  return confirmed[replicas_.majority() - 1];
+  std::sort(acked_send_times.begin(), acked_send_times.end(), std::greater<>());
+  return acked_send_times[replicas_.majority() - 1];
 }
 
 bool Replica::has_lease(Instant now) const {
@@ -249,10 +250,10 @@
       }
     }
     propose_replica_change(now);
-    const Instant confirmed_at = std::max(majority_acked_send_time(now), leader_since_);
+    const Instant quorum_contact = std::max(majority_acked_send_time(now), leader_since_);
     const int timeouts =
         commit_index_ >= term_start_index_ ? kQuorumLossTimeouts : kFirstCommitTimeouts;
-    if (now - confirmed_at > timeouts * config_.timing.election_timeout) {
+    if (now - quorum_contact > timeouts * config_.timing.election_timeout) {
       become_follower(hard_state_.term, now);
       leader_.reset();
     }
@@ -272,8 +273,8 @@
 }
 
 void Replica::request_admission(Instant now) {
-  const bool admitted = replicas_.find(config_.id) != nullptr;
-  if (!admitted || now - last_leader_contact_ > kLeaderContactTimeout) {
+  const bool is_in_replica_set = replicas_.find(config_.id) != nullptr;
+  if (!is_in_replica_set || now - last_leader_contact_ > kLeaderContactTimeout) {
     send_join_requests(now);
   }
 }
@@ -283,12 +284,12 @@
     return;
   }
   next_join_request_at_ = now + kJoinInterval;
-  std::set<Endpoint> asked(config_.seeds.begin(), config_.seeds.end());
+  std::set<Endpoint> recipients(config_.seeds.begin(), config_.seeds.end());
   for (const auto& replica : replicas_.replicas) {
-    asked.insert(replica.address);
+    recipients.insert(replica.address);
   }
-  asked.erase(config_.address);
-  for (const auto& address : asked) {
+  recipients.erase(config_.address);
+  for (const auto& address : recipients) {
     send(address, hard_state_.term, {0, 0, JoinRequest{config_.address}});
   }
 }
@@ -298,9 +299,9 @@
   const ReplicaInfo* leader = replicas_.find(hard_state_.leader);
   const bool is_replaced = leader != nullptr && leader->address == request.address &&
                            leader->id != message.from && leader->id != config_.id;
-  const bool waits =
+  const bool awaits_lease_expiry =
       !leader_ && released_lease_term_ != hard_state_.term && replicas_.is_voter(config_.id);
-  if (is_replaced && waits && now - started_at_ < control_timing::kRestartWindow) {
+  if (is_replaced && awaits_lease_expiry && now - started_at_ < control_timing::kRestartWindow) {
     // The leader of this term no longer holds a lease, so an election can start at once.
     released_lease_term_ = hard_state_.term;
     election_deadline_ = now;
@@ -335,10 +336,10 @@
   // tolerates the same number of failures. The voter is admitted again when it returns.
   const auto voters = std::count_if(changed.replicas.begin(), changed.replicas.end(),
                                     [](const ReplicaInfo& replica) { return replica.voter; });
-  const ReplicaInfo* lost = unreachable_voter(now);
-  if (voters % 2 == 0 && voters > 2 && lost != nullptr) {
+  const ReplicaInfo* unreachable = unreachable_voter(now);
+  if (voters % 2 == 0 && voters > 2 && unreachable != nullptr) {
     std::erase_if(changed.replicas,
-                  [id = lost->id](const ReplicaInfo& replica) { return replica.id == id; });
+                  [id = unreachable->id](const ReplicaInfo& replica) { return replica.id == id; });
     propose(EntryType::kReplicas, encode_archive(changed), now);
   }
 }
--- a/src/core/control/replica_election.cc
+++ b/src/core/control/replica_election.cc
@@ -100,11 +100,11 @@
   if (request.pre_vote) {
     // When two candidates have equal logs, the one with the greater id continues and the other one
     // withdraws. This avoids a split vote.
-    const bool competes = role_ == ReplicaRole::kCandidate && in_pre_vote_;
+    const bool is_competing = role_ == ReplicaRole::kCandidate && in_pre_vote_;
     const bool equal_logs =
         request.last_term == term_at(last_index()) && request.last_index == last_index();
-    const bool goes_on = competes && equal_logs && config_.id > message.from;
-    reply.granted = current && message.term > hard_state_.term && !goes_on;
+    const bool keeps_candidacy = is_competing && equal_logs && config_.id > message.from;
+    reply.granted = current && message.term > hard_state_.term && !keeps_candidacy;
     if (reply.granted && !is_leader()) {
       role_ = ReplicaRole::kFollower;
       election_deadline_ = std::max(election_deadline_, now + config_.timing.election_timeout / 2);
@@ -112,8 +112,9 @@
     send(request.address, reply.granted ? message.term : hard_state_.term, {0, 0, reply});
     return;
   }
-  const bool free = hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
-  if (current && free && role_ == ReplicaRole::kFollower) {
+  const bool vote_is_available =
+      hard_state_.voted_for == 0 || hard_state_.voted_for == message.from;
+  if (current && vote_is_available && role_ == ReplicaRole::kFollower) {
     hard_state_.voted_for = message.from;
     if (!persist_hard_state()) {
       return;
@@ -150,8 +151,9 @@
   LogIndex best_index = 0;
   for (const auto& replica : replicas_.replicas) {
     const Progress& progress = progress_[replica.id];
-    const bool lives = now - progress.acked_send_time < config_.timing.election_timeout;
-    if (replica.voter && replica.id != config_.id && lives && progress.match_index >= best_index) {
+    const bool is_reachable = now - progress.acked_send_time < config_.timing.election_timeout;
+    if (replica.voter && replica.id != config_.id && is_reachable &&
+        progress.match_index >= best_index) {
       best = &replica;
       best_index = progress.match_index;
     }
--- a/src/core/control/replica_log.cc
+++ b/src/core/control/replica_log.cc
@@ -146,17 +146,17 @@
       snapshot.replicas = decode_archive<ReplicaSet>(one.payload).value_or(snapshot.replicas);
     }
   }
-  std::vector<LogEntry> rest(
+  std::vector<LogEntry> remaining_entries(
       entries_.begin() + static_cast<std::ptrdiff_t>(applied_index_ - snapshot_index()),
       entries_.end());
-  if (!storage_.replace_with_snapshot(snapshot,
-                                      {hard_state_, std::nullopt, rest, snapshot.index})) {
+  if (!storage_.replace_with_snapshot(
+          snapshot, {hard_state_, std::nullopt, remaining_entries, snapshot.index})) {
     failed_ = !storage_.can_retry();
     return;
   }
   hard_state_dirty_ = false;
   snapshot_ = std::move(snapshot);
-  entries_ = std::move(rest);
+  entries_ = std::move(remaining_entries);
 }
 
 void Replica::follow_leader(const ReplicaMessage& message, Instant now) {
@@ -238,8 +238,8 @@
     progress.is_probing = false;
     progress.match_index = std::max(progress.match_index, reply.index);
     progress.next_index = std::max(progress.next_index, progress.match_index + 1);
-    const bool all_confirmed = progress.match_index + 1 >= progress.next_index;
-    progress.first_unacked_index = all_confirmed ? 0 : progress.match_index + 1;
+    const bool all_acked = progress.match_index + 1 >= progress.next_index;
+    progress.first_unacked_index = all_acked ? 0 : progress.match_index + 1;
     progress.retransmit_at = now + kRetransmitIntervals * config_.timing.append_interval;
     advance_commit(now);
     if (progress.next_index <= last_index()) {
@@ -259,20 +259,21 @@
   follow_leader(message, now);
   const Snapshot& snapshot = request.snapshot;
   if (snapshot.index > commit_index_) {
-    const bool keeps_rest = term_at(snapshot.index) == snapshot.term;
-    std::vector<LogEntry> rest;
-    if (keeps_rest) {
-      rest.assign(entries_.begin() + static_cast<std::ptrdiff_t>(snapshot.index - snapshot_index()),
-                  entries_.end());
+    const bool keeps_suffix = term_at(snapshot.index) == snapshot.term;
+    std::vector<LogEntry> remaining_entries;
+    if (keeps_suffix) {
+      remaining_entries.assign(
+          entries_.begin() + static_cast<std::ptrdiff_t>(snapshot.index - snapshot_index()),
+          entries_.end());
     }
-    if (!storage_.replace_with_snapshot(snapshot,
-                                        {hard_state_, std::nullopt, rest, snapshot.index})) {
+    if (!storage_.replace_with_snapshot(
+            snapshot, {hard_state_, std::nullopt, remaining_entries, snapshot.index})) {
       failed_ = !storage_.can_retry();
       return;
     }
     hard_state_dirty_ = false;
     snapshot_ = snapshot;
-    entries_ = std::move(rest);
+    entries_ = std::move(remaining_entries);
     commit_index_ = snapshot.index;
     applied_index_ = snapshot.index;
     state_.restore(snapshot.state);
--- a/src/core/control/update_publisher.cc
+++ b/src/core/control/update_publisher.cc
@@ -46,10 +46,10 @@
     progress.on_applied(heartbeat.revision);
     return;
   }
-  const bool is_under_way = progress.is_in_flight(revision, now) && !heartbeat.has_gap;
+  const bool in_flight = progress.is_in_flight(revision, now) && !heartbeat.has_gap;
   const bool counts_as_sent =
       faults_.assume_sends_delivered && progress.sent_revision() == revision;
-  const bool may_arrive = heartbeat.revision < revision && (is_under_way || counts_as_sent);
+  const bool may_arrive = heartbeat.revision < revision && (in_flight || counts_as_sent);
   if (!may_arrive) {
     send_catch_up(from, heartbeat, progress, now);
   }
@@ -71,9 +71,9 @@
 bool UpdatePublisher::send_update(const Endpoint& to, Revision revision, std::uint64_t digest) {
   const FleetState& fleet = state_.fleet();
   // A balancer with a different state at the same revision gets a snapshot.
-  const bool whole = revision == 0 || revision > fleet.revision ||
-                     (revision == fleet.revision && digest != state_.digest());
-  return output_.send_shared(to, cached_update(revision, whole));
+  const bool needs_snapshot = revision == 0 || revision > fleet.revision ||
+                              (revision == fleet.revision && digest != state_.digest());
+  return output_.send_shared(to, cached_update(revision, needs_snapshot));
 }
 
 std::optional<FleetUpdate> UpdatePublisher::changes_after(Revision revision) const {
@@ -90,17 +90,17 @@
   return update;
 }
 
-SharedNodeMessage UpdatePublisher::cached_update(Revision revision, bool whole) {
+SharedNodeMessage UpdatePublisher::cached_update(Revision revision, bool needs_snapshot) {
   const FleetState& fleet = state_.fleet();
   if (cached_revision_ != fleet.revision || update_cache_.size() > kMaxCachedUpdates) {
     update_cache_.clear();
     cached_revision_ = fleet.revision;
   }
-  const auto known = update_cache_.find(whole ? 0 : revision);
+  const auto known = update_cache_.find(needs_snapshot ? 0 : revision);
   if (known != update_cache_.end()) {
     return known->second;
   }
-  std::optional<FleetUpdate> changes = whole ? std::nullopt : changes_after(revision);
+  std::optional<FleetUpdate> changes = needs_snapshot ? std::nullopt : changes_after(revision);
   SharedNodeMessage& shared = update_cache_[changes ? revision : 0];
   if (changes) {
     shared = std::make_shared<const NodeMessage>(std::move(*changes));
@@ -120,9 +120,9 @@
     return;
   }
   pushed_revision_ = revision;
-  for (auto one = subscribers_.begin(); one != subscribers_.end();) {
-    const bool is_here = push_to(one->first, one->second, now);
-    one = is_here ? std::next(one) : subscribers_.erase(one);
+  for (auto subscriber = subscribers_.begin(); subscriber != subscribers_.end();) {
+    const bool is_connected = push_to(subscriber->first, subscriber->second, now);
+    subscriber = is_connected ? std::next(subscriber) : subscribers_.erase(subscriber);
   }
 }
 
@@ -148,7 +148,8 @@
 }
 
 void UpdatePublisher::drop_timed_out(Instant now) {
-  std::erase_if(subscribers_, [&](const auto& one) { return !is_subscribed(one.first, now); });
+  std::erase_if(subscribers_,
+                [&](const auto& subscriber) { return !is_subscribed(subscriber.first, now); });
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/update_publisher.h
+++ b/src/core/control/update_publisher.h
@@ -51,9 +51,9 @@
   bool send_update(const Endpoint& to, Revision revision, std::uint64_t digest);
   /// The changes after a revision, or nothing when they are no longer kept.
   [[nodiscard]] std::optional<FleetUpdate> changes_after(Revision revision) const;
-  /// Update from a revision to the current one, or a snapshot if `whole` is set. Cached for other
-  /// balancers.
-  SharedNodeMessage cached_update(Revision revision, bool whole);
+  /// Update from a revision to the current one, or a snapshot if `needs_snapshot` is set. Cached
+  /// for other balancers.
+  SharedNodeMessage cached_update(Revision revision, bool needs_snapshot);
 
   const ControlState& state_;
   const NodeRegistry& nodes_;
--- a/tests/sim/test_following_workload.cc
+++ b/tests/sim/test_following_workload.cc
@@ -1,7 +1,7 @@
-/// A seeded workload of the core: balancers follow three replicas while changes come without pause,
-/// connections are lost, reset or silenced one way or both, replicas stand still, balancers are cut
-/// off, and figures of targets flow. Checks that each balancer that is not cut off itself has a
-/// change in force within the bound.
+/// Randomized workload of the core: balancers subscribe to three replicas during continuous changes
+/// and target health updates, with reset or blackholed connections, paused replicas and isolated
+/// balancers. Checks that each balancer that is not isolated applies a change within the time
+/// bound.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -22,9 +22,9 @@
 
 constexpr Duration kStep = milliseconds(20);
 constexpr Duration kRunTime = std::chrono::seconds(40);
-/// Bound within which a change must be in force.
+/// Maximum time until a change is applied.
 constexpr Duration kMaxUpdateDelay = std::chrono::seconds(3);
-/// As FrameNetwork gives up a connection without an answer.
+/// Unanswered time after which a connection is closed, as in FrameNetwork.
 constexpr Duration kConnectionTimeout = milliseconds(1500);
 constexpr std::uint32_t kReplicas = 3;
 constexpr std::uint32_t kBalancers = 4;
@@ -35,12 +35,13 @@
   ControlClientFaults client;
 };
 
-/// A connection between a balancer and a replica. A new one works, unless the balancer is cut off.
+/// A connection between a balancer and a replica. A new connection works unless the balancer is
+/// isolated.
 struct Link {
   bool is_open = false;
   bool drops_to_replica = false;
   bool drops_to_balancer = false;
-  /// When each end first sent something after which nothing came.
+  /// When each end sent its first message without a later message from the other end.
   std::optional<Instant> replica_unanswered_since;
   std::optional<Instant> balancer_unanswered_since;
 };
@@ -51,13 +52,13 @@
 
 class Workload;
 
-/// One balancer with its links.
+/// A balancer with one connection per replica.
 class SimulatedBalancer : public ControlClientOutput {
  public:
   SimulatedBalancer(Workload& workload, std::uint32_t number, const ControlClientFaults& faults);
 
   void on_tick(Instant now);
-  /// From a replica; false when it knows that it was dropped.
+  /// Receives a message from a replica. Returns false when the message is known to be dropped.
   bool receive(std::uint32_t replica, const NodeMessage& message, Instant now);
   void deliver(Instant now);
 
@@ -73,7 +74,7 @@
   std::array<Link, kReplicas + 1> links;
   bool is_outbound_blocked = false;
   bool is_inbound_blocked = false;
-  /// When something was done to it last.
+  /// End of the latest isolation; the maximum during an isolation.
   Instant disturbed_at;
 
  private:
@@ -97,7 +98,7 @@
     }
   }
 
-  /// The first violation; empty when there is none.
+  /// Runs the workload; returns the first violation, or an empty string.
   std::string run() {
     const Instant end = cluster.now() + kRunTime;
     while (cluster.now() < end && violation_.empty()) {
@@ -176,9 +177,9 @@
 
   void isolate_balancer() {
     SimulatedBalancer& balancer = *balancers_[below(kBalancers)];
-    const std::uint64_t ways = 1 + below(3);
-    balancer.is_outbound_blocked = (ways & 1U) != 0;
-    balancer.is_inbound_blocked = (ways & 2U) != 0;
+    const std::uint64_t directions = 1 + below(3);
+    balancer.is_outbound_blocked = (directions & 1U) != 0;
+    balancer.is_inbound_blocked = (directions & 2U) != 0;
     balancer.disturbed_at = Instant::max();
     isolated_until_ = cluster.now() + milliseconds(500 + below(4000));
   }
@@ -191,12 +192,12 @@
   }
 
   void blackhole_connections() {
-    const std::uint64_t ways = 1 + below(3);
+    const std::uint64_t directions = 1 + below(3);
     for (auto& balancer : balancers_) {
       for (auto& link : balancer->links) {
-        const bool is_meant = link.is_open && below(2) == 0;
-        link.drops_to_replica = link.drops_to_replica || (is_meant && (ways & 1U) != 0);
-        link.drops_to_balancer = link.drops_to_balancer || (is_meant && (ways & 2U) != 0);
+        const bool is_selected = link.is_open && below(2) == 0;
+        link.drops_to_replica = link.drops_to_replica || (is_selected && (directions & 1U) != 0);
+        link.drops_to_balancer = link.drops_to_balancer || (is_selected && (directions & 2U) != 0);
       }
     }
   }
@@ -210,7 +211,7 @@
       }
       const Duration behind = cluster.now() - std::max(missing->second, balancer.disturbed_at);
       if (behind > kMaxUpdateDelay) {
-        violation_ = "balancer " + std::to_string(i) + " lacks revision " +
+        violation_ = "balancer " + std::to_string(i) + " has not applied revision " +
                      std::to_string(missing->first) + " for " + std::to_string(behind.count()) +
                      " us";
       }
@@ -218,7 +219,7 @@
   }
 
   std::vector<std::unique_ptr<SimulatedBalancer>> balancers_;
-  /// When each revision was first seen to be committed.
+  /// Time at which each revision was first seen as committed.
   std::map<Revision, Instant> committed_;
   Revision latest_revision_ = 0;
   TargetId changes_ = 0;
@@ -282,23 +283,22 @@
   if (targets.empty() || workload_.below(2) == 0) {
     return {};
   }
-  const auto place = static_cast<std::ptrdiff_t>(workload_.below(targets.size()));
-  return {{std::next(targets.begin(), place)->second.token, 0, 0, 1, 1, 0}};
+  const auto position = static_cast<std::ptrdiff_t>(workload_.below(targets.size()));
+  return {{std::next(targets.begin(), position)->second.token, 0, 0, 1, 1, 0}};
 }
 
 }  // namespace
 
 TEST_SUITE("following_workload") {
-  TEST_CASE(
-      "every balancer that is not cut off has each change in force in time, over many seeds") {
+  TEST_CASE("every balancer that is not isolated applies each change in time, over many seeds") {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
       const std::string violation = Workload(seed, {}).run();
       CHECK_MESSAGE(violation.empty(), "seed ", seed, ": ", violation);
     }
   }
 
-  TEST_CASE("the two deliberate faults together are caught") {
-    // Each alone is made good by the other end: that is what both are for.
+  TEST_CASE("the two injected faults together are detected") {
+    // The other end compensates for each fault alone.
     WorkloadFaults faults;
     faults.control.assume_sends_delivered = true;
     faults.client.trust_any_message = true;
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -1,5 +1,5 @@
-/// Three control processes and a balancer that follows one of them, without sockets: for tests of
-/// what balancers are told and of what gets lost on the way.
+/// Test fixture without sockets: three control processes and a balancer that subscribes to one of
+/// them, with injectable message loss.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -28,7 +28,7 @@
   }
 };
 
-/// Carries messages between three control processes at once.
+/// Delivers messages between three control processes without delay.
 class Cluster {
  public:
   struct Output : ControlOutput {
@@ -36,11 +36,12 @@
     std::size_t self = 0;
     std::vector<std::pair<Endpoint, NodeMessage>> to_nodes;
     std::vector<SharedNodeMessage> shared;
-    /// There is no connection to any balancer: what is sent to one is dropped, and that is known.
+    /// No balancer is connected: sends to balancers fail.
     bool is_balancer_disconnected = false;
-    /// What this replica reports to others is lost, and that is not known.
+    /// Reports of this replica to other replicas are dropped, while the send succeeds.
     bool drops_reports = false;
-    /// Carries what goes to balancers in place of `to_nodes`; false when it is dropped for certain.
+    /// Receives messages to balancers instead of `to_nodes`. Returns false when the message is
+    /// known to be dropped.
     std::function<bool(const Endpoint& to, const NodeMessage& message)> to_balancer;
     void send(const Endpoint& to, const ReplicaMessage& message) override {
       cluster->queue_.push_back({to.address, message, {}, self});
@@ -96,7 +97,7 @@
     return 0;
   }
 
-  /// Runs until a replica leads; gives its number.
+  /// Runs the cluster for an election; returns the number of the leader.
   std::uint32_t elect() {
     run(std::chrono::seconds(3));
     const std::uint32_t elected = leader();
@@ -108,11 +109,11 @@
   Output& output(std::uint32_t i) { return outputs_[i]; }
   [[nodiscard]] Instant now() const { return now_; }
 
-  /// A process that stands still, and what is sent to it is lost; 0 for none.
+  /// Number of a paused process that receives no messages; 0 for none.
   std::uint32_t frozen = 0;
-  /// Replicas to which everything gets lost, by their number.
+  /// Replicas that receive no messages, by number.
   std::array<bool, 4> drops_messages_to{};
-  /// Loses all that was sent and has not arrived.
+  /// Drops all messages in flight.
   void drop_in_flight() { queue_.clear(); }
 
  private:
@@ -125,15 +126,15 @@
 
   void deliver() {
     for (int round = 0; round < 10; ++round) {
-      for (const auto& letter : std::exchange(queue_, {})) {
-        if (letter.to < 1 || letter.to > 3 || letter.to == frozen || drops_messages_to[letter.to]) {
+      for (const auto& queued : std::exchange(queue_, {})) {
+        if (queued.to < 1 || queued.to > 3 || queued.to == frozen || drops_messages_to[queued.to]) {
           continue;
         }
-        const Endpoint from{static_cast<std::uint32_t>(letter.from), 7000};
-        if (letter.replica) {
-          nodes_[letter.to]->on_replica_message(*letter.replica, now_);
+        const Endpoint from{static_cast<std::uint32_t>(queued.from), 7000};
+        if (queued.replica) {
+          nodes_[queued.to]->on_replica_message(*queued.replica, now_);
         } else {
-          nodes_[letter.to]->on_node_message(from, *letter.node, now_);
+          nodes_[queued.to]->on_node_message(from, *queued.node, now_);
         }
       }
     }
@@ -146,7 +147,7 @@
   std::vector<QueuedMessage> queue_;
 };
 
-/// A balancer that follows the state at one replica of a cluster, with messages that can be lost.
+/// A balancer that subscribes to one replica of a cluster, with injectable message loss.
 class SubscribedBalancer : public ControlClientOutput {
  public:
   explicit SubscribedBalancer(Cluster& cluster) : cluster_(cluster) {
@@ -164,7 +165,7 @@
   }
   void on_update_refused(const RefusedUpdate& /*update*/) override { ++refused_updates; }
 
-  /// Lets time pass, and carries messages each 20 ms.
+  /// Advances time in steps of 20 ms and delivers messages after each step.
   void run(Duration time) {
     for (Duration passed{0}; passed < time; passed += milliseconds(20)) {
       cluster_.run(milliseconds(20));
@@ -172,7 +173,7 @@
     }
   }
 
-  /// Carries what waits in both directions; updates do not arrive while `drops_updates` is set.
+  /// Delivers queued messages in both directions. Drops updates while `drops_updates` is set.
   void exchange() {
     client_.on_tick(0, cluster_.now());
     for (const auto& [replica, message] : std::exchange(to_replica_, {})) {
@@ -183,25 +184,25 @@
     }
     for (std::uint32_t i = 1; i <= 3; ++i) {
       for (const auto& [to, message] : std::exchange(cluster_.output(i).to_nodes, {})) {
-        const bool is_lost = drops_updates && std::holds_alternative<FleetUpdate>(message);
-        if (to == kAddress && !is_lost) {
+        const bool is_dropped = drops_updates && std::holds_alternative<FleetUpdate>(message);
+        if (to == kAddress && !is_dropped) {
           client_.on_message({i, 7000}, message, cluster_.now());
         }
       }
     }
   }
 
-  /// The chosen replica tells figures of targets.
+  /// Delivers a target health update from the selected replica.
   void receive_target_health(std::uint64_t edition) {
     client_.on_message(*replica(), TargetHealthUpdate{edition, {}}, cluster_.now());
   }
 
   [[nodiscard]] Revision revision() const { return client_.fleet().revision; }
-  /// The replica that it follows; nothing while it looks for one.
+  /// The replica to which it subscribes; nothing during a search.
   [[nodiscard]] std::optional<Endpoint> replica() const { return client_.replica(); }
 
   bool drops_updates = false;
-  /// What the balancer sends to this replica does not arrive.
+  /// Messages from the balancer to this replica are dropped.
   std::optional<Endpoint> drops_heartbeats_to;
   int behind_events = 0;
   int refused_updates = 0;
@@ -226,7 +227,8 @@
   return target;
 }
 
-/// Makes a revision by a new target; false when the replica cannot.
+/// Registers a target, which creates a revision. Returns false when the replica rejects the
+/// proposal.
 inline bool register_target(ControlNode& leader, TargetId id, Instant now) {
   RegistrationCommand command;
   command.announced.push_back(make_announcement(1));
--- a/tests/unit/test_control_state.cc
+++ b/tests/unit/test_control_state.cc
@@ -41,7 +41,8 @@
 }  // namespace
 
 TEST_SUITE("control_state") {
-  TEST_CASE("of two submissions on one base the first wins, and the loser learns of it") {
+  TEST_CASE(
+      "of two submissions on one base, the first is accepted and the second reports a conflict") {
     ControlState state(kPartitions);
     state.apply(submission(1, "a", 0, 10));
     state.apply(submission(2, "b", 0, 20));
@@ -50,7 +51,7 @@
     CHECK(state.fleet().settings.services[0].targets[0].weight == 10);
   }
 
-  TEST_CASE("a submission that is sent again changes nothing") {
+  TEST_CASE("a repeated submission has no effect") {
     ControlState state(kPartitions);
     state.apply(submission(1, "a", 0, 10));
     state.apply(submission(2, "b", 1, 20));
@@ -72,7 +73,7 @@
     CHECK(restored.fleet().settings_revision == 1);
   }
 
-  TEST_CASE("deltas lead to the same state as the whole after hundreds of changes") {
+  TEST_CASE("applying all deltas gives the same state as the state machine") {
     ControlState state(kPartitions);
     FleetState follower = state.fleet();
     Revision base = 0;
@@ -92,7 +93,7 @@
     CHECK(state.delta_after(1) == nullptr);
   }
 
-  TEST_CASE("a delta for another revision is refused") {
+  TEST_CASE("a delta for another base revision is rejected") {
     FleetState fleet;
     fleet.revision = 5;
     FleetDelta delta;
--- a/tests/unit/test_evacuation.cc
+++ b/tests/unit/test_evacuation.cc
@@ -29,7 +29,7 @@
   return result;
 }
 
-/// The zones that are evacuated by what a replica has committed.
+/// Evacuated zones in the committed state of a replica.
 std::vector<std::string> evacuated_zones_at(ControlNode& node) {
   std::vector<std::string> zones;
   for (const auto& evacuated : node.state().fleet().steering.evacuated_zones) {
@@ -38,7 +38,7 @@
   return zones;
 }
 
-/// A cluster that has a leader.
+/// A cluster with an elected leader.
 struct ClusterWithLeader {
   ClusterWithLeader() {
     cluster.run(seconds(3));
@@ -46,7 +46,7 @@
     REQUIRE(leader != 0);
   }
   ControlNode& leader_node() { return cluster.node(leader); }
-  /// Freezes the leader until another one leads.
+  /// Freezes the leader and waits for another one to be elected.
   void fail_over() {
     cluster.frozen = leader;
     cluster.run(seconds(5));
@@ -60,7 +60,7 @@
 }  // namespace
 
 TEST_SUITE("evacuation") {
-  TEST_CASE("an order that is in force changes nothing, and keeps the revision of the first") {
+  TEST_CASE("a repeated command has no effect and keeps the revision of the first") {
     ControlState state(8);
     state.apply(entry(1, kEvacuateA));
     state.apply(entry(2, kEvacuateA));
@@ -71,7 +71,7 @@
     CHECK(state.fleet().revision == 1);
   }
 
-  TEST_CASE("the later of two different orders holds, for its zone only") {
+  TEST_CASE("the later of two commands for a zone takes effect, without effect on other zones") {
     ControlState state(8);
     state.apply(entry(1, kEvacuateB));
     state.apply(entry(2, kEvacuateA));
@@ -97,7 +97,7 @@
     CHECK(restored.fleet().revision == 1);
   }
 
-  TEST_CASE("a node that follows the deltas of orders has the same state") {
+  TEST_CASE("a node that applies the deltas of commands has the same state") {
     ControlState state(8);
     FleetState node = state.fleet();
     state.apply(entry(1, kEvacuateB));
@@ -110,7 +110,7 @@
     CHECK(fleet_digest(node) == state.digest());
   }
 
-  TEST_CASE("known zones are the configured ones, those of targets, and the evacuated ones") {
+  TEST_CASE("known zones are those of the configuration, of targets, and of evacuations") {
     FleetState fleet;
     for (const auto& one : {target(1, "alpha", "zone-b"), target(2, "alpha", "")}) {
       fleet.steering.put(one);
@@ -127,7 +127,7 @@
     CHECK(unknown_zone_error("x", {}) == "there is no zone \"x\"; known zones: none");
   }
 
-  TEST_CASE("pools and services that evacuations leave without targets are named") {
+  TEST_CASE("pools and services without targets outside of evacuated zones are listed") {
     FleetState fleet;
     for (const auto& one : {target(1, "alpha", "zone-a"), target(2, "beta", "zone-a"),
                             target(3, "beta", "zone-b"), target(4, "gamma", "zone-a")}) {
@@ -145,7 +145,7 @@
     CHECK(pools_without_targets(fleet) == std::vector<std::string>{"alpha", "s"});
   }
 
-  TEST_CASE("services that are relayed treat targets of an evacuated zone as draining") {
+  TEST_CASE("relayed services treat targets of an evacuated zone as draining") {
     FleetState fleet;
     fleet.partitions = 8;
     Service service;
@@ -170,7 +170,7 @@
     CHECK_FALSE(returned.target(*returned.service({1, 5683}), {11, 5683})->draining);
   }
 
-  TEST_CASE("an order is decided by commit, at every replica, and holds after its leader is lost") {
+  TEST_CASE("a command takes effect at every replica on commit and survives a failover") {
     ClusterWithLeader test;
     const auto proposal = test.leader_node().propose(kEvacuateA, test.cluster.now());
     REQUIRE(proposal);
@@ -186,24 +186,26 @@
     CHECK_FALSE(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
   }
 
-  TEST_CASE("a repeat after a lost answer is acknowledged by the next leader and changes nothing") {
+  TEST_CASE("the next leader acknowledges a repeated command, which has no effect") {
     ClusterWithLeader test;
     REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
-    const Revision decided = test.leader_node().state().fleet().revision;
+    const Revision committed_revision = test.leader_node().state().fleet().revision;
     test.fail_over();
     REQUIRE(test.leader_node().is_committed(kEvacuateA, test.cluster.now()));
-    const auto again = test.leader_node().propose(kEvacuateA, test.cluster.now());
-    REQUIRE(again);
+    const auto repeated = test.leader_node().propose(kEvacuateA, test.cluster.now());
+    REQUIRE(repeated);
     test.cluster.run(milliseconds(200));
-    CHECK(test.leader_node().status(*again) == ProposalStatus::kCommitted);
-    CHECK(test.leader_node().state().fleet().steering.evacuated_zones[0].since == decided);
+    CHECK(test.leader_node().status(*repeated) == ProposalStatus::kCommitted);
+    CHECK(test.leader_node().state().fleet().steering.evacuated_zones[0].since ==
+          committed_revision);
   }
 
-  TEST_CASE("of two operators at once the later entry holds, and neither is told too early") {
+  TEST_CASE(
+      "of two concurrent commands the later entry takes effect, and none is acknowledged early") {
     ClusterWithLeader test;
     REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
-    // The committed state knows no evacuation yet, but one is under way.
+    // The zone is not evacuated yet, but a command to evacuate it is in flight.
     CHECK_FALSE(test.leader_node().is_committed(kRestoreA, test.cluster.now()));
     const auto restore = test.leader_node().propose(kRestoreA, test.cluster.now());
     REQUIRE(restore);
@@ -213,7 +215,7 @@
     CHECK(evacuated_zones_at(test.leader_node()).empty());
   }
 
-  TEST_CASE("followers acknowledge nothing by themselves") {
+  TEST_CASE("followers do not acknowledge commands") {
     ClusterWithLeader test;
     REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     test.cluster.run(milliseconds(200));
@@ -223,15 +225,15 @@
     CHECK_FALSE(follower.propose(kRestoreA, test.cluster.now()));
   }
 
-  TEST_CASE("without a majority nothing is acknowledged and nothing changes") {
+  TEST_CASE("without a majority no command is acknowledged or takes effect") {
     ClusterWithLeader test;
-    const std::uint32_t alone = test.leader;
+    const std::uint32_t isolated_leader = test.leader;
     ControlNode& leader = test.leader_node();
     test.cluster.drops_messages_to = {true, true, true, true};
-    test.cluster.drops_messages_to[alone] = false;
+    test.cluster.drops_messages_to[isolated_leader] = false;
     const auto proposal = leader.propose(kEvacuateA, test.cluster.now());
     REQUIRE(proposal);
-    for (int turn = 0; turn < 250; ++turn) {
+    for (int tick = 0; tick < 250; ++tick) {
       CHECK(leader.status(*proposal) != ProposalStatus::kCommitted);
       CHECK_FALSE(leader.is_committed(kEvacuateA, test.cluster.now()));
       test.cluster.run(milliseconds(20));
@@ -242,10 +244,10 @@
     }
   }
 
-  TEST_CASE("an order that reached no majority cannot undo a later one that was acknowledged") {
+  TEST_CASE("an uncommitted command cannot override a later acknowledged one") {
     ClusterWithLeader test;
     const std::uint32_t old_leader = test.leader;
-    // The old leader's entry stays with it: it stands still before it sends.
+    // The old leader is frozen before its entry reaches another replica.
     REQUIRE(test.leader_node().propose(kEvacuateA, test.cluster.now()));
     test.cluster.drop_in_flight();
     test.fail_over();
@@ -260,9 +262,9 @@
     CHECK_FALSE(test.cluster.node(old_leader).is_committed(kEvacuateA, test.cluster.now()));
   }
 
-  TEST_CASE("a target that turns cold again is one entry, and one when it is warm") {
+  TEST_CASE("the start and the end of a target's warm-up each make one log entry") {
     SteeringState state;
-    const auto says = [&](std::uint64_t sequence, std::uint32_t warm_up_ms) {
+    const auto changes_state = [&](std::uint64_t sequence, std::uint32_t warm_up_ms) {
       RegistrationCommand command;
       command.announced.push_back(make_announcement(sequence));
       command.announced.back().warm_up_ms = warm_up_ms;
@@ -272,15 +274,15 @@
       }
       return delta.has_value();
     };
-    CHECK(says(1, 0));
-    CHECK_FALSE(says(2, 0));
-    CHECK(says(3, 30000));
-    CHECK_FALSE(says(4, 28800));
+    CHECK(changes_state(1, 0));
+    CHECK_FALSE(changes_state(2, 0));
+    CHECK(changes_state(3, 30000));
+    CHECK_FALSE(changes_state(4, 28800));
     CHECK(state.targets.begin()->second.warm_up_ms == 30000);
-    CHECK(says(5, 0));
-    CHECK_FALSE(says(6, 0));
-    // Late ones say nothing.
-    CHECK_FALSE(says(4, 28800));
+    CHECK(changes_state(5, 0));
+    CHECK_FALSE(changes_state(6, 0));
+    // An announcement with an old sequence number is ignored.
+    CHECK_FALSE(changes_state(4, 28800));
   }
 }
 
--- a/tests/unit/test_fleet_digest.cc
+++ b/tests/unit/test_fleet_digest.cc
@@ -24,7 +24,7 @@
   target.id = id;
   target.token = static_cast<FlowToken>(1000 + id);
   target.pool = id % 3 == 0 ? "beta" : "alpha";
-  // Addresses are reused.
+  // Several targets share an address.
   target.address = {10, static_cast<std::uint16_t>(8000 + id % 7)};
   target.phase = static_cast<TargetPhase>(phase);
   return target;
@@ -50,7 +50,7 @@
   return delta;
 }
 
-/// A change of some frontends or targets, a small or a large one.
+/// A random delta of a few or many frontends or targets.
 FleetDelta random_delta(const FleetState& fleet, std::mt19937_64& random) {
   FleetDelta delta = next_delta(fleet);
   SteeringDelta& steering = *delta.steering;
@@ -98,16 +98,16 @@
   return ids;
 }
 
-/// Checks that a view that followed changes answers like one that was built from the state.
-void check_same(const SteeringView& followed, const FleetState& fleet) {
-  SteeringView fresh;
-  fresh.reset(fleet.steering);
-  CHECK(followed.version() == fresh.version());
-  CHECK(followed.targets() == fresh.targets());
+/// Checks that a view updated by deltas equals one rebuilt from the state.
+void check_same(const SteeringView& updated, const FleetState& fleet) {
+  SteeringView rebuilt;
+  rebuilt.reset(fleet.steering);
+  CHECK(updated.version() == rebuilt.version());
+  CHECK(updated.targets() == rebuilt.targets());
   for (std::uint32_t number = 0; number < 40; ++number) {
     const Endpoint address = make_frontend(number, 0).address;
-    const FrontendView* one = followed.frontend(address);
-    const FrontendView* other = fresh.frontend(address);
+    const FrontendView* one = updated.frontend(address);
+    const FrontendView* other = rebuilt.frontend(address);
     REQUIRE((one == nullptr) == (other == nullptr));
     if (one == nullptr) {
       continue;
@@ -115,17 +115,17 @@
     REQUIRE(one->shares.size() == other->shares.size());
     for (std::size_t i = 0; i < one->shares.size(); ++i) {
       CHECK(one->shares[i].weight == other->shares[i].weight);
-      CHECK(ids_of(followed.pool_targets(one->shares[i].pool)) ==
-            ids_of(fresh.pool_targets(other->shares[i].pool)));
+      CHECK(ids_of(updated.pool_targets(one->shares[i].pool)) ==
+            ids_of(rebuilt.pool_targets(other->shares[i].pool)));
     }
   }
   for (TargetId id = 1; id <= 60; ++id) {
-    const RegisteredTarget* one = followed.target(static_cast<FlowToken>(1000 + id));
-    const RegisteredTarget* other = fresh.target(static_cast<FlowToken>(1000 + id));
+    const RegisteredTarget* one = updated.target(static_cast<FlowToken>(1000 + id));
+    const RegisteredTarget* other = rebuilt.target(static_cast<FlowToken>(1000 + id));
     REQUIRE((one == nullptr) == (other == nullptr));
     if (one != nullptr) {
       CHECK(*one == *other);
-      CHECK(followed.is_replaced(*one) == fresh.is_replaced(*other));
+      CHECK(updated.is_replaced(*one) == rebuilt.is_replaced(*other));
     }
   }
 }
@@ -133,7 +133,7 @@
 }  // namespace
 
 TEST_SUITE("fleet_digest") {
-  TEST_CASE("a digest that follows changes is that of the state, whatever the changes were") {
+  TEST_CASE("the incremental digest equals the digest of the state after random deltas") {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       std::mt19937_64 random(seed);
       FleetState fleet = make_state(20, 30);
@@ -154,7 +154,7 @@
   }
 
   TEST_CASE(
-      "states that differ in one field have other digests, and a late delta changes nothing") {
+      "states that differ in one field have different digests, and a stale delta is rejected") {
     const FleetState fleet = make_state(3, 3);
     FleetState other = fleet;
     std::next(other.steering.targets.begin())->second.slots = 9;
@@ -166,18 +166,17 @@
     other.steering.settings.version = 2;
     CHECK(fleet_digest(other) != fleet_digest(fleet));
     FleetDigest digest(fleet);
-    FleetDelta late = next_delta(fleet);
-    late.base = 7;
+    FleetDelta stale_delta = next_delta(fleet);
+    stale_delta.base = 7;
     other = fleet;
-    CHECK_FALSE(apply_delta(other, late, digest));
+    CHECK_FALSE(apply_delta(other, stale_delta, digest));
     CHECK(other == fleet);
     CHECK(digest.value(other) == fleet_digest(fleet));
   }
 
-  TEST_CASE("a change costs what it changes, however much the state holds") {
-    // Found on the bench: with 1,400 routes each change took 1 ms of processor time at each
-    // balancer; on the smallest machines a storm of changes came into force after 10 s.
-    std::vector<std::uint64_t> costs;
+  TEST_CASE("the cost of a delta does not depend on the size of the state") {
+    // Guards against work proportional to the state on each delta, which delays bursts of changes.
+    std::vector<std::uint64_t> allocations;
     for (const std::uint32_t size : {50, 2000}) {
       FleetState fleet = make_state(size, size);
       FleetDigest digest(fleet);
@@ -191,10 +190,10 @@
       REQUIRE(apply_delta(fleet, delta, digest));
       view.apply(*delta.steering);
       CHECK(digest.value(fleet) != 0);
-      costs.push_back(allocation_count() - before);
+      allocations.push_back(allocation_count() - before);
     }
-    CHECK(costs[1] <= costs[0] + 2);
-    CHECK(costs[1] < 80);
+    CHECK(allocations[1] <= allocations[0] + 2);
+    CHECK(allocations[1] < 80);
   }
 }
 
--- a/tests/unit/test_following.cc
+++ b/tests/unit/test_following.cc
@@ -1,5 +1,4 @@
-/// A balancer that follows the state keeps up whatever gets lost between it and the replicas, and
-/// wherever it goes.
+/// A subscribed balancer must stay up to date despite lost messages and changes of its replica.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -12,10 +11,10 @@
 using std::chrono::milliseconds;
 using namespace control_cluster;
 
-/// Bound within which a change must be in force at every balancer in touch.
+/// Maximum time until a change is applied at every connected balancer.
 constexpr Duration kMaxUpdateDelay = std::chrono::seconds(3);
 
-/// Updates among what a replica has sent since the last look.
+/// Number of updates that a replica has sent since the last call.
 int take_updates(Cluster& cluster, std::uint32_t replica) {
   int updates = 0;
   for (const auto& [to, message] : std::exchange(cluster.output(replica).to_nodes, {})) {
@@ -24,7 +23,7 @@
   return updates;
 }
 
-/// A balancer whose heartbeats are made by hand, and the replica that it asks.
+/// A balancer with scripted heartbeats to one replica.
 class ScriptedBalancer {
  public:
   ScriptedBalancer(Cluster& cluster, std::uint32_t replica) : cluster_(cluster), replica_(replica) {
@@ -33,13 +32,13 @@
     heartbeat.member.state = MemberState::kObserver;
   }
 
-  /// Has in force what the replica holds.
+  /// Sets the applied state to that of the replica.
   void catch_up() {
     heartbeat.revision = node().state().fleet().revision;
     heartbeat.digest = node().state().digest();
   }
 
-  /// Sends a heartbeat; gives how many updates come back at once.
+  /// Sends a heartbeat; returns the number of immediate updates.
   int send_heartbeat(bool wants_update = true) {
     take_updates(cluster_, replica_);
     heartbeat.wants_update = wants_update;
@@ -48,7 +47,8 @@
     return take_updates(cluster_, replica_);
   }
 
-  /// Asks without wanting updates: whether the replica says that it is current.
+  /// Sends a heartbeat that requests no updates; returns whether the replica reports itself as
+  /// current.
   bool replica_reports_current() {
     heartbeat.wants_update = false;
     cluster_.output(replica_).to_nodes.clear();
@@ -84,23 +84,22 @@
 }  // namespace
 
 TEST_SUITE("following") {
-  TEST_CASE("what was sent while a balancer followed another replica is not under way to it") {
-    // Real processes: the connection to a balancer that had gone elsewhere was closed, six updates
-    // were dropped and counted as sent; when the balancer came back, it got none of them.
+  TEST_CASE("updates sent while a balancer used another replica do not count as in flight") {
+    // Updates sent while the balancer used another replica were dropped and must not count as sent.
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
     CHECK(balancer.send_heartbeat() == 0);
-    // It follows another replica now; what goes to it from here does not arrive.
+    // The balancer uses another replica, so updates to it are dropped.
     cluster.run(std::chrono::seconds(2));
     cluster.commit_change(6);
     cluster.run(milliseconds(40));
-    // It looks for a replica, and chooses this one.
+    // It searches for a replica and selects this one.
     CHECK(balancer.send_heartbeat(false) == 0);
     CHECK(balancer.send_heartbeat() == 1);
   }
 
-  TEST_CASE("an update that no connection took is not under way") {
+  TEST_CASE("an update without a connection does not count as in flight") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
@@ -111,11 +110,11 @@
     CHECK(cluster.node(cluster.leader_number).balancers_served() == 0);
     cluster.output(cluster.leader_number).is_balancer_disconnected = false;
     CHECK(balancer.send_heartbeat() == 1);
-    // That one may be under way now.
+    // The update may be in flight now.
     CHECK(balancer.send_heartbeat() == 0);
   }
 
-  TEST_CASE("an update of an earlier session is not under way") {
+  TEST_CASE("an update of an earlier session does not count as in flight") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
@@ -123,19 +122,19 @@
     cluster.commit_change(6);
     cluster.run(milliseconds(40));
     CHECK(balancer.send_heartbeat() == 0);
-    // The balancer gave its connection up: what was on the way is gone with it.
+    // The balancer closed its connection, which drops the messages in flight.
     ++balancer.heartbeat.session;
     CHECK(balancer.send_heartbeat() == 1);
     CHECK(balancer.send_heartbeat() == 0);
   }
 
-  TEST_CASE("a heartbeat that was overtaken changes nothing") {
+  TEST_CASE("an out-of-order heartbeat has no effect") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
     CHECK(balancer.send_heartbeat() == 0);
     const NodeHeartbeat latest = balancer.heartbeat;
-    // Sent by another connection, while the balancer was looking for a replica.
+    // Sent over another connection during the search for a replica.
     balancer.heartbeat.sequence -= 2;
     CHECK(balancer.send_heartbeat(false) == 0);
     CHECK(cluster.node(cluster.leader_number).balancers_served() == 1);
@@ -145,7 +144,7 @@
     CHECK(take_updates(cluster, cluster.leader_number) == 1);
   }
 
-  TEST_CASE("a balancer that turns away gets no more updates and figures") {
+  TEST_CASE("a balancer that requests no updates gets no more pushes") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
@@ -156,7 +155,7 @@
     CHECK(take_updates(cluster, cluster.leader_number) == 0);
   }
 
-  TEST_CASE("a replica that holds less than a balancer does not say that it is current") {
+  TEST_CASE("a replica behind a balancer does not report itself as current") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
@@ -166,17 +165,17 @@
     }
   }
 
-  TEST_CASE("a balancer that is ahead of its replica gets changes from where it is") {
-    // It came from a replica that was one entry further: a whole state would be sent for nothing.
+  TEST_CASE("a balancer ahead of its replica gets deltas from its own revision") {
+    // It switched from a replica that was one entry ahead. A snapshot would be unnecessary.
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
-    const Revision held = balancer.heartbeat.revision;
+    const Revision replica_revision = balancer.heartbeat.revision;
     ++balancer.heartbeat.revision;
     CHECK(balancer.send_heartbeat() == 0);
     cluster.commit_change(6);
     cluster.run(milliseconds(40));
-    REQUIRE(cluster.node(cluster.leader_number).state().fleet().revision == held + 1);
+    REQUIRE(cluster.node(cluster.leader_number).state().fleet().revision == replica_revision + 1);
     CHECK(take_updates(cluster, cluster.leader_number) == 0);
     cluster.commit_change(7);
     cluster.run(milliseconds(40));
@@ -188,10 +187,10 @@
     }
     REQUIRE(updates.size() == 1);
     CHECK_FALSE(updates[0].is_snapshot);
-    CHECK(updates[0].deltas.front().base == held + 1);
+    CHECK(updates[0].deltas.front().base == replica_revision + 1);
   }
 
-  TEST_CASE("a balancer that was ahead is told when its replica has caught up") {
+  TEST_CASE("a balancer that was ahead is notified when its replica has caught up") {
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
@@ -200,64 +199,65 @@
     cluster.output(cluster.leader_number).to_nodes.clear();
     cluster.commit_change(6);
     cluster.run(milliseconds(40));
-    int told = 0;
+    int replies = 0;
     for (const auto& [to, message] : cluster.output(cluster.leader_number).to_nodes) {
       const auto* reply = std::get_if<HeartbeatReply>(&message);
-      told += reply != nullptr && reply->is_current && to == balancer.heartbeat.member.address;
+      replies += reply != nullptr && reply->is_current && to == balancer.heartbeat.member.address;
     }
-    CHECK(told == 1);
+    CHECK(replies == 1);
   }
 
-  TEST_CASE("a follower whose reports do not reach the leader answers no targets and members") {
-    // The leader would take a target for silent that a follower tells that all is well.
+  TEST_CASE(
+      "a follower whose reports do not reach the leader acknowledges no targets and members") {
+    // Otherwise the leader times out a target that the follower acknowledges.
     RunningCluster cluster;
     const std::uint32_t follower = cluster.leader_number == 1 ? 2 : 1;
-    const auto hear = [&](std::uint64_t sequence) {
+    const auto announce = [&](std::uint64_t sequence) {
       return cluster.node(follower).on_announcement(make_announcement(sequence), cluster.now());
     };
-    CHECK(hear(2) == AnnouncementStatus::kCommitted);
-    // The leader itself hears the target meanwhile, so that nothing else changes.
-    const auto run_while_leader_hears = [&](int seconds) {
+    CHECK(announce(2) == AnnouncementStatus::kCommitted);
+    // The leader receives announcements of the target directly, so that its state does not change.
+    const auto run_with_announcements_to_leader = [&](int seconds) {
       for (int second = 0; second < seconds; ++second) {
         cluster.run(std::chrono::seconds(1));
         cluster.node(cluster.leader_number).on_announcement(make_announcement(3), cluster.now());
       }
     };
     cluster.output(follower).drops_reports = true;
-    run_while_leader_hears(4);
-    CHECK(hear(4) == AnnouncementStatus::kNotLeader);
-    // A member would stay there without a lease; an observer needs the state only.
+    run_with_announcements_to_leader(4);
+    CHECK(announce(4) == AnnouncementStatus::kNotLeader);
+    // A member would stay with this replica without a lease; an observer needs only the state.
     for (const MemberState state : {MemberState::kActive, MemberState::kObserver}) {
       ScriptedBalancer balancer(cluster, follower);
       balancer.heartbeat.member.state = state;
       CHECK(balancer.replica_reports_current() == (state == MemberState::kObserver));
     }
     cluster.output(follower).drops_reports = false;
-    run_while_leader_hears(2);
-    CHECK(hear(5) == AnnouncementStatus::kCommitted);
+    run_with_announcements_to_leader(2);
+    CHECK(announce(5) == AnnouncementStatus::kCommitted);
   }
 
   TEST_CASE(
-      "figures of targets are no answer: a balancer whose questions get lost goes elsewhere") {
+      "a balancer whose heartbeats are lost switches replicas despite target health updates") {
     RunningCluster cluster;
     SubscribedBalancer balancer(cluster);
     Duration longest_behind{0};
     Duration behind{0};
-    for (int turn = 0; turn < 700; ++turn) {
-      if (turn % 10 == 0) {
-        cluster.commit_change(1000 + turn);
+    for (int tick = 0; tick < 700; ++tick) {
+      if (tick % 10 == 0) {
+        cluster.commit_change(1000 + tick);
       }
-      if (turn == 100) {
+      if (tick == 100) {
         REQUIRE(balancer.replica());
         balancer.drops_heartbeats_to = balancer.replica();
       }
-      if (turn > 100 && turn % 10 == 5 && balancer.replica()) {
-        balancer.receive_target_health(static_cast<std::uint64_t>(turn));
+      if (tick > 100 && tick % 10 == 5 && balancer.replica()) {
+        balancer.receive_target_health(static_cast<std::uint64_t>(tick));
       }
       balancer.run(milliseconds(20));
-      const Revision newest = cluster.node(cluster.leader_number).state().fleet().revision;
-      behind = balancer.revision() + 1 < newest ? behind + milliseconds(20) : Duration{0};
-      longest_behind = turn < 100 ? Duration{0} : std::max(longest_behind, behind);
+      const Revision latest_revision = cluster.node(cluster.leader_number).state().fleet().revision;
+      behind = balancer.revision() + 1 < latest_revision ? behind + milliseconds(20) : Duration{0};
+      longest_behind = tick < 100 ? Duration{0} : std::max(longest_behind, behind);
     }
     CHECK(longest_behind < kMaxUpdateDelay);
   }
--- a/tests/unit/test_replica.cc
+++ b/tests/unit/test_replica.cc
@@ -42,7 +42,7 @@
   return {{{1, {1, 7000}, true}, {2, {2, 7000}, true}, {3, {3, 7000}, true}}};
 }
 
-/// Replica 1 of three, with what it had on disk.
+/// Replica 1 of three, with the given hard state on disk.
 struct TestReplica {
   explicit TestReplica(const HardState& hard_state = {}) {
     StoredReplica stored;
@@ -65,7 +65,7 @@
   return result;
 }
 
-/// Makes the replica leader of term 1 by the vote of replica 2.
+/// Elects the replica leader of term 1 with the vote of replica 2.
 void elect(TestReplica& test, Instant now) {
   test.replica->on_tick(now);
   test.replica->on_message({2, 1, VoteReply{true, true}}, now);
@@ -75,9 +75,9 @@
 }  // namespace
 
 TEST_SUITE("replica") {
-  TEST_CASE("a learner that knows no replica answers the first part of a long log") {
-    // Found on the platform (a wiped replica never got its vote back, then a second disk was lost):
-    // the first append held no replica set, so the learner did not know whom to answer.
+  TEST_CASE("a learner without a replica set replies to the first append request") {
+    // A learner without a replica set must reply to the address in the append request; otherwise it
+    // never receives the rest of the log.
     TestReplica test;
     StoredReplica nothing;
     Replica learner(ReplicaConfig{9, {9, 7000}, {}, 7, {}}, {}, nothing, test.storage, test.output,
@@ -92,9 +92,9 @@
     CHECK(reply->accepted);
     CHECK(reply->index == 1);
   }
-  TEST_CASE("a leader of an older term learns of the newer term") {
-    // Found by simulation (leader_frozen, seed 57): a replica that had raised its term ignored the
-    // leader, nobody voted for it while the leader lived, and it never caught up.
+  TEST_CASE("a leader of an older term is notified of the newer term") {
+    // Without the reply, a replica with a higher term rejects the active leader forever: it cannot
+    // win an election and never catches up.
     TestReplica test({5, 0});
     test.replica->on_message({2, 3, AppendRequest{}}, kStart);
     REQUIRE(test.output.sent.size() == 1);
@@ -104,7 +104,7 @@
     CHECK_FALSE(reply->accepted);
   }
 
-  TEST_CASE("a leader steps down when a follower is ahead in terms") {
+  TEST_CASE("a leader steps down when a follower replies with a higher term") {
     TestReplica test;
     const Instant later = kStart + std::chrono::seconds(2);
     elect(test, later);
@@ -114,7 +114,7 @@
     CHECK(test.replica->term() == 9);
   }
 
-  TEST_CASE("no vote is given while a leader was heard lately") {
+  TEST_CASE("no vote is granted within an election timeout of leader contact") {
     TestReplica test({3, 0});
     test.replica->on_message({2, 3, AppendRequest{}}, kStart);
     test.output.sent.clear();
@@ -124,7 +124,7 @@
     CHECK(test.replica->term() == 3);
   }
 
-  TEST_CASE("a candidate that misses an entry gets no vote, and with the fault it does") {
+  TEST_CASE("a candidate with an outdated log gets a vote only with the injected fault") {
     for (const bool faulty : {false, true}) {
       TestReplica test;
       const Instant later = kStart + std::chrono::seconds(2);
@@ -140,34 +140,35 @@
     }
   }
 
-  TEST_CASE("of two candidates with equal logs one gives way, so that the vote is not split") {
+  TEST_CASE("of two candidates with equal logs, the one with the smaller id withdraws") {
     const Instant later = kStart + std::chrono::seconds(2);
-    // Replica 1 asks for pre-votes; replica 2 does the same at the same moment.
+    // Replicas 1 and 2 request pre-votes at the same time.
     TestReplica test;
     test.replica->on_tick(later);
     test.output.sent.clear();
     test.replica->on_message({2, 1, VoteRequest{true, 0, 0, {2, 7000}}}, later);
     REQUIRE(count<VoteReply>(test.output.sent) == 1);
     CHECK(std::get<VoteReply>(test.output.sent[0].body).granted);
-    // It gave way: a pre-vote for itself that comes now makes no election of its own.
+    // After withdrawing, a late pre-vote for replica 1 does not start an election.
     test.output.sent.clear();
     test.replica->on_message({2, 1, VoteReply{true, true}}, later);
     CHECK(count<VoteRequest>(test.output.sent) == 0);
     CHECK(test.replica->term() == 0);
-    // The candidate with the greater id does not give way, unless the other one has more of the
-    // log.
-    TestReplica greater;
-    greater.replica->on_tick(later);
-    greater.output.sent.clear();
-    greater.replica->on_message({0, 1, VoteRequest{true, 0, 0, {2, 7000}}}, later);
-    CHECK_FALSE(std::get<VoteReply>(greater.output.sent[0].body).granted);
-    greater.replica->on_message({0, 1, VoteRequest{true, 5, 1, {2, 7000}}}, later);
-    CHECK(std::get<VoteReply>(greater.output.sent[1].body).granted);
+    // The candidate with the greater id withdraws only if the other log is more complete.
+    TestReplica candidate_with_greater_id;
+    candidate_with_greater_id.replica->on_tick(later);
+    candidate_with_greater_id.output.sent.clear();
+    candidate_with_greater_id.replica->on_message({0, 1, VoteRequest{true, 0, 0, {2, 7000}}},
+                                                  later);
+    CHECK_FALSE(std::get<VoteReply>(candidate_with_greater_id.output.sent[0].body).granted);
+    candidate_with_greater_id.replica->on_message({0, 1, VoteRequest{true, 5, 1, {2, 7000}}},
+                                                  later);
+    CHECK(std::get<VoteReply>(candidate_with_greater_id.output.sent[1].body).granted);
   }
 
-  TEST_CASE("a restarted replica shows what it knew to be committed, and no more") {
-    // Found on the platform: after a loss of all machines balancers waited for an election,
-    // although each replica had on disk nearly all that was committed.
+  TEST_CASE("a restarted replica applies exactly the entries that it knew to be committed") {
+    // After a restart of all replicas, balancers must not wait for an election to get the state
+    // that is known to be committed.
     StoredReplica stored;
     stored.hard_state = {3, 0, false};
     for (LogIndex index = 1; index <= 4; ++index) {
@@ -181,14 +182,14 @@
     CHECK(replica.commit_index() == 3);
     CHECK(test.state.applied == 3);
     CHECK_FALSE(replica.is_current(kStart));
-    // Each write tells what is committed.
+    // Each stored frame contains the commit index.
     AppendRequest next{{2, 7000}, 4, 3, 4, 0, {{4, 5, EntryType::kNoOp, {}}}};
     replica.on_message({2, 4, next}, kStart);
     CHECK(test.storage.committed == 3);
     CHECK(replica.commit_index() == 4);
   }
 
-  TEST_CASE("one vote a term, and it survives in the hard state only") {
+  TEST_CASE("a replica grants one vote per term, also after a restart") {
     TestReplica test;
     const Instant later = kStart + std::chrono::seconds(2);
     test.replica->on_message({2, 4, VoteRequest{false, 0, 0, {2, 7000}}}, later);
@@ -201,7 +202,7 @@
     CHECK_FALSE(std::get<VoteReply>(restarted.output.sent[0].body).granted);
   }
 
-  TEST_CASE("nothing is said after storage failed") {
+  TEST_CASE("a replica sends no reply after a storage failure") {
     TestReplica test;
     test.storage.accepts_writes = false;
     const Instant later = kStart + std::chrono::seconds(2);
@@ -210,7 +211,7 @@
     CHECK(test.replica->has_failed());
   }
 
-  TEST_CASE("a replica on a full disk acknowledges nothing, lives on, and goes on when it can") {
+  TEST_CASE("a replica on a full disk acknowledges nothing and resumes when writes succeed") {
     TestReplica test;
     test.storage.accepts_writes = false;
     test.storage.is_retryable = true;
@@ -228,7 +229,7 @@
     CHECK(std::get<AppendReply>(test.output.sent[0].body).accepted);
   }
 
-  TEST_CASE("a leader whose disk refuses hands leadership over and does not raise its term") {
+  TEST_CASE("a leader transfers leadership after a failed write and keeps its term") {
     TestReplica test;
     const Instant later = kStart + std::chrono::seconds(2);
     elect(test, later);
@@ -249,7 +250,7 @@
     CHECK(count<VoteRequest>(test.output.sent) > 0);
   }
 
-  TEST_CASE("a leader that stops hands over at once, and voters look past its lease") {
+  TEST_CASE("a leadership transfer starts an election at once that ignores the leader's lease") {
     TestReplica follower;
     const Instant later = kStart + std::chrono::seconds(2);
     AppendRequest append;
@@ -267,7 +268,7 @@
     voter.replica->on_message({3, 4, request}, later);
     REQUIRE(count<VoteReply>(voter.output.sent) == 1);
     CHECK(std::get<VoteReply>(voter.output.sent[0].body).granted);
-    // Nobody but the leader can ask for it.
+    // Only the leader can request a transfer.
     TestReplica other;
     other.replica->on_message({2, 3, append}, later);
     other.output.sent.clear();
@@ -275,8 +276,7 @@
     CHECK(other.output.sent.empty());
   }
 
-  TEST_CASE(
-      "a leader that was restarted need not wait, and voters of its term look past its lease") {
+  TEST_CASE("a restarted leader starts an election at once that ignores its former lease") {
     HardState led{3, 1, 1};
     TestReplica restarted(led);
     restarted.replica->on_tick(kStart);
@@ -284,12 +284,12 @@
     const auto request = std::get<VoteRequest>(restarted.output.sent[0].body);
     CHECK(request.pre_vote);
     CHECK(request.released_lease_term == 3);
-    // A voter that has just started, too, or that heard this leader, grants at once.
+    // A voter that has also restarted grants the pre-vote at once.
     TestReplica voter({3, 1});
     voter.replica->on_message({2, 4, request}, kStart);
     REQUIRE(count<VoteReply>(voter.output.sent) == 1);
     CHECK(std::get<VoteReply>(voter.output.sent[0].body).granted);
-    // A voter that knows a newer leader keeps its promise to that one.
+    // A voter with a newer leader ignores the request.
     TestReplica newer({4, 3});
     AppendRequest append;
     append.leader = {3, 7000};
@@ -297,29 +297,28 @@
     newer.output.sent.clear();
     newer.replica->on_message({2, 5, request}, kStart + std::chrono::milliseconds(20));
     CHECK(newer.output.sent.empty());
-    // While the others are still dark it asks again and again, for some seconds.
-    for (int turn = 1; turn <= 50; ++turn) {
-      restarted.replica->on_tick(kStart + turn * std::chrono::milliseconds(20));
+    // It repeats the pre-vote at short intervals for the restart window.
+    for (int tick = 1; tick <= 50; ++tick) {
+      restarted.replica->on_tick(kStart + tick * std::chrono::milliseconds(20));
     }
     CHECK(count<VoteRequest>(restarted.output.sent) >= 2 * 15);
     const int asked = count<VoteRequest>(restarted.output.sent);
     restarted.replica->on_tick(kStart + std::chrono::seconds(10));
     restarted.replica->on_tick(kStart + std::chrono::milliseconds(10060));
     CHECK(count<VoteRequest>(restarted.output.sent) == asked + 2);
-    // A replica that did not lead waits.
+    // A replica that was not the leader waits for the election timeout.
     TestReplica follower({3, 1});
     follower.replica->on_tick(kStart + std::chrono::milliseconds(590));
     CHECK(count<VoteRequest>(follower.output.sent) == 0);
   }
 
-  TEST_CASE("a new identity at the leader's address ends the wait for its lease, after a start") {
-    // On days that wipe the leader's disk and stop all machines, the two voters that were left
-    // waited for 0.4 s for the lease of a process that was gone.
+  TEST_CASE("after a restart, a new identity at the leader's address ends the wait for its lease") {
+    // Without this, voters wait for the lease of a process that no longer exists.
     const HardState followed{3, 2, 2};
     TestReplica voter(followed);
     voter.replica->on_tick(kStart + std::chrono::milliseconds(20));
     CHECK(count<VoteRequest>(voter.output.sent) == 0);
-    // A new process elsewhere tells nothing.
+    // A new identity at another address has no effect.
     const Instant later = kStart + std::chrono::milliseconds(40);
     voter.replica->on_message({77, 0, JoinRequest{{3, 7000}}}, later);
     voter.replica->on_tick(later);
@@ -329,12 +328,12 @@
     REQUIRE(count<VoteRequest>(voter.output.sent) == 2);
     const auto request = std::get<VoteRequest>(voter.output.sent[0].body);
     CHECK(request.released_lease_term == 3);
-    // The other voter, which has not heard the new process, grants at once.
+    // The other voter, which received no join request, grants the pre-vote at once.
     TestReplica other(followed);
     other.replica->on_message({3, 4, request}, later);
     REQUIRE(count<VoteReply>(other.output.sent) == 1);
     CHECK(std::get<VoteReply>(other.output.sent[0].body).granted);
-    // The leader itself, long after a start, or after another leader was heard: no.
+    // No effect if the identity is that of the leader, or after contact with another leader.
     TestReplica same(followed);
     same.replica->on_message({2, 0, JoinRequest{{2, 7000}}}, later);
     same.replica->on_tick(later);
@@ -347,18 +346,19 @@
     heard.replica->on_message({78, 0, JoinRequest{{2, 7000}}}, later);
     heard.replica->on_tick(later);
     CHECK(count<VoteRequest>(heard.output.sent) == 0);
-    // Who leads is known after a restart.
+    // The leader is part of the hard state.
     CHECK(heard.replica->hard_state().leader == 3);
   }
 
-  TEST_CASE("an entry under way is not sent with every append, and goes again when it was lost") {
+  TEST_CASE(
+      "an entry in flight is not repeated in each append, and is retransmitted after a timeout") {
     TestReplica test;
     const Instant start = kStart + std::chrono::seconds(2);
     elect(test, start);
     test.replica->on_message({2, 1, AppendReply{true, 1, start.time_since_epoch().count()}}, start);
     test.output.sent.clear();
     REQUIRE(test.replica->propose(EntryType::kSettings, Bytes(1000, 1), start));
-    const auto copies_to_2 = [&] {
+    const auto appends_with_entries = [&] {
       int copies = 0;
       for (const auto& message : test.output.sent) {
         const auto* append = std::get_if<AppendRequest>(&message.body);
@@ -366,27 +366,27 @@
       }
       return copies;
     };
-    const int at_first = copies_to_2();
-    CHECK(at_first <= 2);
+    const int initial_copies = appends_with_entries();
+    CHECK(initial_copies <= 2);
     test.replica->on_tick(start + std::chrono::milliseconds(150));
     test.replica->on_tick(start + std::chrono::milliseconds(300));
-    CHECK(copies_to_2() == at_first);
+    CHECK(appends_with_entries() == initial_copies);
     test.replica->on_tick(start + std::chrono::milliseconds(650));
-    CHECK(copies_to_2() > at_first);
-    // A follower that refuses is asked without entries where the logs agree, once a refusal.
+    CHECK(appends_with_entries() > initial_copies);
+    // Each rejection triggers one append without entries, to find where the logs match.
     test.output.sent.clear();
     const Instant later = start + std::chrono::milliseconds(700);
     test.replica->on_message({2, 1, AppendReply{false, 2, 0}}, later);
-    CHECK(copies_to_2() == 0);
+    CHECK(appends_with_entries() == 0);
     CHECK(count<AppendRequest>(test.output.sent) == 1);
     test.replica->on_message({2, 1, AppendReply{false, 2, 0}}, later);
     CHECK(count<AppendRequest>(test.output.sent) == 1);
-    // Once they agree, the entries go.
+    // Entries are sent once the logs match.
     test.replica->on_message({2, 1, AppendReply{true, 1, 0}}, later);
-    CHECK(copies_to_2() == 1);
+    CHECK(appends_with_entries() == 1);
   }
 
-  TEST_CASE("a follower is current while it hears its leader and has applied what that committed") {
+  TEST_CASE("a follower is current with leader contact and all committed entries applied") {
     TestReplica test;
     const Instant later = kStart + std::chrono::seconds(2);
     CHECK_FALSE(test.replica->is_current(later));
@@ -409,7 +409,7 @@
     CHECK_FALSE(test.replica->is_current(later + std::chrono::milliseconds(700)));
   }
 
-  TEST_CASE("a lost voter is removed once another took its place, and only then") {
+  TEST_CASE("an unreachable voter is removed only after a replacement has joined") {
     TestReplica test;
     const Instant start = kStart + std::chrono::seconds(2);
     elect(test, start);
@@ -418,17 +418,17 @@
                                now);
     };
     Instant now = start;
-    const auto run = [&](bool with_fourth) {
+    const auto run = [&](bool with_replica_4) {
       for (int i = 0; i < 200; ++i) {
         now += std::chrono::milliseconds(20);
         confirm(2, test.replica->last_index(), now);
-        if (with_fourth) {
+        if (with_replica_4) {
           confirm(4, test.replica->last_index(), now);
         }
         test.replica->on_tick(now);
       }
     };
-    // Replica 3 says nothing for four seconds: three voters stay three.
+    // Replica 3 is silent for four seconds: it is not removed from three voters.
     run(false);
     CHECK(test.replica->replicas().replicas.size() == 3);
     test.replica->on_message({4, 0, JoinRequest{{4, 7000}}}, now);
@@ -438,7 +438,7 @@
     CHECK(test.replica->replicas().replicas.size() == 3);
   }
 
-  TEST_CASE("a voter that hears nobody asks to be taken in: it may have been removed") {
+  TEST_CASE("a voter without leader contact requests admission, since it may have been removed") {
     TestReplica test;
     for (int i = 0; i < 300; ++i) {
       test.replica->on_tick(kStart + i * std::chrono::milliseconds(20));
@@ -446,7 +446,7 @@
     CHECK(count<JoinRequest>(test.output.sent) > 0);
   }
 
-  TEST_CASE("an entry is committed by a majority only, and a lease needs one") {
+  TEST_CASE("a commit and a lease both require a majority") {
     TestReplica test;
     const Instant later = kStart + std::chrono::seconds(2);
     elect(test, later);
--- a/tests/unit/test_replica_claims.cc
+++ b/tests/unit/test_replica_claims.cc
@@ -1,4 +1,4 @@
-/// A replica says that it is current only where a majority stands behind what it holds.
+/// A replica must report itself as current only if a majority supports its leader.
 #include <doctest/doctest.h>
 
 #include <optional>
@@ -28,7 +28,7 @@
   void restore(ByteView /*saved*/) override {}
 };
 
-/// One of five replicas, with what it sends.
+/// One of five voters, which records the messages that it sends.
 class FiveVoterReplica : public ReplicaOutput {
  public:
   explicit FiveVoterReplica(ReplicaId id) {
@@ -52,27 +52,27 @@
   StubState state_;
 };
 
-/// Makes a replica leader of term 1 by the votes of replicas 2 and 3.
-void elect(FiveVoterReplica& one, Instant now) {
-  one.replica->on_tick(now);
+/// Elects a replica leader of term 1 with the votes of replicas 2 and 3.
+void elect(FiveVoterReplica& first, Instant now) {
+  first.replica->on_tick(now);
   for (const bool pre_vote : {true, false}) {
     for (const ReplicaId voter : {ReplicaId{2}, ReplicaId{3}}) {
-      one.replica->on_message({voter, 1, VoteReply{pre_vote, true}}, now);
+      first.replica->on_message({voter, 1, VoteReply{pre_vote, true}}, now);
     }
   }
 }
 
-/// Carries what two replicas sent each other; all others are cut off.
-void exchange(FiveVoterReplica& one, FiveVoterReplica& other, Instant now) {
+/// Delivers messages between two replicas that are partitioned from all others.
+void exchange(FiveVoterReplica& first, FiveVoterReplica& second, Instant now) {
   for (int round = 0; round < 4; ++round) {
-    for (const auto& [to, message] : std::exchange(one.sent, {})) {
-      if (to.address == other.replica->id()) {
-        other.replica->on_message(message, now);
+    for (const auto& [to, message] : std::exchange(first.sent, {})) {
+      if (to.address == second.replica->id()) {
+        second.replica->on_message(message, now);
       }
     }
-    for (const auto& [to, message] : std::exchange(other.sent, {})) {
-      if (to.address == one.replica->id()) {
-        one.replica->on_message(message, now);
+    for (const auto& [to, message] : std::exchange(second.sent, {})) {
+      if (to.address == first.replica->id()) {
+        first.replica->on_message(message, now);
       }
     }
   }
@@ -81,14 +81,14 @@
 }  // namespace
 
 TEST_SUITE("replica_claims") {
-  TEST_CASE("a follower of a leader without a majority is not current, and does not stay with it") {
-    // Elected, and then cut off with one follower: the others commit without them.
+  TEST_CASE("a follower of a leader without a majority is not current, and the leader steps down") {
+    // The elected leader and one follower are partitioned; the majority can commit without them.
     FiveVoterReplica leader(1);
     FiveVoterReplica follower(4);
     Instant now = kStart + std::chrono::seconds(2);
     elect(leader, now);
     REQUIRE(leader.replica->is_leader());
-    for (int turn = 0; turn < 200; ++turn) {
+    for (int tick = 0; tick < 200; ++tick) {
       now += milliseconds(20);
       leader.replica->on_tick(now);
       exchange(leader, follower, now);
