--- a/src/core/control/membership.cc
+++ b/src/core/control/membership.cc
@@ -92,9 +92,9 @@
     record_removed_incarnations(fleet, change);
     return change;
   }
-  const bool settled = is_handover_complete(fleet, nodes) ||
-                       now - handover_started_at_ > control_timing::kHandoverTimeout;
-  if (!settled || !add_joins_and_leaves(fleet, nodes, now, change)) {
+  const bool handover_complete = is_handover_complete(fleet, nodes) ||
+                                 now - handover_started_at_ > control_timing::kHandoverTimeout;
+  if (!handover_complete || !add_joins_and_leaves(fleet, nodes, now, change)) {
     batch_started_at_.reset();
     return std::nullopt;
   }
@@ -111,12 +111,12 @@
 std::vector<Endpoint> MembershipController::members_safe_to_stop(const FleetState& fleet,
                                                                  const NodeRegistry& nodes) {
   std::vector<Endpoint> result;
-  const bool settled =
+  const bool handover_complete =
       std::all_of(fleet.members.begin(), fleet.members.end(), [&](const Member& member) {
         return member.state == MemberState::kLeaving ||
                has_completed_handover(nodes.find(member.address), fleet.members_revision);
       });
-  if (!settled) {
+  if (!handover_complete) {
     return result;
   }
   for (const auto& member : fleet.members) {
--- a/src/core/control/replica.cc
+++ b/src/core/control/replica.cc
@@ -159,8 +159,8 @@
   }
   const auto* vote_request = std::get_if<VoteRequest>(&message.body);
   const auto* vote_reply = std::get_if<VoteReply>(&message.body);
-  const bool asks_pre_vote = vote_request != nullptr && vote_request->pre_vote;
-  const bool answers_pre_vote =
+  const bool is_pre_vote_request = vote_request != nullptr && vote_request->pre_vote;
+  const bool is_granted_pre_vote =
       vote_reply != nullptr && vote_reply->pre_vote && vote_reply->granted;
   // Vote requests are ignored while a leader is active, so a replica that was partitioned cannot
   // depose a working leader.
@@ -172,7 +172,7 @@
   if (vote_request != nullptr && !considers_vote) {
     return false;
   }
-  if (message.term > hard_state_.term && !asks_pre_vote && !answers_pre_vote) {
+  if (message.term > hard_state_.term && !is_pre_vote_request && !is_granted_pre_vote) {
     become_follower(message.term, now);
   }
   return !failed_;
@@ -324,23 +324,23 @@
   if (admit_joining_replica(now)) {
     return;
   }
-  ReplicaSet changed = replicas_;
+  ReplicaSet new_replicas = replicas_;
   if (const ReplicaInfo* learner = caught_up_learner()) {
-    for (auto& replica : changed.replicas) {
+    for (auto& replica : new_replicas.replicas) {
       replica.voter = replica.voter || replica.id == learner->id;
     }
-    propose(EntryType::kReplicas, encode_archive(changed), now);
+    propose(EntryType::kReplicas, encode_archive(new_replicas), now);
     return;
   }
   // Removes an unreachable voter if that leaves an odd number of voters: one fewer voter then
   // tolerates the same number of failures. The voter is admitted again when it returns.
-  const auto voters = std::count_if(changed.replicas.begin(), changed.replicas.end(),
+  const auto voters = std::count_if(new_replicas.replicas.begin(), new_replicas.replicas.end(),
                                     [](const ReplicaInfo& replica) { return replica.voter; });
   const ReplicaInfo* unreachable = unreachable_voter(now);
   if (voters % 2 == 0 && voters > 2 && unreachable != nullptr) {
-    std::erase_if(changed.replicas,
+    std::erase_if(new_replicas.replicas,
                   [id = unreachable->id](const ReplicaInfo& replica) { return replica.id == id; });
-    propose(EntryType::kReplicas, encode_archive(changed), now);
+    propose(EntryType::kReplicas, encode_archive(new_replicas), now);
   }
 }
 
@@ -353,11 +353,11 @@
       continue;
     }
     // A new identity at a known address means that the old replica lost its disk.
-    ReplicaSet changed = replicas_;
-    std::erase_if(changed.replicas,
+    ReplicaSet new_replicas = replicas_;
+    std::erase_if(new_replicas.replicas,
                   [&](const ReplicaInfo& replica) { return replica.address == address; });
-    changed.replicas.push_back({id, address, false});
-    propose(EntryType::kReplicas, encode_archive(changed), now);
+    new_replicas.replicas.push_back({id, address, false});
+    propose(EntryType::kReplicas, encode_archive(new_replicas), now);
     return true;
   }
   return false;
--- a/src/core/control/replica_log.cc
+++ b/src/core/control/replica_log.cc
@@ -141,9 +141,10 @@
   snapshot.term = term_at(applied_index_);
   snapshot.state = state_.save();
   snapshot.replicas = snapshot_ ? snapshot_->replicas : initial_replicas_;
-  for (const auto& one : entries_) {
-    if (one.index <= applied_index_ && one.type == EntryType::kReplicas) {
-      snapshot.replicas = decode_archive<ReplicaSet>(one.payload).value_or(snapshot.replicas);
+  for (const auto& logged_entry : entries_) {
+    if (logged_entry.index <= applied_index_ && logged_entry.type == EntryType::kReplicas) {
+      snapshot.replicas =
+          decode_archive<ReplicaSet>(logged_entry.payload).value_or(snapshot.replicas);
     }
   }
   std::vector<LogEntry> remaining_entries(
--- a/src/core/control/replica_messages.h
+++ b/src/core/control/replica_messages.h
@@ -82,7 +82,7 @@
   }
 };
 
-/// Request of a replica outside of its known replica set to be admitted with this address.
+/// Requests admission to the replica set with this address.
 struct JoinRequest {
   Endpoint address;
 
--- a/src/core/control/update_progress.h
+++ b/src/core/control/update_progress.h
@@ -16,8 +16,8 @@
   /// Records the revision that the balancer has applied. A new incarnation or session resets the
   /// progress. Heartbeats with an older sequence number than the latest are ignored.
   void on_heartbeat(const NodeHeartbeat& heartbeat, Instant now);
-  /// True when the same process sent this heartbeat before the latest one, which can arrive earlier
-  /// over another connection.
+  /// True when this heartbeat is older than the latest one of the same process. Heartbeats over
+  /// different connections can arrive out of order.
   [[nodiscard]] bool is_out_of_order(const NodeHeartbeat& heartbeat) const;
   /// An update to this revision, based on the previously sent one, was sent.
   void on_pushed(Revision revision, Instant now);
--- a/tests/unit/test_replica.cc
+++ b/tests/unit/test_replica.cc
@@ -277,8 +277,8 @@
   }
 
   TEST_CASE("a restarted leader starts an election at once that ignores its former lease") {
-    HardState led{3, 1, 1};
-    TestReplica restarted(led);
+    HardState stored_state_of_leader{3, 1, 1};
+    TestReplica restarted(stored_state_of_leader);
     restarted.replica->on_tick(kStart);
     REQUIRE(count<VoteRequest>(restarted.output.sent) == 2);
     const auto request = std::get<VoteRequest>(restarted.output.sent[0].body);
@@ -314,8 +314,8 @@
 
   TEST_CASE("after a restart, a new identity at the leader's address ends the wait for its lease") {
     // Without this, voters wait for the lease of a process that no longer exists.
-    const HardState followed{3, 2, 2};
-    TestReplica voter(followed);
+    const HardState stored_state{3, 2, 2};
+    TestReplica voter(stored_state);
     voter.replica->on_tick(kStart + std::chrono::milliseconds(20));
     CHECK(count<VoteRequest>(voter.output.sent) == 0);
     // A new identity at another address has no effect.
@@ -329,25 +329,25 @@
     const auto request = std::get<VoteRequest>(voter.output.sent[0].body);
     CHECK(request.released_lease_term == 3);
     // The other voter, which received no join request, grants the pre-vote at once.
-    TestReplica other(followed);
+    TestReplica other(stored_state);
     other.replica->on_message({3, 4, request}, later);
     REQUIRE(count<VoteReply>(other.output.sent) == 1);
     CHECK(std::get<VoteReply>(other.output.sent[0].body).granted);
     // No effect if the identity is that of the leader, or after contact with another leader.
-    TestReplica same(followed);
-    same.replica->on_message({2, 0, JoinRequest{{2, 7000}}}, later);
-    same.replica->on_tick(later);
-    CHECK(count<VoteRequest>(same.output.sent) == 0);
-    TestReplica heard(followed);
+    TestReplica voter_of_same_leader(stored_state);
+    voter_of_same_leader.replica->on_message({2, 0, JoinRequest{{2, 7000}}}, later);
+    voter_of_same_leader.replica->on_tick(later);
+    CHECK(count<VoteRequest>(voter_of_same_leader.output.sent) == 0);
+    TestReplica voter_with_new_leader(stored_state);
     AppendRequest append;
     append.leader = {3, 7000};
-    heard.replica->on_message({3, 4, append}, later);
-    heard.output.sent.clear();
-    heard.replica->on_message({78, 0, JoinRequest{{2, 7000}}}, later);
-    heard.replica->on_tick(later);
-    CHECK(count<VoteRequest>(heard.output.sent) == 0);
+    voter_with_new_leader.replica->on_message({3, 4, append}, later);
+    voter_with_new_leader.output.sent.clear();
+    voter_with_new_leader.replica->on_message({78, 0, JoinRequest{{2, 7000}}}, later);
+    voter_with_new_leader.replica->on_tick(later);
+    CHECK(count<VoteRequest>(voter_with_new_leader.output.sent) == 0);
     // The leader is part of the hard state.
-    CHECK(heard.replica->hard_state().leader == 3);
+    CHECK(voter_with_new_leader.replica->hard_state().leader == 3);
   }
 
   TEST_CASE(
