--- a/src/core/link/bulk_admission.h
+++ b/src/core/link/bulk_admission.h
@@ -1,8 +1,7 @@
-/// Whether a new bulk flow (an upload) finds room on this machine's link. Flows that are open share
-/// the link, so each further one slows the others; when what they still bring takes longer than
-/// callers wait, they end in vain. So a flow that cannot land before its caller leaves is refused
-/// at once, while its caller has tries left that reach other balancers. A state machine without
-/// sockets or clocks; memory only, and bounded.
+/// Admission control for bulk flows (uploads) on this machine's link. Open bulk flows share the
+/// link. A new flow is rejected at once when it could not finish before its client times out; the
+/// client can then still retry at another balancer. Deterministic, does no I/O and reads no clock;
+/// its memory is bounded.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,47 +16,45 @@
 
 class BulkAdmission {
  public:
-  /// Flows that are counted at most; further ones are refused. 1,024 windows of 16 packets would
-  /// keep a link of 2 Mbit/s busy for 80 s.
+  /// Maximum number of tracked flows; further ones are rejected.
   static constexpr std::size_t kMaxFlows = 1024;
 
   /// `link` must outlive the object.
   explicit BulkAdmission(const LinkModel& link) : link_(link) {}
 
-  /// What a flow is taken to bring before any has ended, in octets: two windows of 16 large
-  /// packets.
+  /// Assumed size of a flow before any has ended, in bytes: two windows of 16 large packets.
   static constexpr double kInitialFlowSize = 2 * 16 * 1200;
 
-  /// A flow wants to open whose caller waits for `timeout`. False when it would end after its
-  /// caller has left: when all that is open here and this flow take the link longer than half of
-  /// that. Copies of an opening that was admitted are admitted, too.
+  /// Decides on a new flow whose client times out after `timeout`. Returns false when sending all
+  /// open flows and this one is expected to take longer than half of `timeout`, or when kMaxFlows
+  /// are open. Retransmissions of an admitted opening packet are admitted, too.
   bool try_admit(const SteeredFlow& flow, Duration timeout, Instant now);
-  /// A packet of an open flow passed, with this much data that is not a copy, in octets.
-  void on_data(const SteeredFlow& flow, std::size_t octets, Instant now);
-  /// The flow's caller ended it, or was told that it has ended. `is_snapshot`: the caller closed
-  /// it, so its size tells of others.
-  void on_flow_end(const SteeredFlow& flow, bool is_whole);
-  /// Forgets flows that went silent; to be called about once a second.
+  /// Records a packet of an open flow that carries this many new (not retransmitted) bytes.
+  void on_data(const SteeredFlow& flow, std::size_t bytes, Instant now);
+  /// Records that the client closed the flow or was notified that it has ended. `is_complete` is
+  /// true when the client closed it, which makes its size count for the average.
+  void on_flow_end(const SteeredFlow& flow, bool is_complete);
+  /// Removes idle flows; called about once a second.
   void on_tick(Instant now);
 
-  /// How long the link needs for what open flows are expected to bring still.
+  /// Time that the link needs for the data that open flows are still expected to send.
   [[nodiscard]] Duration expected_drain_time() const { return transmission_time(0); }
   [[nodiscard]] std::size_t flows() const { return flows_.size(); }
   [[nodiscard]] std::uint64_t admitted() const { return admitted_; }
   [[nodiscard]] std::uint64_t rejected() const { return rejected_; }
-  /// Octets that a flow usually brings.
+  /// Average size of completed flows, in bytes.
   [[nodiscard]] double average_flow_size() const { return average_flow_size_; }
 
  private:
   struct OpenFlow {
-    /// Octets that have passed.
+    /// Bytes received so far, without retransmissions.
     double received_bytes = 0;
     Instant last_data_at;
   };
 
-  /// How long the link needs for all open flows, and these octets more.
-  [[nodiscard]] Duration transmission_time(double more) const;
-  /// Octets that a flow is expected to bring still.
+  /// Time that the link needs for all open flows plus this many bytes.
+  [[nodiscard]] Duration transmission_time(double additional_bytes) const;
+  /// Bytes that a flow is still expected to send.
   [[nodiscard]] double expected_remaining_bytes(const OpenFlow& flow) const;
 
   const LinkModel& link_;
--- a/src/core/link/link_model.cc
+++ b/src/core/link/link_model.cc
@@ -8,13 +8,15 @@
 
 using std::chrono::milliseconds;
 
-/// Long enough to hold some packets of a slow link, short enough to follow a transfer of 160 ms.
+/// Long enough to cover several packets on a slow link, short enough to follow a transfer of 160
+/// ms.
 constexpr Duration kHalfLife = milliseconds(200);
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Octets that flow at a rate of 1 octet a second for ever weigh this many in a decaying sum.
+/// Steady-state decaying sum for a constant rate of 1 byte per second, in seconds: kHalfLife / ln
+/// 2.
 constexpr double kDecayedSumPerRate = 0.2 / 0.6931471805599453;
-/// A probe and its answer wait behind what waits; a third of the time after which probes count as
-/// silent (60 ms) is harmless.
+/// Probes and their replies are queued behind other data. A third of the probe timeout (60 ms) is
+/// tolerable.
 constexpr Duration kCongestionThreshold = milliseconds(20);
 
 double seconds_between(Instant from, Instant to) {
@@ -29,23 +31,23 @@
 
 }  // namespace
 
-void LinkModel::Direction::add(std::size_t octets, Instant now, double rate) {
+void LinkModel::Direction::add(std::size_t bytes, Instant now, double rate) {
   if (rate <= 0) {
     return;
   }
   queued_bytes_ = std::max(queued_bytes_ - rate * seconds_between(updated_at_, now), 0.0);
   decayed_bytes_ *= std::exp2(-elapsed_half_lives(updated_at_, now));
   updated_at_ = now;
-  queued_bytes_ += static_cast<double>(octets);
-  decayed_bytes_ += static_cast<double>(octets);
+  queued_bytes_ += static_cast<double>(bytes);
+  decayed_bytes_ += static_cast<double>(bytes);
 }
 
 Duration LinkModel::Direction::backlog(Instant now, double rate) const {
   if (rate <= 0) {
     return Duration::zero();
   }
-  const double left = std::max(queued_bytes_ - rate * seconds_between(updated_at_, now), 0.0);
-  return Duration(static_cast<Duration::rep>(left / rate * kMicrosecondsPerSecond));
+  const double remaining = std::max(queued_bytes_ - rate * seconds_between(updated_at_, now), 0.0);
+  return Duration(static_cast<Duration::rep>(remaining / rate * kMicrosecondsPerSecond));
 }
 
 Instant LinkModel::Direction::backlog_end(double rate) const {
--- a/src/core/link/link_scheduler.cc
+++ b/src/core/link/link_scheduler.cc
@@ -8,23 +8,22 @@
 
 using std::chrono::milliseconds;
 
-/// How much may be ahead in the link's own queue when a datagram is handed to it: two large packets
-/// of a link of 2 Mbit/s. Less would leave the link idle between two turns of the event loop, more
-/// would meet its end.
+/// Maximum backlog of the link when a datagram is passed to it: two large packets on a 2 Mbit/s
+/// link. Less would leave the link idle between two iterations of the event loop; more would
+/// overflow its queue.
 constexpr Duration kMaxLinkBacklog = milliseconds(10);
-/// A copy of a packet that left this lately is not needed: an acknowledgement takes a round trip
-/// between two regions (25 ms each way) and what waits in the link's queue. Well below the 200 ms
-/// after which senders repeat, so the next copy of a lost packet passes.
+/// A retransmission within this time after the packet was sent is redundant. Covers a round trip
+/// between two regions (25 ms each way) and the queueing delay. Well below the minimum
+/// retransmission timeout of 200 ms: after a loss, the next retransmission is forwarded.
 constexpr Duration kAcknowledgementTime = milliseconds(80);
-/// A flow without a packet for this long has forgotten its departures.
+/// A flow without packets for this long is removed with its departure history.
 constexpr Duration kIdleFlowTimeout = milliseconds(500);
-/// A late flow pays this much for each octet, so it gets a sixteenth of the share of one that can
-/// still be in time, and goes on. Played at 1.4 times what a link bears, uploads in time and late:
-/// 8 and 63 % with 1, 16 and 48 % with 4, 34 and 27 % with 16 (tests/sim/test_link_workload).
+/// Cost factor of each byte of a late flow: it gets one sixteenth of the share of a flow that can
+/// still be in time, but does not starve.
 constexpr double kLateFlowCost = 16;
 constexpr std::size_t kInitialQueueCapacity = 64;
 
-/// Differences of places that wrap around compare as signed numbers.
+/// Compares sequence numbers modulo 2^32.
 bool is_sequence_after(std::uint32_t a, std::uint32_t b) {
   return static_cast<std::int32_t>(a - b) > 0;
 }
@@ -64,8 +63,8 @@
 }
 
 LinkScheduler::FlowQueue& LinkScheduler::find_or_create_queue(const SteeredFlow& flow) {
-  if (FlowQueue* known = find_queue(flow)) {
-    return *known;
+  if (FlowQueue* existing = find_queue(flow)) {
+    return *existing;
   }
   std::uint32_t index = kNoSlot;
   if (free_queues_.empty()) {
@@ -100,31 +99,32 @@
       return true;
     }
   }
-  const auto left_lately = [&](const Departure& departure) {
+  const auto was_sent_recently = [&](const Departure& departure) {
     return departure.sequence == packet.sequence && departure.data_size == packet.data_size &&
            now - departure.sent_at < kAcknowledgementTime;
   };
-  const bool is_needless =
-      std::any_of(queue->recent_departures.begin(), queue->recent_departures.end(), left_lately);
-  counters_.retransmissions_suppressed += is_needless ? 1 : 0;
-  return is_needless;
+  const bool is_redundant = std::any_of(queue->recent_departures.begin(),
+                                        queue->recent_departures.end(), was_sent_recently);
+  counters_.retransmissions_suppressed += is_redundant ? 1 : 0;
+  return is_redundant;
 }
 
 void LinkScheduler::insert_by_sequence(FlowQueue& queue, std::uint32_t index) {
   Slot& slot = slots_[index];
-  std::uint32_t* place = &queue.first_slot;
-  while (*place != kNoSlot && !is_sequence_after(slots_[*place].sequence, slot.sequence)) {
-    place = &slots_[*place].next;
+  std::uint32_t* slot_link = &queue.first_slot;
+  while (*slot_link != kNoSlot && !is_sequence_after(slots_[*slot_link].sequence, slot.sequence)) {
+    slot_link = &slots_[*slot_link].next;
   }
-  slot.next = *place;
-  *place = index;
+  slot.next = *slot_link;
+  *slot_link = index;
 }
 
 std::span<std::uint8_t> LinkScheduler::enqueue(const ClientPacket& packet, const Endpoint& to,
-                                               std::size_t size, const PacketDeadlines& patience,
+                                               std::size_t size, const PacketDeadlines& deadlines,
                                                Instant now) {
-  const bool is_flow_new = queue_by_flow_.size() >= kMaxFlows && find_queue(packet.flow) == nullptr;
-  if (size > kMaxDatagramSize || is_flow_new) {
+  const bool exceeds_flow_limit =
+      queue_by_flow_.size() >= kMaxFlows && find_queue(packet.flow) == nullptr;
+  if (size > kMaxDatagramSize || exceeds_flow_limit) {
     ++counters_.dropped_queue_full;
     return {};
   }
@@ -139,13 +139,13 @@
   slot.sequence = packet.sequence;
   slot.data_size = packet.data_size;
   slot.enqueued_at = now;
-  slot.expires_at = now + patience.timeout;
+  slot.expires_at = now + deadlines.timeout;
   if (queue.packet_count == 0) {
     queue.start_tag = std::max(queue.start_tag, virtual_time_);
     active_queues_.push_back(queue_by_flow_[packet.flow]);
   }
-  if (!queue.late_at && patience.late_after > Duration::zero()) {
-    queue.late_at = now + patience.late_after;
+  if (!queue.late_at && deadlines.late_after > Duration::zero()) {
+    queue.late_at = now + deadlines.late_after;
   }
   insert_by_sequence(queue, index);
   ++queue.packet_count;
@@ -159,17 +159,17 @@
   FlowQueue* best = nullptr;
   for (const std::uint32_t index : active_queues_) {
     FlowQueue& queue = queues_[index];
-    const bool is_sooner =
+    const bool is_earlier =
         best == nullptr || queue.start_tag < best->start_tag ||
         (queue.start_tag == best->start_tag && queue.arrival_order < best->arrival_order);
-    best = is_sooner ? &queue : best;
+    best = is_earlier ? &queue : best;
   }
   return best;
 }
 
-std::uint32_t LinkScheduler::unlink_packet(FlowQueue& queue, std::uint32_t& place) {
-  const std::uint32_t index = place;
-  place = slots_[index].next;
+std::uint32_t LinkScheduler::unlink_packet(FlowQueue& queue, std::uint32_t& slot_link) {
+  const std::uint32_t index = slot_link;
+  slot_link = slots_[index].next;
   --queue.packet_count;
   --queued_packets_;
   queued_bytes_ -= slots_[index].size;
@@ -189,7 +189,7 @@
   const bool is_late = queue.late_at && now >= *queue.late_at;
   queue.start_tag += is_late ? kLateFlowCost * slot.size : slot.size;
   queue.last_active_at = now;
-  // Openings and bare acknowledgements carry the place of the data that follows them.
+  // Opening packets and pure acknowledgements have the sequence number of the data that follows.
   if (slot.data_size == 0) {
     return;
   }
@@ -210,8 +210,8 @@
       free_slot(index);
       continue;
     }
-    // Moves on with what is served, so that flows that come without end do not pass those that wait
-    // for ever.
+    // Virtual time advances with the service given, which keeps a continuous arrival of new flows
+    // from starving queued ones.
     virtual_time_ = std::max(virtual_time_, queue.start_tag) +
                     static_cast<double>(slot.size) / static_cast<double>(active_queues_.size() + 1);
     record_departure(queue, slot, now);
@@ -252,13 +252,13 @@
 }
 
 void LinkScheduler::on_tick(Instant now) {
-  absl::erase_if(queue_by_flow_, [&](const auto& one) {
-    const FlowQueue& queue = queues_[one.second];
-    const bool rests = queue.packet_count == 0 && now - queue.last_active_at >= kIdleFlowTimeout;
-    if (rests) {
-      free_queues_.push_back(one.second);
+  absl::erase_if(queue_by_flow_, [&](const auto& entry) {
+    const FlowQueue& queue = queues_[entry.second];
+    const bool is_idle = queue.packet_count == 0 && now - queue.last_active_at >= kIdleFlowTimeout;
+    if (is_idle) {
+      free_queues_.push_back(entry.second);
     }
-    return rests;
+    return is_idle;
   });
 }
 
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -1,14 +1,14 @@
-/// When and in which order a balancer sends what it forwards over a narrow link. The link's own
-/// queue is short: of a burst it drops what does not fit, and senders repeat that only after 200
-/// ms. So what does not leave at once waits here and leaves at the link's rate.
+/// Schedules the datagrams that a balancer forwards over a low-bandwidth link. The link's own queue
+/// is short and drops most of a burst, and clients retransmit only after 200 ms. Datagrams that
+/// cannot be sent at once are therefore queued here and sent at the link's rate.
 ///
-/// Order: start-time fair queueing between flows (Goyal, Vin, Cheng, "Start-time fair queueing",
-/// 1996). Each flow's next packet has a tag, the flow's share of the link so far; the least tag
-/// goes first, and a flow that did not wait begins at the present one. So a short request passes
-/// transfers that wait, transfers share evenly, and nothing starves. Within a flow packets leave in
-/// the order of the caller's stream, however they came, so that targets acknowledge steadily.
+/// Flows are ordered by start-time fair queueing (Goyal, Vin, Cheng, "Start-time Fair Queueing",
+/// 1996). The first queued packet of each flow has a start tag, and the lowest tag is sent first; a
+/// flow that becomes active starts at the current virtual time. Short requests thus overtake queued
+/// transfers, transfers share the link evenly, and no flow starves. Within a flow, packets are sent
+/// in sequence order, which keeps the acknowledgements of targets steady.
 ///
-/// A state machine without sockets or clocks. On a link of unknown rate nothing waits.
+/// Deterministic, does no I/O and reads no clock. On a link of unknown rate nothing is queued.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -26,27 +26,27 @@
 
 namespace gorsevalve {
 
-/// Counters since the start.
+/// Counters since process start.
 struct LinkCounters {
   std::uint64_t sent_immediately = 0;
   std::uint64_t sent_after_queueing = 0;
-  /// Copies of packets that waited, or had left too lately to be answered yet.
+  /// Retransmissions of packets that were still queued, or sent too recently to be acknowledged.
   std::uint64_t retransmissions_suppressed = 0;
-  /// For want of room.
+  /// The queue or the flow table was full, or the datagram was too large.
   std::uint64_t dropped_queue_full = 0;
-  /// Their callers had left.
+  /// The client had timed out or ended the flow.
   std::uint64_t dropped_expired = 0;
 };
 
-/// How long a packet's caller waits.
+/// Time limits of a packet, relative to its arrival.
 struct PacketDeadlines {
-  /// The packet is of no use afterwards.
+  /// The client has given up on the packet after this time, and it is dropped.
   Duration timeout{0};
-  /// From its first packet here, the flow is late after this time; 0 for never.
+  /// The flow counts as late this long after its first queued packet; 0 for never.
   Duration late_after{0};
 };
 
-/// A datagram whose turn it is; `bytes` are valid until the next call.
+/// A datagram to send now; `bytes` are valid until the next call.
 struct DequeuedDatagram {
   Endpoint to;
   ByteView bytes;
@@ -55,36 +55,38 @@
 
 class LinkScheduler {
  public:
-  /// Packets that wait at most: 2.5 s of a link of 2 Mbit/s, or 0.7 MB of memory.
+  /// Maximum number of queued packets: 2.5 s of a 2 Mbit/s link, or 0.7 MB of memory.
   static constexpr std::size_t kMaxQueuedPackets = 512;
-  /// Flows known at most: those with a packet waiting, and those whose packets left lately. 3 MB.
+  /// Maximum number of tracked flows: those with queued or recently sent packets. Takes 3 MB.
   static constexpr std::size_t kMaxFlows = 4096;
-  /// Largest datagram that may wait, in octets.
+  /// Largest datagram that can be queued, in bytes.
   static constexpr std::size_t kMaxDatagramSize = 1344;
 
   /// `link` must outlive the scheduler.
   explicit LinkScheduler(LinkModel& link) : link_(link) {}
 
-  /// True when a datagram may leave without waiting.
+  /// True when a datagram may be sent without queueing.
   [[nodiscard]] bool can_send_immediately(Instant now) const;
   void on_sent_immediately(std::size_t size, Instant now);
 
-  /// True for a copy of a packet that waits here, or that left so lately that its acknowledgement
-  /// may be on its way. It is not needed: senders repeat each 200 ms and more until they are
-  /// answered, so if the one that left is lost, a later copy follows and passes.
+  /// True for a retransmission of a packet that is still queued, or was sent so recently that its
+  /// acknowledgement may be in flight. Dropping it is safe: clients retransmit every 200 ms or
+  /// later until they get an acknowledgement, and a later retransmission is forwarded.
   [[nodiscard]] bool is_redundant_retransmission(const ClientPacket& packet, Instant now);
 
-  /// Room for a datagram of `size` octets in place of a caller's packet; empty when it is dropped.
+  /// Queues a datagram of `size` bytes for a client's packet. Returns the buffer to fill with its
+  /// content; empty when the datagram is dropped.
   std::span<std::uint8_t> enqueue(const ClientPacket& packet, const Endpoint& to, std::size_t size,
-                                  const PacketDeadlines& patience, Instant now);
-  /// The next datagram that may leave now; nothing when none waits or the link has no room yet.
+                                  const PacketDeadlines& deadlines, Instant now);
+  /// Returns the next datagram that may be sent now; nothing when the queue is empty or the link is
+  /// busy.
   std::optional<DequeuedDatagram> dequeue(Instant now);
-  /// When `take_due` should be called next; nothing when nothing waits.
+  /// Time of the next call of `dequeue`; nothing when the queue is empty.
   [[nodiscard]] std::optional<Instant> next_dequeue_at() const;
 
-  /// The caller ended the flow: what waits of it is of no use.
+  /// Drops all queued packets of a flow that has ended.
   void drop_flow(const SteeredFlow& flow);
-  /// Forgets flows that have rested; to be called now and then.
+  /// Removes idle flows; called periodically.
   void on_tick(Instant now);
 
   [[nodiscard]] std::size_t queued_packets() const { return queued_packets_; }
@@ -95,7 +97,7 @@
   static constexpr std::uint32_t kNoSlot = UINT32_MAX;
   static constexpr std::size_t kDepartureHistorySize = 32;
 
-  /// A packet that waits.
+  /// A queued packet.
   struct Slot {
     std::array<std::uint8_t, kMaxDatagramSize> bytes;
     std::uint32_t size = 0;
@@ -103,28 +105,28 @@
     std::uint32_t sequence = 0;
     std::uint32_t data_size = 0;
     Instant enqueued_at;
-    /// Its caller waits no longer.
+    /// Time after which the client has given up on the packet.
     Instant expires_at;
-    /// The flow's next packet, or the next free slot.
+    /// Next packet of the same flow, or next free slot.
     std::uint32_t next = kNoSlot;
   };
-  /// A packet that left.
+  /// A packet that was sent.
   struct Departure {
     std::uint32_t sequence = 0;
     std::uint32_t data_size = 0;
     Instant sent_at;
   };
-  /// What waits of one flow, in the order of its stream, and what left lately.
+  /// Queued packets of one flow in sequence order, and the packets sent recently.
   struct FlowQueue {
     SteeredFlow flow;
     std::uint32_t first_slot = kNoSlot;
-    /// Tag of the first packet that waits; after the last one left, of the next to come.
+    /// Start tag of the first queued packet, or of the next packet to be queued.
     double start_tag = 0;
-    /// Order of arrival, between equal tags.
+    /// Breaks ties between equal tags.
     std::uint64_t arrival_order = 0;
     std::size_t packet_count = 0;
     Instant last_active_at;
-    /// Nothing for a flow that is never late.
+    /// Empty for a flow that is never late.
     std::optional<Instant> late_at;
     std::array<Departure, kDepartureHistorySize> recent_departures;
     std::size_t next_departure = 0;
@@ -134,31 +136,31 @@
   void free_slot(std::uint32_t index);
   FlowQueue* find_queue(const SteeredFlow& flow);
   FlowQueue& find_or_create_queue(const SteeredFlow& flow);
-  /// The flow whose turn it is; nullptr when nothing waits.
+  /// The active queue with the lowest start tag; nullptr when nothing is queued.
   FlowQueue* next_queue();
   void insert_by_sequence(FlowQueue& queue, std::uint32_t index);
-  /// Takes the packet out that a link of the queue leads to, and frees nothing.
-  std::uint32_t unlink_packet(FlowQueue& queue, std::uint32_t& place);
+  /// Unlinks the packet that `slot_link` refers to. Does not free its slot.
+  std::uint32_t unlink_packet(FlowQueue& queue, std::uint32_t& slot_link);
   void record_departure(FlowQueue& queue, const Slot& slot, Instant now);
   void clear_queue(FlowQueue& queue);
-  /// Makes room by dropping the last packet of the flow that has most waiting.
+  /// Drops the last packet of the flow with the most queued packets.
   void drop_from_longest_queue();
 
   LinkModel& link_;
   LinkCounters counters_;
   std::vector<Slot> slots_;
   std::uint32_t first_free_slot_ = kNoSlot;
-  /// Queues keep their places; those in `free_queues_` belong to no flow.
+  /// Indices are stable; queues listed in `free_queues_` are unused.
   std::vector<FlowQueue> queues_;
   std::vector<std::uint32_t> free_queues_;
   absl::flat_hash_map<SteeredFlow, std::uint32_t> queue_by_flow_;
-  /// Queues in which something waits.
+  /// Indices of queues with at least one packet.
   std::vector<std::uint32_t> active_queues_;
   double virtual_time_ = 0;
   std::uint64_t last_arrival_order_ = 0;
   std::size_t queued_packets_ = 0;
   std::size_t queued_bytes_ = 0;
-  /// The packet that was given out last.
+  /// Slot of the datagram returned by the last `dequeue`; freed by the next one.
   std::uint32_t dequeued_slot_ = kNoSlot;
 };
 
--- a/src/core/link/link_shaper.cc
+++ b/src/core/link/link_shaper.cc
@@ -5,9 +5,9 @@
 namespace gorsevalve {
 namespace {
 
-/// After this time callers give an opening up.
+/// Time after which clients give up on an opening packet.
 constexpr Duration kOpeningTimeout = std::chrono::milliseconds(1400);
-/// The same for a flow of a frontend that is not known any more.
+/// Client timeout for a flow whose frontend is no longer known.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(8);
 
 }  // namespace
@@ -30,7 +30,7 @@
   }
   model_.on_received(size, now);
   if (scheduler_.is_redundant_retransmission(packet, now)) {
-    // Its caller is still there.
+    // A retransmission shows that the client is still active.
     admission_.on_data(packet.flow, 0, now);
     return LinkDecision::kDropRetransmission;
   }
@@ -41,8 +41,8 @@
     return LinkDecision::kForward;
   }
   if (packet.opens) {
-    const bool has_room = admission_.try_admit(packet.flow, frontend->timeout, now);
-    return has_room ? LinkDecision::kForward : LinkDecision::kReject;
+    const bool is_admitted = admission_.try_admit(packet.flow, frontend->timeout, now);
+    return is_admitted ? LinkDecision::kForward : LinkDecision::kReject;
   }
   admission_.on_data(packet.flow, packet.data_size, now);
   if (packet.closes || packet.resets) {
--- a/src/core/link/link_shaper.h
+++ b/src/core/link/link_shaper.h
@@ -1,6 +1,5 @@
-/// What a balancer does about a narrow link of its machine, as one piece: the model of the link,
-/// the order in which packets leave, and which bulk flows may open. On a link of unknown rate
-/// everything passes at once.
+/// Traffic control for the low-bandwidth link of a balancer: link model, packet scheduling, and
+/// admission of bulk flows. On a link of unknown rate every packet is forwarded at once.
 #pragma once
 
 #include "core/link/bulk_admission.h"
@@ -10,30 +9,30 @@
 
 namespace gorsevalve {
 
-/// What is to become of a packet that came from a caller, before its target is looked for.
+/// What to do with a packet of a client, decided before a target is selected.
 enum class LinkDecision : std::uint8_t {
   kForward = 0,
-  /// A copy of a packet that waits, or whose acknowledgement may be on its way: to be dropped.
+  /// A redundant retransmission: the original is queued, or its acknowledgement may be in flight.
   kDropRetransmission = 1,
-  /// The opening of a bulk flow that cannot land in time here: to be refused at once.
+  /// The opening packet of a bulk flow that could not finish in time: reject the flow at once.
   kReject = 2,
 };
 
 class LinkShaper {
  public:
-  /// `octets_per_s` is the link's rate each way; 0 when it is not known.
-  explicit LinkShaper(double octets_per_s) : model_(octets_per_s) {}
+  /// `bytes_per_s` is the link's rate in each direction; 0 when it is unknown.
+  explicit LinkShaper(double bytes_per_s) : model_(bytes_per_s) {}
   LinkShaper(const LinkShaper&) = delete;
   LinkShaper& operator=(const LinkShaper&) = delete;
 
-  /// A packet of a caller came; `frontend` may be nullptr.
+  /// Handles a packet received from a client; `frontend` may be nullptr.
   LinkDecision on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
                          Instant now);
-  /// The caller was told that its flow has ended, by a datagram of `size` octets.
+  /// Records that the client was notified of the end of its flow by a datagram of `size` bytes.
   void on_reset(const SteeredFlow& flow, std::size_t size, Instant now);
   void on_tick(Instant now);
 
-  /// How long callers of a frontend wait for what they send now.
+  /// Time limits of the clients of a frontend for a packet that is queued now.
   [[nodiscard]] static PacketDeadlines packet_deadlines(const FrontendView* frontend, bool opens);
 
   [[nodiscard]] LinkScheduler& scheduler() { return scheduler_; }
