--- a/src/codec/archive.h
+++ b/src/codec/archive.h
@@ -1,10 +1,9 @@
-/// Archives for Boost.Serialization in a compact, portable form: one value to bytes and back.
+/// Compact, portable archives for Boost.Serialization: encode a value to bytes and decode it.
 ///
-/// Boost's own binary archives depend on the machine's integer sizes and trust every length that
-/// they read: a flipped bit makes them fill gigabytes before they fail. These archives follow the
-/// same Archive concept (Boost.Serialization, "Archive Concepts"), so the model types' serialize
-/// functions serve unchanged, but integers are LEB128 of any size and each length is checked
-/// against the octets that are left.
+/// Boost's own binary archives depend on the integer sizes of the machine and trust every length in
+/// the input; one flipped bit can make them allocate gigabytes. These archives implement the same
+/// Archive concept (Boost.Serialization, "Archive Concepts") and work with the existing serialize
+/// functions, but encode integers as LEB128 and check each length against the remaining bytes.
 #pragma once
 
 #include <bit>
@@ -31,7 +30,7 @@
 template <typename T>
 struct IsOptional<std::optional<T>> : std::true_type {};
 
-/// Signed to unsigned so that small magnitudes stay small.
+/// Maps signed to unsigned integers and keeps small magnitudes small.
 constexpr std::uint64_t zigzag(std::int64_t value) {
   return (static_cast<std::uint64_t>(value) << 1U) ^ static_cast<std::uint64_t>(value >> 63);
 }
@@ -100,8 +99,8 @@
   Bytes& out_;
 };
 
-/// Loading archive over a byte sequence. After a malformed input `failed` is true, and every later
-/// value is left as it was.
+/// Loading archive over a byte sequence. After malformed input, `failed` is true and further loads
+/// leave their values unchanged.
 class ArchiveReader {
  public:
   using is_saving = boost::mpl::bool_<false>;  // NOLINT: names fixed by the Archive concept
@@ -159,7 +158,7 @@
 
   template <typename T>
   void load_vector(std::vector<T>& value) {
-    // Each element takes at least one octet, so the length bounds the work and the memory.
+    // Each element takes at least one byte, which bounds the time and the memory by the input size.
     const std::size_t size = load_length();
     value.clear();
     for (std::size_t i = 0; i < size && !failed_; ++i) {
@@ -172,17 +171,17 @@
       failed_ = true;
       return 0;
     }
-    const std::uint8_t octet = remaining_.front();
+    const std::uint8_t byte = remaining_.front();
     remaining_ = remaining_.subspan(1);
-    return octet;
+    return byte;
   }
 
   std::uint64_t load_varint(std::uint64_t maximum) {
     std::uint64_t value = 0;
     for (unsigned shift = 0; shift < 64; shift += 7) {
-      const std::uint8_t octet = load_byte();
-      value |= std::uint64_t{octet & 0x7FU} << shift;
-      if ((octet & 0x80U) == 0) {
+      const std::uint8_t byte = load_byte();
+      value |= std::uint64_t{byte & 0x7FU} << shift;
+      if ((byte & 0x80U) == 0) {
         failed_ = failed_ || value > maximum;
         return failed_ ? 0 : value;
       }
@@ -191,7 +190,7 @@
     return 0;
   }
 
-  /// A length that is not more than the octets that are left; 0 after a failure.
+  /// Reads a length; sets `failed` and returns 0 when it exceeds the remaining bytes.
   std::size_t load_length() {
     const std::uint64_t size = load_varint(~std::uint64_t{0});
     if (size > remaining_.size()) {
@@ -214,7 +213,8 @@
   return out;
 }
 
-/// Decodes one value. Returns nothing when the bytes are malformed, end early, or are left over.
+/// Decodes one value. Returns nothing when the input is malformed, truncated, or has trailing
+/// bytes.
 template <typename Value>
 std::optional<Value> decode_archive(ByteView bytes) {
   ArchiveReader reader(bytes);
--- a/src/codec/coap.cc
+++ b/src/codec/coap.cc
@@ -41,20 +41,20 @@
                      static_cast<std::uint8_t>(number & 0x07U)};
 }
 
-/// Stores one option; false when its value is out of the bounds of its definition.
+/// Stores one option. Returns false when its length exceeds the limit of its definition.
 bool apply_option(std::uint16_t number, ByteView value, CoapSummary& summary, PathHash& path) {
   constexpr std::size_t kMaxUintOption = 4;
-  constexpr std::size_t kMaxThreeOctets = 3;
+  constexpr std::size_t kMaxThreeByteOption = 3;
   switch (number) {
     case COAP_OPTION_OBSERVE:
-      if (value.size() > kMaxThreeOctets) {
+      if (value.size() > kMaxThreeByteOption) {
         return false;
       }
       summary.observe = option_uint(value);
       return true;
     case COAP_OPTION_BLOCK1:
     case COAP_OPTION_BLOCK2:
-      if (value.size() > kMaxThreeOctets) {
+      if (value.size() > kMaxThreeByteOption) {
         return false;
       }
       (number == COAP_OPTION_BLOCK1 ? summary.block1 : summary.block2) = decode_block(value);
@@ -149,9 +149,9 @@
   summary.type = static_cast<CoapType>(coap_pdu_get_type(state_->pdu));
   summary.code = message[1];
   summary.message_id = static_cast<std::uint16_t>((message[2] << 8U) | message[3]);
-  const bool known = summary.code == coap_code::kEmpty || summary.is_request() ||
-                     (summary.code >= 0x40 && summary.code < 0xC0);
-  if (!known) {
+  const bool has_valid_class = summary.code == coap_code::kEmpty || summary.is_request() ||
+                               (summary.code >= 0x40 && summary.code < 0xC0);
+  if (!has_valid_class) {
     return std::nullopt;
   }
   const coap_bin_const_t token = coap_pdu_get_token(state_->pdu);
@@ -275,12 +275,13 @@
     if (new_size > buffer.size()) {
       return 0;
     }
-    const std::array<std::uint8_t, kValueSize> octets = {static_cast<std::uint8_t>(value >> 16U),
-                                                         static_cast<std::uint8_t>(value >> 8U),
-                                                         static_cast<std::uint8_t>(value)};
+    const std::array<std::uint8_t, kValueSize> value_bytes = {
+        static_cast<std::uint8_t>(value >> 16U), static_cast<std::uint8_t>(value >> 8U),
+        static_cast<std::uint8_t>(value)};
     std::memmove(&buffer[position + new_length], &buffer[position + length],
                  size - position - length);
-    coap_opt_encode(&buffer[position], new_length, option.delta, octets.data(), octets.size());
+    coap_opt_encode(&buffer[position], new_length, option.delta, value_bytes.data(),
+                    value_bytes.size());
     return new_size;
   }
   return 0;
--- a/src/codec/coap.h
+++ b/src/codec/coap.h
@@ -1,6 +1,6 @@
-/// CoAP messages (RFC 7252, with Observe of RFC 7641 and Block-wise of RFC 7959) as the balancer
-/// and the stand-ins see them. Parsing and option encoding are libcoap's; the fixed four-octet
-/// header, for which libcoap exports no encoder, is written here.
+/// Parsing and encoding of CoAP messages (RFC 7252) with Observe (RFC 7641) and Block-wise transfer
+/// (RFC 7959), for the balancer and the test doubles. libcoap parses messages and encodes options;
+/// the fixed four-byte header is written here, since libcoap exports no encoder for it.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 
 namespace gorsevalve {
 
-/// Largest CoAP message that the system accepts, in octets.
+/// Largest accepted CoAP message, in bytes.
 constexpr std::size_t kMaxCoapSize = 1280;
 
 enum class CoapType : std::uint8_t {
@@ -26,7 +26,7 @@
   kReset = 3,
 };
 
-/// Codes that the system names itself (RFC 7252 section 12.1).
+/// Codes that the code refers to by name (RFC 7252 section 12.1).
 namespace coap_code {
 constexpr std::uint8_t kEmpty = 0x00;
 constexpr std::uint8_t kGet = 0x01;
@@ -45,7 +45,7 @@
 constexpr std::uint8_t kGatewayTimeout = 0xA4;
 }  // namespace coap_code
 
-/// Token of up to eight octets, kept inline.
+/// Token of up to eight bytes, stored inline.
 struct CoapToken {
   std::array<std::uint8_t, 8> bytes{};
   std::uint8_t length = 0;
@@ -54,8 +54,8 @@
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    for (auto& octet : bytes) {
-      archive& octet;
+    for (auto& byte : bytes) {
+      archive& byte;
     }
     archive& length;
   }
@@ -73,19 +73,19 @@
   std::uint8_t size_exponent = 0;
 };
 
-/// The parts of a message that decisions depend on. Refers to no external memory.
+/// Fields of a parsed message that balancing depends on. Does not refer to the parsed buffer.
 struct CoapSummary {
   CoapType type = CoapType::kConfirmable;
   std::uint8_t code = 0;
   std::uint16_t message_id = 0;
   CoapToken token;
-  /// Observe value; in requests 0 registers and 1 deregisters.
+  /// Observe value; in requests, 0 registers and 1 deregisters.
   std::optional<std::uint32_t> observe;
   std::optional<BlockOption> block1;
   std::optional<BlockOption> block2;
   /// Max-Age in seconds.
   std::optional<std::uint32_t> max_age;
-  /// Hash of the Uri-Path, as coap_path_hash gives it for the same path.
+  /// Hash of the Uri-Path, as computed by coap_path_hash.
   std::uint64_t path_hash = 0;
 
   [[nodiscard]] bool is_request() const {
@@ -94,17 +94,17 @@
   [[nodiscard]] bool is_response() const { return code >= 0x40; }
 };
 
-/// Observe values count modulo 2^24 (RFC 7641 section 2).
+/// Observe values are sequence numbers modulo 2^24 (RFC 7641 section 2).
 constexpr std::uint32_t kObserveMask = (1U << 24U) - 1;
 
-/// True when Observe value `next` is fresher than `last` by sequence number (RFC 7641 section 3.4;
-/// the time rule is left to the caller).
+/// True when Observe value `next` is fresher than `last` by sequence number (RFC 7641 section 3.4).
+/// The time condition of that section is the caller's task.
 bool observe_is_fresher(std::uint32_t last, std::uint32_t next);
 
 /// Hash of a path such as "/a/b" for comparison with CoapSummary::path_hash.
 std::uint64_t coap_path_hash(std::string_view path);
 
-/// Parses a message. Reuses one buffer, so that it does not allocate after construction.
+/// Parses messages. Reuses one buffer and does not allocate memory after construction.
 class CoapParser {
  public:
   CoapParser();
@@ -112,17 +112,17 @@
   CoapParser(const CoapParser&) = delete;
   CoapParser& operator=(const CoapParser&) = delete;
 
-  /// Returns nothing when the message is malformed, larger than kMaxCoapSize, or of a reserved
-  /// class.
+  /// Returns nothing when the message is malformed, larger than kMaxCoapSize, or has a code of a
+  /// reserved class.
   std::optional<CoapSummary> parse(ByteView message);
 
-  /// Payload of the last message that was parsed. Valid until the next call of parse.
+  /// Payload of the last parsed message. Valid until the next call of parse.
   [[nodiscard]] ByteView payload() const;
 
-  /// Uri-Query options of the last message that was parsed.
+  /// Uri-Query options of the last parsed message.
   [[nodiscard]] std::vector<std::string> queries() const;
 
-  /// Uri-Path of the last message that was parsed, as "/a/b".
+  /// Uri-Path of the last parsed message, as "/a/b".
   [[nodiscard]] std::string path() const;
 
  private:
@@ -130,7 +130,7 @@
   State* state_;
 };
 
-/// A message to be built. Options are encoded in the order of their numbers.
+/// A message to encode. Options are encoded in the order of their numbers.
 struct CoapMessage {
   CoapType type = CoapType::kConfirmable;
   std::uint8_t code = 0;
@@ -144,26 +144,25 @@
   Bytes payload;
 };
 
-/// Encodes a message.
 Bytes encode_coap(const CoapMessage& message);
 
-/// Overwrites the message id in place. The message must hold at least the four-octet header.
+/// Overwrites the message ID in place. The message must hold at least the four-byte header.
 void set_coap_message_id(std::span<std::uint8_t> message, std::uint16_t message_id);
 
-/// Overwrites the message type in place. The message must hold at least one octet.
+/// Overwrites the message type in place. The message must hold at least one byte.
 void set_coap_type(std::span<std::uint8_t> message, CoapType type);
 
-/// Overwrites the value of the Observe option in place with a three-octet value. Returns the new
-/// size of the message, which may be up to three octets larger; 0 when `size` octets hold no
-/// Observe option or `buffer` has no room.
+/// Overwrites the Observe option in place with a three-byte value. Returns the new size of the
+/// message, which may be up to three bytes larger; 0 when the first `size` bytes contain no Observe
+/// option or `buffer` is too small.
 std::size_t set_coap_observe(std::span<std::uint8_t> buffer, std::size_t size, std::uint32_t value);
 
-/// The answer that tells a caller of a verdict: 5.03 with Max-Age for "not run", 5.04 with Max-Age
-/// for "may have run"; piggybacked when the request was confirmable.
+/// Encodes the response that reports a verdict: 5.03 (not run) or 5.04 (may have run), with
+/// Max-Age; piggybacked when the request was confirmable.
 Bytes encode_verdict(const Verdict& verdict, CoapType request_type, std::uint16_t message_id,
                      const CoapToken& token);
 
-/// An empty message (acknowledgement or reset) for a message id.
+/// Encodes an empty message (acknowledgement or reset) with the given message ID.
 Bytes encode_empty_message(CoapType type, std::uint16_t message_id);
 
 }  // namespace gorsevalve
--- a/src/codec/compression.cc
+++ b/src/codec/compression.cc
@@ -7,11 +7,11 @@
 namespace gorsevalve {
 namespace {
 
-/// The size of the plain body, little endian.
+/// Size of the field with the uncompressed size (little endian), in bytes.
 constexpr std::size_t kSizeField = 4;
-/// zlib's fastest level: settings repeat themselves so much that more effort gains little.
+/// zlib's fastest level; settings are so repetitive that a higher one gains little.
 constexpr int kZlibLevel = 1;
-/// No input gives more than this many times its size (zlib's own bound is about 1032).
+/// Upper bound of uncompressed to compressed size (zlib reaches about 1032).
 constexpr std::size_t kMaxExpansionRatio = 1100;
 
 }  // namespace
--- a/src/codec/compression.h
+++ b/src/codec/compression.h
@@ -1,4 +1,4 @@
-/// Compression of large message bodies by zlib (RFC 1950), behind the size of the plain body.
+/// Compression of large message bodies with zlib (RFC 1950), prefixed with the uncompressed size.
 #pragma once
 
 #include <optional>
@@ -7,12 +7,12 @@
 
 namespace gorsevalve {
 
-/// Smaller bodies go as they are: little is gained.
+/// Smaller bodies are sent uncompressed, since compression gains little.
 constexpr std::size_t kMinBodySizeToCompress = 1024;
 
 Bytes compress(ByteView plain);
 
-/// Nothing when the input is damaged, or claims more than `max_size` octets.
+/// Returns nothing when the input is damaged or its uncompressed size exceeds `max_size` bytes.
 std::optional<Bytes> decompress(ByteView compressed, std::size_t max_size);
 
 }  // namespace gorsevalve
--- a/src/codec/envelope.cc
+++ b/src/codec/envelope.cc
@@ -14,7 +14,7 @@
 
 constexpr std::array<std::uint8_t, 3> kMagic = {'G', 'V', 'M'};
 constexpr std::uint8_t kVersion = 9;
-/// Set in the type of a message whose body is compressed.
+/// Flag in the message type that marks a compressed body.
 constexpr std::uint8_t kCompressedFlag = 0x80;
 constexpr std::size_t kHeaderSize = 36;
 constexpr std::size_t kMacSize = std::tuple_size_v<MessageMac>;
@@ -33,7 +33,7 @@
   return value;
 }
 
-/// Encodes the alternative that a variant holds.
+/// Encodes the active alternative of a variant.
 template <typename Variant>
 Bytes encode_alternative(const Variant& message) {
   return std::visit([](const auto& body) { return encode_archive(body); }, message);
@@ -53,7 +53,7 @@
   }
 }
 
-/// A replica message's sender and term, 8 octets each, go before its body.
+/// Decodes a replica message, whose body is preceded by sender and term (8 bytes each).
 std::optional<ReplicaMessage> decode_replica_message(std::size_t type, ByteView body) {
   constexpr std::size_t kPrefixSize = 16;
   if (body.size() < kPrefixSize) {
@@ -68,7 +68,7 @@
                         std::move(*decoded)};
 }
 
-/// Compresses large bodies.
+/// Compresses the body when it is large enough.
 EncodedMessage make_encoded_message(MessageKind kind, std::size_t type, Bytes body) {
   const auto plain_type = static_cast<std::uint8_t>(type);
   if (body.size() < kMinBodySizeToCompress) {
@@ -88,7 +88,7 @@
   for (const auto& line : *lines) {
     if (line.text.size() < kMinSecretSize) {
       return tl::unexpected(path + ":" + std::to_string(line.number) +
-                            ": a key needs at least 16 characters");
+                            ": key must have at least 16 characters");
     }
     keys.keys.push_back(line.text);
   }
--- a/src/codec/envelope.h
+++ b/src/codec/envelope.h
@@ -1,12 +1,12 @@
-/// Envelope of every message between the system's own processes: who sent it, to which cluster, and
-/// an authentication code.
+/// Authenticated envelope of every message between the system's own processes: sender, cluster, and
+/// message authentication code (MAC).
 ///
 ///   magic "GVM" | version (1) | kind (1) | type (1) | sender address (4) and port (2) |
-///   sender incarnation (8) | sequence (8) | cluster (8) | body | code (16)
+///   sender incarnation (8) | sequence (8) | cluster (8) | body | MAC (16)
 ///
-/// The highest bit of the type tells that the body is compressed (compression.h). Integers are big
-/// endian. The code is HMAC-SHA-256 (RFC 2104), cut to 128 bits, over all before
-/// it.
+/// Sizes are in bytes, integers are big endian. The highest bit of the type marks a compressed body
+/// (compression.h). The MAC is HMAC-SHA-256 (RFC 2104), truncated to 128 bits, over everything
+/// before it.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -28,12 +28,12 @@
 
 namespace gorsevalve {
 
-/// Largest sealed message, in octets.
+/// Largest sealed message, in bytes.
 constexpr std::size_t kMaxEnvelopeSize = 16U << 20U;
 
 enum class MessageKind : std::uint8_t { kPeer = 1, kReplica = 2, kNode = 3 };
 
-/// Why a message was dropped.
+/// Why a received message was dropped.
 enum class EnvelopeError : std::uint8_t {
   kMalformed = 0,
   kUnsupportedVersion = 1,
@@ -42,15 +42,14 @@
   kReplayed = 4,
 };
 
-/// A message that passed all checks.
+/// A received message that passed all checks.
 struct OpenedMessage {
   MessageKind kind = MessageKind::kPeer;
   Endpoint sender;
   std::variant<PeerMessage, ReplicaMessage, NodeMessage> message;
 };
 
-/// A message as it goes into envelopes, compressed where that pays: one that goes to many peers is
-/// encoded once.
+/// An encoded and possibly compressed message body. A message to many peers is encoded once.
 struct EncodedMessage {
   MessageKind kind = MessageKind::kPeer;
   std::uint8_t type = 0;
@@ -59,19 +58,21 @@
 
 EncodedMessage encode_message(const NodeMessage& message);
 
-/// Shared keys, the first one for sending; all are accepted, so that keys can be rotated.
+/// Shared keys. The first one authenticates sent messages; all are accepted, which allows key
+/// rotation.
 struct ClusterKeys {
   std::vector<std::string> keys;
 };
 
-/// Reads a key file: one key of at least 16 characters a line. The error names the file and line; a
-/// file that others may read is refused.
+/// Reads a key file with one key of at least 16 characters per line. The error names the file and
+/// the line. A file that other users can read is rejected.
 tl::expected<ClusterKeys, std::string> read_key_file(const std::string& path);
 
-/// Seals outgoing messages and opens incoming ones. One per process and thread.
+/// Seals outgoing messages and opens incoming ones. Not thread-safe: use one per process and
+/// thread.
 class Envelope {
  public:
-  /// There must be at least one key.
+  /// Requires at least one key.
   Envelope(const std::string& cluster, const ClusterKeys& keys, Endpoint self,
            std::uint64_t incarnation);
 
@@ -82,11 +83,11 @@
 
   [[nodiscard]] tl::expected<OpenedMessage, EnvelopeError> open(ByteView sealed);
 
-  /// True when the datagram begins like an envelope; PROXY headers never do.
+  /// True when the datagram starts with the magic of an envelope; PROXY headers never do.
   [[nodiscard]] static bool has_envelope_magic(ByteView datagram);
 
  private:
-  /// Sequence numbers of one sender that were seen (RFC 4303 section 3.4.3 describes the window).
+  /// Replay window: sequence numbers received from one sender (RFC 4303 section 3.4.3).
   struct ReplayWindow {
     static constexpr std::size_t kSize = 4096;
     std::uint64_t highest = 0;
@@ -102,7 +103,7 @@
   [[nodiscard]] bool has_valid_mac(ByteView sealed);
 
   std::uint64_t cluster_;
-  /// One for each key, the first one for sending.
+  /// One per key; the first one is for sending.
   std::vector<MessageAuthenticator> authenticators_;
   Endpoint self_;
   std::uint64_t incarnation_;
--- a/src/codec/message_authentication.cc
+++ b/src/codec/message_authentication.cc
@@ -9,14 +9,15 @@
 namespace gorsevalve {
 namespace {
 
-/// Keeps OpenSSL from what only names of algorithms in configuration files need: reading one, and
-/// entering each cipher and digest into tables: a sixth of the instructions of a program's start.
+/// Prevents OpenSSL from loading a configuration file and registering all ciphers and digests,
+/// which slows down process start and is only needed to look up algorithms by name in
+/// configurations.
 void initialize_openssl() {
-  constexpr std::uint64_t kOnlyWhatIsFetched =
+  constexpr std::uint64_t kMinimalInitialization =
       OPENSSL_INIT_NO_LOAD_CONFIG | OPENSSL_INIT_NO_LOAD_CRYPTO_STRINGS |
       OPENSSL_INIT_NO_ADD_ALL_CIPHERS | OPENSSL_INIT_NO_ADD_ALL_DIGESTS;
-  // If this fails, OpenSSL prepares itself in the usual, longer way when it is used first.
-  OPENSSL_init_crypto(kOnlyWhatIsFetched, nullptr);
+  // On failure, OpenSSL runs its default initialization on first use.
+  OPENSSL_init_crypto(kMinimalInitialization, nullptr);
 }
 
 }  // namespace
@@ -46,9 +47,9 @@
 }
 
 bool MessageAuthenticator::verify(ByteView message, ByteView expected) {
-  const MessageMac own = compute(message);
-  return expected.size() == own.size() &&
-         CRYPTO_memcmp(own.data(), expected.data(), own.size()) == 0;
+  const MessageMac computed = compute(message);
+  return expected.size() == computed.size() &&
+         CRYPTO_memcmp(computed.data(), expected.data(), computed.size()) == 0;
 }
 
 }  // namespace gorsevalve
--- a/src/codec/message_authentication.h
+++ b/src/codec/message_authentication.h
@@ -1,4 +1,4 @@
-/// Authentication codes of messages: HMAC-SHA-256 (RFC 2104), cut to 128 bits, by OpenSSL.
+/// Message authentication codes (MAC): HMAC-SHA-256 (RFC 2104) truncated to 128 bits, with OpenSSL.
 #pragma once
 
 #include <openssl/evp.h>
@@ -14,7 +14,8 @@
 
 using MessageMac = std::array<std::uint8_t, 16>;
 
-/// One key, prepared once: looking the algorithm up for each message costs more than the message.
+/// Authenticates messages with one key. Keeps an initialized context, since looking up the
+/// algorithm costs more than authenticating a message.
 class MessageAuthenticator {
  public:
   explicit MessageAuthenticator(const std::string& key);
--- a/src/codec/proxy_header.cc
+++ b/src/codec/proxy_header.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kRelaySize = 9;
 constexpr std::size_t kTimeLeftSize = 4;
 
-/// Reads big-endian integers from a checked position.
+/// Reads a big-endian integer of `size` bytes; `data` must hold that many.
 std::uint64_t read_big_endian(const std::uint8_t* data, std::size_t size) {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < size; ++i) {
@@ -59,7 +59,7 @@
                   static_cast<std::uint16_t>(read_big_endian(data + 4, 2))};
 }
 
-/// Stores one extension in the header; false when its length is wrong.
+/// Stores one TLV in the header. Returns false when its length is wrong.
 bool apply_tlv(std::uint8_t type, ByteView value, ProxyHeader& header) {
   switch (type) {
     case kTypeUniqueId:
@@ -93,21 +93,21 @@
   }
 }
 
-bool decode_tlvs(ByteView extensions, ProxyHeader& header) {
-  while (!extensions.empty()) {
-    if (extensions.size() < kTlvHeaderSize) {
+bool decode_tlvs(ByteView tlvs, ProxyHeader& header) {
+  while (!tlvs.empty()) {
+    if (tlvs.size() < kTlvHeaderSize) {
       return false;
     }
-    const std::uint8_t type = extensions[0];
-    const std::size_t size = read_big_endian(extensions.data() + 1, 2);
-    extensions = extensions.subspan(kTlvHeaderSize);
-    if (extensions.size() < size) {
+    const std::uint8_t type = tlvs[0];
+    const std::size_t size = read_big_endian(tlvs.data() + 1, 2);
+    tlvs = tlvs.subspan(kTlvHeaderSize);
+    if (tlvs.size() < size) {
       return false;
     }
-    if (!apply_tlv(type, extensions.first(size), header)) {
+    if (!apply_tlv(type, tlvs.first(size), header)) {
       return false;
     }
-    extensions = extensions.subspan(size);
+    tlvs = tlvs.subspan(size);
   }
   return true;
 }
@@ -157,9 +157,9 @@
       static_cast<std::uint32_t>(read_big_endian(addresses + 4, 4));
   result.header.flow.client.port = static_cast<std::uint16_t>(read_big_endian(addresses + 8, 2));
   result.header.flow.service.port = static_cast<std::uint16_t>(read_big_endian(addresses + 10, 2));
-  const ByteView extensions =
+  const ByteView tlvs =
       datagram.subspan(kFixedSize + kIpv4AddressBlockSize, length - kIpv4AddressBlockSize);
-  if (!decode_tlvs(extensions, result.header)) {
+  if (!decode_tlvs(tlvs, result.header)) {
     return std::nullopt;
   }
   result.payload = datagram.subspan(kFixedSize + length);
--- a/src/model/bytes.h
+++ b/src/model/bytes.h
@@ -1,4 +1,4 @@
-/// Byte sequences used at every boundary of the system.
+/// Types for byte sequences.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,9 @@
 
 namespace gorsevalve {
 
-/// An owned sequence of octets.
+/// Owned byte sequence.
 using Bytes = std::vector<std::uint8_t>;
-/// A borrowed, read-only sequence of octets.
+/// Borrowed, read-only byte sequence.
 using ByteView = std::span<const std::uint8_t>;
 
 }  // namespace gorsevalve
--- a/src/model/endpoint.h
+++ b/src/model/endpoint.h
@@ -22,13 +22,13 @@
   }
 };
 
-/// Parses "a.b.c.d:port". Returns nothing when the text is not exactly that or the port is 0.
+/// Parses "a.b.c.d:port". Returns nothing when the text has another form or the port is 0.
 std::optional<Endpoint> parse_endpoint(std::string_view text);
 
 /// Formats as "a.b.c.d:port".
 std::string to_string(const Endpoint& endpoint);
 
-/// The endpoint packed into 48 bits; distinct endpoints give distinct values.
+/// Packs an endpoint into 48 bits; distinct endpoints give distinct values.
 constexpr std::uint64_t packed(const Endpoint& endpoint) {
   return (std::uint64_t{endpoint.address} << 16U) | endpoint.port;
 }
--- a/src/model/flow.h
+++ b/src/model/flow.h
@@ -1,4 +1,4 @@
-/// Identity of a flow and of one request inside it.
+/// Identifiers of flows and of requests within them.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace gorsevalve {
 
-/// A flow: all datagrams between one caller endpoint and one service address.
+/// Identifies a flow: all datagrams between one client endpoint and one service address.
 struct FlowKey {
   Endpoint client;
   Endpoint service;
@@ -26,18 +26,18 @@
   return Hasher::combine(std::move(state), packed(flow.client), packed(flow.service));
 }
 
-/// 64-bit hash of a flow, the same in every process and version (XXH3).
+/// 64-bit hash of a flow (XXH3), identical in all processes and versions.
 std::uint64_t flow_hash(const FlowKey& flow);
 
 /// Second, independent hash of a flow, for its alternative slot.
 std::uint64_t flow_hash_alternative(const FlowKey& flow);
 
 /// Identifies one dispatched request across the fleet. The owner writes it into the datagram to the
-/// target (PROXY protocol unique id) and the target echoes it in each answer.
+/// target (PROXY protocol unique ID), and the target echoes it in each response.
 struct RequestId {
-  /// Random number of the balancer process that created the id.
+  /// Random number of the balancer process that created the ID.
   std::uint64_t incarnation = 0;
-  /// Counter within that process, from 1; 0 means "no id".
+  /// Counter within that process, from 1; 0 means "no ID".
   std::uint64_t sequence = 0;
 
   friend auto operator<=>(const RequestId&, const RequestId&) = default;
--- a/src/model/settings.h
+++ b/src/model/settings.h
@@ -1,4 +1,4 @@
-/// The declarative settings that operators submit as a whole, after checking.
+/// Declarative settings, submitted by operators as a whole file and validated.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace gorsevalve {
 
-/// Number of an accepted change. Grows by at least one with each change and never goes back.
+/// Revision number of an accepted change. Increases by at least one with each change.
 using Revision = std::uint64_t;
 
-/// One back end of a service.
+/// One backend of a service.
 struct Target {
   std::string name;
   Endpoint address;
   std::string zone;
   /// Share of new flows relative to the other targets of the service, 1 to 1000.
   std::uint32_t weight = 100;
-  /// A draining target keeps its feeds and downloads and gets no new work.
+  /// A draining target keeps its observations and downloads, and gets no new requests.
   bool draining = false;
-  /// Requests that the target runs at once.
+  /// Number of requests that the target runs concurrently.
   std::uint32_t slots = 2;
   std::uint32_t max_connections = 2000;
-  /// HTTP address of the health and load endpoints; port 0 when there is none.
+  /// HTTP address of the health and load endpoints; port 0 when the target has none.
   Endpoint health;
 
   friend bool operator==(const Target&, const Target&) = default;
@@ -35,22 +35,23 @@
   }
 };
 
-/// One virtual service: an address before a set of targets.
+/// A virtual service: one address in front of a set of targets.
 struct Service {
   std::string name;
   Endpoint address;
-  /// Paths ("/a/b") whose POST and PATCH requests may be repeated although their method may not.
+  /// Paths ("/a/b") whose POST and PATCH requests are idempotent although their methods are not.
   std::vector<std::string> repeatable_paths;
   /// Paths whose requests run at most once although their method is idempotent.
   std::vector<std::string> once_only_paths;
-  /// How long a request may wait for a target and its answer.
+  /// Maximum time that a request waits for a target and for its response.
   std::uint32_t request_timeout_ms = 4000;
-  /// Ownership partitions that the flows of this service spread over, at most
-  /// FleetState::partitions. Fewer mean fewer balancers that share each target's limits.
+  /// Number of ownership partitions that the flows of this service are spread over, at most
+  /// FleetState::partitions. With fewer partitions, fewer balancers share the limits of each
+  /// target.
   std::uint32_t owner_spread = 64;
-  /// Requests that wait for one target at one balancer before new ones are refused.
+  /// Maximum number of requests queued for one target at one balancer; further ones are rejected.
   std::uint32_t queue_limit = 32;
-  /// Bounds of the come-back time given with a verdict.
+  /// Bounds of the retry delay that is sent with a verdict.
   std::uint32_t retry_after_min_s = 1;
   std::uint32_t retry_after_max_s = 5;
   std::vector<Target> targets;
--- a/src/model/time.h
+++ b/src/model/time.h
@@ -1,14 +1,14 @@
-/// Time as the pure core sees it: an instant on a monotonic clock that the caller supplies.
+/// Time types of the core: instants on a monotonic clock that the caller of the core reads.
 #pragma once
 
 #include <chrono>
 
 namespace gorsevalve {
 
-/// Length of time, in microseconds.
+/// Duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Tag for the monotonic clock. The simulator and the real programs each supply their own reading.
+/// Tag type of the monotonic clock. The simulator and the programs each provide its readings.
 struct MonotonicClock {
   using duration = Duration;
   using rep = duration::rep;
--- a/src/model/verdict.h
+++ b/src/model/verdict.h
@@ -1,4 +1,4 @@
-/// What the system tells a caller about a request that it gave up on.
+/// The outcome that is reported to a client for a request that failed.
 #pragma once
 
 #include <chrono>
@@ -7,15 +7,15 @@
 
 namespace gorsevalve {
 
-/// Whether a request that got no answer from a target may have been executed.
+/// Whether a request without a response from a target may have been executed.
 enum class Execution : std::uint8_t {
-  /// No byte of the request was handed to any target, and none will be.
+  /// No byte of the request was sent to any target, and none will be.
   kNotRun = 0,
-  /// The request was handed to a target, or another balancer may have done so.
+  /// The request was sent to a target, or another balancer may have sent it.
   kMayHaveRun = 1,
 };
 
-/// Why a request was given up on. Used in logs and metrics.
+/// Why a request failed. Used in logs and metrics.
 enum class FailureReason : std::uint8_t {
   kNoTarget = 0,
   kOverload = 1,
@@ -44,11 +44,11 @@
   return "unknown";
 }
 
-/// Final answer for a request that was given up on.
+/// Final outcome of a failed request.
 struct Verdict {
   Execution execution = Execution::kMayHaveRun;
   FailureReason reason = FailureReason::kDeadline;
-  /// When the caller should come back (CoAP Max-Age).
+  /// Delay after which the client should retry (CoAP Max-Age).
   std::chrono::seconds retry_after{1};
 };
 
--- a/src/settings/settings_file.cc
+++ b/src/settings/settings_file.cc
@@ -87,12 +87,13 @@
   service.retry_after_max_s =
       reader.optional_integer("retry_after_max_s", service.retry_after_max_s, 1, 255);
   if (service.retry_after_min_s > service.retry_after_max_s) {
-    reader.add_error("retry_after_min_s", "is above retry_after_max_s");
+    reader.add_error("retry_after_min_s", "must not be greater than retry_after_max_s");
   }
   for (const auto& path : service.repeatable_paths) {
-    const auto& once = service.once_only_paths;
-    if (std::find(once.begin(), once.end(), path) != once.end()) {
-      reader.add_error("repeatable_paths", "path \"" + path + "\" stands in once_only_paths too");
+    const auto& once_only = service.once_only_paths;
+    if (std::find(once_only.begin(), once_only.end(), path) != once_only.end()) {
+      reader.add_error("repeatable_paths",
+                       "path \"" + path + "\" is also listed in once_only_paths");
     }
   }
   for (auto& child : reader.tables("target")) {
@@ -104,14 +105,15 @@
   return service;
 }
 
-/// Refuses a name or an address that stands twice.
+/// Reports names and addresses that are used more than once.
 class UniquenessCheck {
  public:
-  void add(const std::string& what, const std::string& value, const std::string& place,
+  void add(const std::string& kind, const std::string& value, const std::string& table_path,
            const TableReader& reader, std::string_view key) {
-    const auto [found, is_new] = seen_.emplace(what + " " + value, place);
+    const auto [found, is_new] = seen_.emplace(kind + " " + value, table_path);
     if (!is_new) {
-      reader.add_error(key, what + " " + value + " is used by " + found->second + " already");
+      reader.add_error(
+          key, kind + " " + value + " is a duplicate (already used by " + found->second + ")");
     }
   }
 
@@ -169,7 +171,7 @@
   root.reject_unknown_keys(keys_of(""));
   const std::int64_t schema = root.integer("schema", 0, 1000000);
   if (errors.empty() && schema != kSettingsSchema) {
-    root.add_error("schema", "this program reads schema 1, the file has " + std::to_string(schema));
+    root.add_error("schema", "unsupported schema, expected 1, got " + std::to_string(schema));
   }
   Settings settings;
   settings.deployment = root.non_empty_string("deployment");
@@ -195,13 +197,13 @@
          "is \"" + after.deployment + "\", but this fleet runs \"" + before.deployment + "\""});
   }
   for (const auto& service : after.services) {
-    const auto old = std::find_if(
+    const auto previous = std::find_if(
         before.services.begin(), before.services.end(),
         [&](const Service& candidate) { return candidate.address == service.address; });
-    if (old != before.services.end() && old->owner_spread != service.owner_spread) {
+    if (previous != before.services.end() && previous->owner_spread != service.owner_spread) {
       errors.push_back({file, 0, "service \"" + service.name + "\": owner_spread",
-                        "cannot change while the service runs (it is " +
-                            std::to_string(old->owner_spread) + ")"});
+                        "cannot be changed while the service exists (current value: " +
+                            std::to_string(previous->owner_spread) + ")"});
     }
   }
   return errors;
--- a/src/settings/settings_file.h
+++ b/src/settings/settings_file.h
@@ -1,5 +1,5 @@
-/// The declarative settings file: reading with checks, and the rules for changing it.
-/// The format is described in docs/settings.md; a test holds that page against kSettingsKeys.
+/// Parses and validates the declarative settings file, and checks updates of it. The format is
+/// documented in docs/settings.md; a test checks that page against settings_keys().
 #pragma once
 
 #include <span>
@@ -12,35 +12,36 @@
 
 namespace gorsevalve {
 
-/// Version of the format that this program reads.
+/// Supported version of the format.
 constexpr std::int64_t kSettingsSchema = 1;
-/// Largest settings file, in octets.
+/// Largest settings file, in bytes.
 constexpr std::size_t kMaxSettingsSize = 4U << 20U;
 
-/// One reason why a file is refused.
+/// A reason why a file is rejected.
 struct SettingsError {
   std::string file;
-  /// Line in the file, from 1; 0 when the error has no place.
+  /// Line in the file, from 1; 0 when the error has no line.
   std::uint32_t line = 0;
-  /// The field, as a path such as "service[1].target[0].weight".
+  /// Path of the field, such as "service[1].target[0].weight".
   std::string field;
   std::string message;
 };
 
-/// "file:line: field: message".
+/// Formats as "file:line: field: message".
 std::string to_string(const SettingsError& error);
 
-/// Reads and checks a file. All errors are given, not just the first.
+/// Parses and validates a file. Returns all errors, not only the first.
 tl::expected<Settings, std::vector<SettingsError>> parse_settings(std::string_view text,
                                                                   const std::string& file);
 
-/// Checks that `state_after` may follow `before`: what is fixed for the life of a service stays.
+/// Checks that `after` may replace `before`: properties that are fixed for the lifetime of a
+/// service must not change.
 std::vector<SettingsError> check_change(const Settings& before, const Settings& after,
                                         const std::string& file);
 
-/// One key of the format.
+/// A key of the format.
 struct SettingsKey {
-  /// "" for the top level, "service" or "target".
+  /// Table of the key: "" for the top level, "service" or "target".
   std::string_view table;
   std::string_view name;
 };
--- a/src/settings/table_reader.cc
+++ b/src/settings/table_reader.cc
@@ -58,21 +58,21 @@
   return *parsed;
 }
 
-std::uint32_t TableReader::optional_integer(std::string_view key, std::uint32_t otherwise,
+std::uint32_t TableReader::optional_integer(std::string_view key, std::uint32_t default_value,
                                             std::uint32_t minimum, std::uint32_t maximum) const {
   return table_->contains(key) ? static_cast<std::uint32_t>(integer(key, minimum, maximum))
-                               : otherwise;
+                               : default_value;
 }
 
-bool TableReader::optional_boolean(std::string_view key, bool otherwise) const {
+bool TableReader::optional_boolean(std::string_view key, bool default_value) const {
   if (!table_->contains(key)) {
-    return otherwise;
+    return default_value;
   }
   if (!(*table_)[key].is_boolean()) {
     add_error(key, "must be true or false");
-    return otherwise;
+    return default_value;
   }
-  return (*table_)[key].value_or(otherwise);
+  return (*table_)[key].value_or(default_value);
 }
 
 Endpoint TableReader::optional_endpoint(std::string_view key) const {
@@ -115,8 +115,8 @@
   }
   std::size_t index = 0;
   for (const auto& element : *array) {
-    const std::string place = field_path(key) + "[" + std::to_string(index) + "]";
-    readers.emplace_back(*element.as_table(), file_, place, *errors_);
+    const std::string child_path = field_path(key) + "[" + std::to_string(index) + "]";
+    readers.emplace_back(*element.as_table(), file_, child_path, *errors_);
     ++index;
   }
   return readers;
--- a/src/settings/table_reader.h
+++ b/src/settings/table_reader.h
@@ -1,4 +1,4 @@
-/// Typed, checked access to one table of a settings file. Every error names file, line and field.
+/// Typed, validating access to one table of a settings file. Errors name file, line and field.
 #pragma once
 
 #include <toml++/toml.h>
@@ -14,28 +14,28 @@
 
 class TableReader {
  public:
-  /// `place` is the path of the table, "" for the top level. All references must outlive the
-  /// reader.
-  TableReader(const toml::table& table, std::string file, std::string place,
+  /// `table_path` is the path of the table, "" for the top level. `table` and `errors` must outlive
+  /// the reader.
+  TableReader(const toml::table& table, std::string file, std::string table_path,
               std::vector<SettingsError>& errors)
-      : table_(&table), file_(std::move(file)), path_(std::move(place)), errors_(&errors) {}
+      : table_(&table), file_(std::move(file)), path_(std::move(table_path)), errors_(&errors) {}
 
-  /// Reports each key that is not among `known`.
+  /// Reports every key that is not in `known`.
   void reject_unknown_keys(const std::vector<std::string_view>& known) const;
 
-  /// Required values. On error the error is reported and a default is given.
+  /// Required values. On error, they report it and return a default value.
   [[nodiscard]] std::string non_empty_string(std::string_view key) const;
   [[nodiscard]] std::int64_t integer(std::string_view key, std::int64_t minimum,
                                      std::int64_t maximum) const;
   [[nodiscard]] Endpoint endpoint(std::string_view key) const;
 
-  [[nodiscard]] std::uint32_t optional_integer(std::string_view key, std::uint32_t otherwise,
+  [[nodiscard]] std::uint32_t optional_integer(std::string_view key, std::uint32_t default_value,
                                                std::uint32_t minimum, std::uint32_t maximum) const;
-  [[nodiscard]] bool optional_boolean(std::string_view key, bool otherwise) const;
+  [[nodiscard]] bool optional_boolean(std::string_view key, bool default_value) const;
   [[nodiscard]] Endpoint optional_endpoint(std::string_view key) const;
   [[nodiscard]] std::vector<std::string> optional_strings(std::string_view key) const;
 
-  /// The tables of an array of tables; none when it is absent.
+  /// Readers for the elements of an array of tables; empty when the key is absent.
   [[nodiscard]] std::vector<TableReader> tables(std::string_view key) const;
 
   /// Reports an error at a key, or at the table when the key is absent.
--- a/src/storage/disk.h
+++ b/src/storage/disk.h
@@ -1,4 +1,4 @@
-/// The few file operations that durable state needs, so that tests can put faults beneath it.
+/// Interface to the file operations that durable state needs. Tests inject faults below it.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace gorsevalve {
 
-/// What went wrong with durable state.
+/// Kind of a storage error.
 enum class StorageErrorKind : std::uint8_t {
-  /// The operating system refused an operation (full disk, failed sync, missing permission).
+  /// The operating system reported an error (full disk, failed sync, missing permission).
   kOperation,
-  /// Stored data is damaged beyond a torn end.
+  /// Stored data is damaged in more than a torn write at the end.
   kCorrupt,
   /// The data was written by an unknown format version or belongs to another cluster.
   kFormat,
@@ -29,22 +29,23 @@
 template <typename T>
 using StorageResult = tl::expected<T, StorageError>;
 
-/// Files of one data folder, by plain name. A write is safe only after a successful `sync` of the
-/// file, or when the call says that it syncs. After a failed sync the content is unknown: the
-/// process must stop, not try again.
+/// Files of one data directory, addressed by file name. A write is durable only after a successful
+/// `sync` of the file, or when the operation is documented to sync. After a failed sync the content
+/// of the file is unknown; the process must stop and not retry.
 class Disk {
  public:
   virtual ~Disk() = default;
 
   [[nodiscard]] virtual StorageResult<std::vector<std::string>> list() = 0;
   [[nodiscard]] virtual StorageResult<Bytes> read(const std::string& name) = 0;
-  /// Appends to a file, which is made when it does not exist (its folder entry is then synced).
+  /// Appends to a file. Creates it when it does not exist, and then syncs its directory entry.
   [[nodiscard]] virtual StorageResult<void> append(const std::string& name, ByteView bytes) = 0;
   [[nodiscard]] virtual StorageResult<void> sync(const std::string& name) = 0;
-  /// Cuts a file to a size and syncs it.
+  /// Truncates a file to a size and syncs it.
   [[nodiscard]] virtual StorageResult<void> truncate(const std::string& name,
                                                      std::uint64_t size) = 0;
-  /// Replaces a file as a whole: written beside it, synced, renamed, folder synced.
+  /// Replaces a file atomically: writes a temporary file, syncs and renames it, and syncs the
+  /// directory.
   [[nodiscard]] virtual StorageResult<void> replace(const std::string& name, ByteView bytes) = 0;
   /// Removes a file; not an error when it does not exist.
   [[nodiscard]] virtual StorageResult<void> remove(const std::string& name) = 0;
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -37,13 +37,13 @@
 }
 
 tl::unexpected<StorageError> corruption_error(const std::string& file, std::size_t offset) {
-  return tl::unexpected(
-      StorageError{StorageErrorKind::kCorrupt,
-                   file + ": damaged at offset " + std::to_string(offset) +
-                       "; replace this replica's data folder, see docs/operators/control.md"});
+  return tl::unexpected(StorageError{
+      StorageErrorKind::kCorrupt,
+      file + ": damaged at offset " + std::to_string(offset) +
+          "; replace the data directory of this replica, see docs/operators/control.md"});
 }
 
-/// True when an intact frame begins anywhere in `bytes` after its first octet.
+/// True when an intact frame begins anywhere after the first byte of `bytes`.
 bool intact_frame_follows(ByteView bytes) {
   for (std::size_t i = 1; i + kFrameHeaderSize <= bytes.size(); ++i) {
     if (decode_frame(bytes.subspan(i))) {
@@ -53,7 +53,7 @@
   return false;
 }
 
-/// Applies a frame to what was read so far; false when it leaves a gap in the log.
+/// Applies a frame to the state read so far. Returns false when its entries leave a gap in the log.
 bool apply_frame(LogFrame&& frame, StoredReplica& stored) {
   if (frame.hard_state) {
     stored.hard_state = *frame.hard_state;
@@ -77,7 +77,7 @@
   return true;
 }
 
-/// Reads a file that holds exactly one frame with one value.
+/// Reads a file that holds exactly one frame with one value; nothing when the file does not exist.
 template <typename Value>
 StorageResult<std::optional<Value>> read_single_frame(Disk& disk, const std::string& name) {
   const auto names = disk.list();
@@ -138,9 +138,10 @@
 StorageResult<std::optional<ReplicaIdentity>> LogStore::read_identity() {
   auto identity = read_single_frame<ReplicaIdentity>(disk_, kIdentityName);
   if (identity && identity->has_value() && (*identity)->format != kDiskFormat) {
-    return tl::unexpected(StorageError{StorageErrorKind::kFormat,
-                                       "identity: format " + std::to_string((*identity)->format) +
-                                           ", this program reads " + std::to_string(kDiskFormat)});
+    return tl::unexpected(
+        StorageError{StorageErrorKind::kFormat, "identity: unsupported format " +
+                                                    std::to_string((*identity)->format) +
+                                                    ", expected " + std::to_string(kDiskFormat)});
   }
   return identity;
 }
@@ -200,9 +201,9 @@
       if (!is_last || intact_frame_follows(rest)) {
         return corruption_error(name, offset);
       }
-      const auto cut = disk_.truncate(name, offset);
-      if (!cut) {
-        return tl::unexpected(cut.error());
+      const auto truncated = disk_.truncate(name, offset);
+      if (!truncated) {
+        return tl::unexpected(truncated.error());
       }
       break;
     }
@@ -221,9 +222,9 @@
   if (!needs_repair_) {
     return {};
   }
-  auto cut = disk_.truncate(segment_name(current_segment_), segment_size_);
-  needs_repair_ = !cut;
-  return cut;
+  auto truncated = disk_.truncate(segment_name(current_segment_), segment_size_);
+  needs_repair_ = !truncated;
+  return truncated;
 }
 
 StorageResult<void> LogStore::append(const LogFrame& frame) {
@@ -252,10 +253,10 @@
 
 StorageResult<void> LogStore::replace_with_snapshot(const Snapshot& snapshot,
                                                     const LogFrame& frame) {
-  // Order: the snapshot, then a new segment that holds all that is still needed, then the removal
-  // of the old segments, the oldest first. A crash between two steps leaves a readable log: entries
-  // that the snapshot covers are skipped, and the frame repeats entries with a truncation before
-  // them.
+  // Order: write the snapshot, start a new segment with everything still needed, then remove the
+  // old_segments segments from the oldest on. A crash between two steps leaves a readable log:
+  // entries covered by the snapshot are skipped, and the frame truncates the log before it repeats
+  // entries.
   auto repaired = repair();
   if (!repaired) {
     return repaired;
@@ -264,20 +265,20 @@
   if (!written) {
     return written;
   }
-  const auto old = list_segments();
-  if (!old) {
-    return tl::unexpected(old.error());
+  const auto old_segments = list_segments();
+  if (!old_segments) {
+    return tl::unexpected(old_segments.error());
   }
   ++current_segment_;
   segment_size_ = 0;
   log_size_ = 0;
   LogFrame first = frame;
   first.truncate_from = snapshot.index + 1;
-  auto begun = append(first);
-  if (!begun) {
-    return begun;
+  auto appended = append(first);
+  if (!appended) {
+    return appended;
   }
-  for (const std::uint64_t number : *old) {
+  for (const std::uint64_t number : *old_segments) {
     auto removed = disk_.remove(segment_name(number));
     if (!removed) {
       return removed;
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -1,11 +1,13 @@
-/// Durable form of a control replica: identity, hard state, log entries and snapshots, on a Disk.
+/// Durable state of a control replica on a Disk: identity, hard state, log entries and snapshots.
 ///
-/// The log is a sequence of frames in segment files `log-N.seg`:
-///   magic (4 octets) | body length (4, little endian) | XXH3 of the body (8) | body
-/// A body is an archive of LogFrame. Each call writes one frame and syncs it before it returns, so
-/// only the last frame can be torn. A damaged frame with an intact frame after it is corruption,
-/// and the store refuses to open. `snapshot` and `identity` hold one frame each and are replaced as
-/// a whole.
+/// The log is a sequence of frames in segment files `log-N.seg` (sizes in bytes):
+///
+///   magic (4) | body length (4, little endian) | XXH3 of the body (8) | body
+///
+/// A body is an archive of LogFrame. Each write appends one frame and syncs it before it returns,
+/// so only the last frame can be torn. A damaged frame followed by an intact one is corruption, and
+/// the store fails to open. The files `snapshot` and `identity` hold one frame each and are
+/// replaced atomically.
 #pragma once
 
 #include <memory>
@@ -17,28 +19,28 @@
 
 namespace gorsevalve {
 
-/// What was found on the disk.
+/// State of a replica as read from disk.
 struct StoredReplica {
   HardState hard_state;
   std::optional<Snapshot> snapshot;
   /// Entries after the snapshot, without gaps.
   std::vector<LogEntry> entries;
-  /// Highest index that was known to be committed when something was written last.
+  /// Highest index known to be committed at the time of the last write.
   LogIndex committed = 0;
 };
 
-/// Version of the formats in a replica's folder. 2 added LogFrame::committed, 3 HardState::leader,
-/// 4 the request classes of frontends, warm-up of pools and evacuated zones, 5 the starts of
-/// targets.
+/// Version of the on-disk formats of a replica's directory. 2 added LogFrame::committed, 3
+/// HardState::leader, 4 the request classes of frontends, warm-up of pools and evacuated zones, 5
+/// the start times of targets.
 constexpr std::uint32_t kDiskFormat = 5;
 
-/// Who the replica is. Written once.
+/// Identity of the replica. Written once.
 struct ReplicaIdentity {
   ReplicaId id = 0;
   std::string cluster;
-  /// Version of the formats in this folder.
+  /// Format version of this directory.
   std::uint32_t format = kDiskFormat;
-  /// The first replicas of the cluster, when this one is among them; else empty.
+  /// The initial replicas of the cluster when this one is among them; otherwise empty.
   ReplicaSet initial_replicas;
 
   template <class Archive>
@@ -47,13 +49,13 @@
   }
 };
 
-/// One write of the log.
+/// Content of one log write.
 struct LogFrame {
   std::optional<HardState> hard_state;
-  /// Drop the entries from this index on, before `entries` are added.
+  /// Remove the entries from this index on, before `entries` are appended.
   std::optional<LogIndex> truncate_from;
   std::vector<LogEntry> entries;
-  /// What the replica knew to be committed before this write.
+  /// Commit index of the replica before this write.
   LogIndex committed = 0;
 
   template <class Archive>
@@ -64,29 +66,29 @@
 
 class LogStore {
  public:
-  /// A new segment begins at this size, in octets.
+  /// Size at which a new segment is started, in bytes.
   static constexpr std::uint64_t kSegmentSize = 4U << 20U;
 
-  /// The disk must outlive the store.
+  /// `disk` must outlive the store.
   explicit LogStore(Disk& disk) : disk_(disk) {}
 
-  /// The identity in this folder; nothing when the folder is new.
+  /// The identity in this directory; nothing when the directory is new.
   [[nodiscard]] StorageResult<std::optional<ReplicaIdentity>> read_identity();
   [[nodiscard]] StorageResult<void> write_identity(const ReplicaIdentity& identity);
 
-  /// Reads everything, cuts a torn end, and gets ready to append.
+  /// Reads all state, truncates a torn write at the end, and prepares for appending.
   [[nodiscard]] StorageResult<StoredReplica> open();
 
-  /// Appends one frame and syncs it. After an error nothing of the frame counts: the next append
-  /// first cuts the segment back to what was synced, and fails when it cannot.
+  /// Appends one frame and syncs it. After an error, the frame is not part of the log: the next
+  /// append first truncates the segment to the synced size, and fails when it cannot.
   [[nodiscard]] StorageResult<void> append(const LogFrame& frame);
 
-  /// Makes a snapshot durable, then drops the segments; `frame` holds the hard state and the
-  /// entries after the snapshot, and begins the new log.
+  /// Writes a snapshot durably, then removes the old segments. `frame` holds the hard state and the
+  /// entries after the snapshot, and starts the new log.
   [[nodiscard]] StorageResult<void> replace_with_snapshot(const Snapshot& snapshot,
                                                           const LogFrame& frame);
 
-  /// Octets in the log since the last snapshot.
+  /// Bytes in the log since the last snapshot.
   [[nodiscard]] std::uint64_t log_size() const { return log_size_; }
 
  private:
@@ -98,14 +100,15 @@
   std::uint64_t current_segment_ = 0;
   std::uint64_t segment_size_ = 0;
   std::uint64_t log_size_ = 0;
-  /// A write failed: the end of the segment is unknown.
+  /// Set after a failed write: the content at the end of the segment is unknown.
   bool needs_repair_ = false;
 };
 
 /// Wraps a body into a frame.
 Bytes encode_frame(ByteView body);
 
-/// The body of the frame at the start of `bytes`; nothing when it is torn or damaged.
+/// Returns the body of the frame at the start of `bytes`; nothing when the frame is torn or
+/// damaged.
 std::optional<ByteView> decode_frame(ByteView bytes);
 
 }  // namespace gorsevalve
--- a/src/storage/posix_disk.cc
+++ b/src/storage/posix_disk.cc
@@ -23,7 +23,7 @@
                                      operation + " " + path + ": " + std::strerror(errno)});
 }
 
-/// Closes a descriptor at the end of a scope.
+/// Owns a file descriptor and closes it at the end of the scope.
 class FileDescriptor {
  public:
   explicit FileDescriptor(int value) : value_(value) {}
@@ -56,18 +56,18 @@
 
 }  // namespace
 
-StorageResult<std::unique_ptr<PosixDisk>> PosixDisk::open(const std::string& folder) {
-  if (::mkdir(folder.c_str(), kDirectoryMode) != 0 && errno != EEXIST) {
-    return errno_error("mkdir", folder);
+StorageResult<std::unique_ptr<PosixDisk>> PosixDisk::open(const std::string& directory) {
+  if (::mkdir(directory.c_str(), kDirectoryMode) != 0 && errno != EEXIST) {
+    return errno_error("mkdir", directory);
   }
-  std::unique_ptr<PosixDisk> disk(new PosixDisk(folder));
+  std::unique_ptr<PosixDisk> disk(new PosixDisk(directory));
   const std::string lock_path = disk->path(kLockName);
   disk->lock_descriptor_ = ::open(lock_path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
   if (disk->lock_descriptor_ < 0) {
     return errno_error("open", lock_path);
   }
   if (::flock(disk->lock_descriptor_, LOCK_EX | LOCK_NB) != 0) {
-    return errno_error("lock (another process uses this data folder)", lock_path);
+    return errno_error("lock (another process uses this data directory)", lock_path);
   }
   return disk;
 }
@@ -203,8 +203,8 @@
 }
 
 StorageResult<void> PosixDisk::sync_directory() {
-  const FileDescriptor folder(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (folder.get() < 0 || ::fsync(folder.get()) != 0) {
+  const FileDescriptor directory(::open(directory_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (directory.get() < 0 || ::fsync(directory.get()) != 0) {
     return errno_error("fsync", directory_);
   }
   return {};
--- a/src/storage/posix_disk.h
+++ b/src/storage/posix_disk.h
@@ -1,4 +1,4 @@
-/// Disk on a folder of the file system.
+/// Disk implementation on a directory of a POSIX file system.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 class PosixDisk : public Disk {
  public:
-  /// Opens the folder, making it (mode 0700) when it does not exist, and locks it against a second
-  /// process.
-  static StorageResult<std::unique_ptr<PosixDisk>> open(const std::string& folder);
+  /// Opens the directory, creating it with mode 0700 when it does not exist, and locks it against
+  /// use by a second process.
+  static StorageResult<std::unique_ptr<PosixDisk>> open(const std::string& directory);
   ~PosixDisk() override;
 
   StorageResult<std::vector<std::string>> list() override;
@@ -25,7 +25,7 @@
   StorageResult<void> remove(const std::string& name) override;
 
  private:
-  explicit PosixDisk(std::string folder) : directory_(std::move(folder)) {}
+  explicit PosixDisk(std::string directory) : directory_(std::move(directory)) {}
   [[nodiscard]] std::string path(const std::string& name) const { return directory_ + "/" + name; }
   StorageResult<int> open_for_append(const std::string& name);
   StorageResult<void> sync_directory();
@@ -33,7 +33,7 @@
 
   std::string directory_;
   int lock_descriptor_ = -1;
-  /// Files that are open for appending.
+  /// Descriptors of files that are open for appending.
   std::map<std::string, int> open_files_;
 };
 
--- a/src/storage/secret_file.h
+++ b/src/storage/secret_file.h
@@ -1,4 +1,4 @@
-/// Files with keys or tokens: readable by their owner only, one secret a line.
+/// Reads files with keys or tokens, one per line, which only their owner may access.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 constexpr std::size_t kMinSecretSize = 16;
 
 struct SecretLine {
-  /// From 1.
+  /// Line number, from 1.
   std::uint32_t number = 0;
   std::string text;
 };
 
-/// The lines that are not empty. The error names the file: it cannot be read, others than its owner
-/// may read it, or it holds nothing.
+/// Returns the non-empty lines. The error names the file, which cannot be read, is accessible to
+/// other users, or contains no secret.
 tl::expected<std::vector<SecretLine>, std::string> read_secret_file(const std::string& path);
 
 }  // namespace gorsevalve
