--- a/src/codec/envelope.cc
+++ b/src/codec/envelope.cc
@@ -141,8 +141,8 @@
   append_big_endian(out, ++sequence_, 8);
   append_big_endian(out, cluster_, 8);
   out.insert(out.end(), message.body.begin(), message.body.end());
-  const MessageMac code = authenticators_.front().compute(out);
-  out.insert(out.end(), code.begin(), code.end());
+  const MessageMac mac = authenticators_.front().compute(out);
+  out.insert(out.end(), mac.begin(), mac.end());
   return out;
 }
 
@@ -164,9 +164,10 @@
 
 bool Envelope::has_valid_mac(ByteView sealed) {
   const ByteView signed_part = sealed.first(sealed.size() - kMacSize);
-  const ByteView code = sealed.last(kMacSize);
-  return std::any_of(authenticators_.begin(), authenticators_.end(),
-                     [&](MessageAuthenticator& coder) { return coder.verify(signed_part, code); });
+  const ByteView mac = sealed.last(kMacSize);
+  return std::any_of(
+      authenticators_.begin(), authenticators_.end(),
+      [&](MessageAuthenticator& authenticator) { return authenticator.verify(signed_part, mac); });
 }
 
 tl::expected<OpenedMessage, EnvelopeError> Envelope::open(ByteView sealed) {
@@ -204,7 +205,7 @@
     body = *plain;
   }
   const auto type = static_cast<std::uint8_t>(sealed[5] & ~kCompressedFlag);
-  const auto keep = [&](auto decoded) {
+  const auto store_decoded = [&](auto decoded) {
     if (decoded) {
       opened.message = std::move(*decoded);
     }
@@ -212,11 +213,11 @@
   };
   bool decoded = false;
   if (opened.kind == MessageKind::kPeer) {
-    decoded = keep(decode_alternative<PeerMessage>(type, body));
+    decoded = store_decoded(decode_alternative<PeerMessage>(type, body));
   } else if (opened.kind == MessageKind::kReplica) {
-    decoded = keep(decode_replica_message(type, body));
+    decoded = store_decoded(decode_replica_message(type, body));
   } else if (opened.kind == MessageKind::kNode) {
-    decoded = keep(decode_alternative<NodeMessage>(type, body));
+    decoded = store_decoded(decode_alternative<NodeMessage>(type, body));
   }
   if (!decoded) {
     return tl::unexpected(EnvelopeError::kMalformed);
--- a/src/codec/message_authentication.cc
+++ b/src/codec/message_authentication.cc
@@ -41,9 +41,9 @@
   EVP_MAC_init(context_.get(), nullptr, 0, nullptr);
   EVP_MAC_update(context_.get(), message.data(), message.size());
   EVP_MAC_final(context_.get(), digest.data(), &size, digest.size());
-  MessageMac code{};
-  std::copy_n(digest.begin(), code.size(), code.begin());
-  return code;
+  MessageMac mac{};
+  std::copy_n(digest.begin(), mac.size(), mac.begin());
+  return mac;
 }
 
 bool MessageAuthenticator::verify(ByteView message, ByteView expected) {
--- a/src/codec/message_authentication.h
+++ b/src/codec/message_authentication.h
@@ -22,7 +22,7 @@
 
   [[nodiscard]] MessageMac compute(ByteView message);
   /// Compares in constant time.
-  [[nodiscard]] bool verify(ByteView message, ByteView code);
+  [[nodiscard]] bool verify(ByteView message, ByteView expected);
 
  private:
   struct ContextDeleter {
--- a/src/storage/log_store.cc
+++ b/src/storage/log_store.cc
@@ -254,7 +254,7 @@
 StorageResult<void> LogStore::replace_with_snapshot(const Snapshot& snapshot,
                                                     const LogFrame& frame) {
   // Order: write the snapshot, start a new segment with everything still needed, then remove the
-  // old_segments segments from the oldest on. A crash between two steps leaves a readable log:
+  // old segments from the oldest on. A crash between two steps leaves a readable log:
   // entries covered by the snapshot are skipped, and the frame truncates the log before it repeats
   // entries.
   auto repaired = repair();
--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -1,12 +1,7 @@
-/// A benchmark of what callers get over narrow links. Uploads in time, late; short requests in
-/// time, of all asked, at 2.6 uploads of 40 kB a second (5.7 fill the link): sent as they come
-/// 0.23, 0.64; 0.963; by the balancer's plan 0.96, 0.04; 1.000. At 8 a second: 0.03, 0.18; 0.83,
-/// and 0.34, 0.27; 1.000.
-///
-/// Callers, balancers with narrow links, and targets: uploads with windows of 16 packets that are
-/// sent again after 200 ms, doubling up to 1.6 s, beside short requests. A link takes what it can
-/// send within a short queue and drops the rest. Played with the balancer's way of sending and
-/// admitting, and without it, for what callers get.
+/// Workload simulation of clients, balancers with low-bandwidth links, and targets, with and
+/// without the link shaper. Uploads use windows of 16 packets and retransmission timeouts from 200
+/// ms, doubling up to 1.6 s; short requests run beside them. A link drops what exceeds its short
+/// queue. Guards against fewer uploads and short requests in time than without the shaper.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -28,7 +23,7 @@
 constexpr Instant kStart{seconds(1000)};
 constexpr double kRate = 250'000;
 constexpr std::size_t kBalancers = 3;
-/// What a link queues: 30 ms.
+/// Maximum queueing delay of a link.
 constexpr Duration kLinkQueueDelay = milliseconds(30);
 constexpr Duration kHopDelay = milliseconds(5);
 constexpr std::uint32_t kPacketSize = 1200;
@@ -36,12 +31,12 @@
 constexpr int kMaxAttempts = 3;
 
 struct Load {
-  /// Uploads and short requests a second at each balancer.
+  /// Uploads and short requests per second at each balancer.
   double uploads_per_s = 1;
   double short_requests_per_s = 30;
-  /// Link's rate in place of what the balancer believes.
+  /// Actual rate of the links in bytes per second; the balancers are configured with kRate.
   double rate = kRate;
-  /// Balancers that are gone from the start; their callers meet the others.
+  /// Number of balancers that are down from the start; their clients use the others.
   std::size_t failed_balancers = 0;
 };
 
@@ -51,14 +46,14 @@
   double uploads_late = 0;
   double short_requests = 0;
   double short_requests_in_time = 0;
-  /// Octets of uploads that reached targets, each once, a second and balancer.
+  /// Distinct upload bytes that reached targets, per second and balancer.
   double goodput = 0;
 };
 
 class Workload {
  public:
-  Workload(std::uint64_t seed, const Load& load, bool is_managed)
-      : random_(seed), load_(load), uses_shaper_(is_managed) {
+  Workload(std::uint64_t seed, const Load& load, bool use_shaper)
+      : random_(seed), load_(load), uses_shaper_(use_shaper) {
     frontend_.request_class = RequestClass::kUpload;
     frontend_.timeout = seconds(8);
     frontend_.latency_objective = milliseconds(1200);
@@ -88,14 +83,14 @@
     Instant link_free_at = kStart;
     bool has_timer = false;
   };
-  /// One upload, over all of its tries.
+  /// One upload with all of its attempts.
   struct Upload {
     std::uint32_t packets = 0;
     Instant began;
     int attempts = 0;
     bool has_ended = false;
   };
-  /// One try of an upload, or a short request.
+  /// One attempt of an upload, or a short request.
   struct Flow {
     ClientPacket packet_template;
     std::size_t balancer = 0;
@@ -104,7 +99,7 @@
     bool is_open = false;
     bool is_refused = false;
     std::uint32_t sent = 0;
-    /// Packets that the target has in a row, and all that it has.
+    /// `received` holds all packets at the target, `acknowledged` the number of contiguous ones.
     std::uint32_t acknowledged = 0;
     std::set<std::uint32_t> received;
     bool is_done = false;
@@ -164,7 +159,7 @@
     ClientPacket packet = flow->packet_template;
     packet.opens = true;
     packet.retransmissions = after == 0 ? 0 : after == 200 ? 1 : 2;
-    const bool may_pass = deliver_to_balancer(flow, packet, [this, flow] {
+    const bool is_accepted = deliver_to_balancer(flow, packet, [this, flow] {
       schedule_after(kHopDelay, [this, flow] {
         if (!flow->is_open) {
           flow->is_open = true;
@@ -172,7 +167,7 @@
         }
       });
     });
-    if (!may_pass) {
+    if (!is_accepted) {
       flow->is_refused = true;
       schedule_after(kHopDelay, [this, flow] { start_attempt(flow->upload); });
     }
@@ -184,31 +179,31 @@
     }
   }
 
-  void send_data(const FlowPointer& flow, std::uint32_t number, Duration repeat_after) {
-    const bool has_left = now_ - flow->upload->began > frontend_.timeout;
-    if (flow->is_done || has_left || number < flow->acknowledged) {
+  void send_data(const FlowPointer& flow, std::uint32_t number, Duration retransmit_after) {
+    const bool has_timed_out = now_ - flow->upload->began > frontend_.timeout;
+    if (flow->is_done || has_timed_out || number < flow->acknowledged) {
       return;
     }
     ClientPacket packet = flow->packet_template;
     packet.sequence = number * kPacketSize;
     packet.data_size = kPacketSize;
     deliver_to_balancer(flow, packet, [this, flow, number] { on_target_received(flow, number); });
-    schedule_after(repeat_after, [this, flow, number, repeat_after] {
-      send_data(flow, number, std::min<Duration>(2 * repeat_after, milliseconds(1600)));
+    schedule_after(retransmit_after, [this, flow, number, retransmit_after] {
+      send_data(flow, number, std::min<Duration>(2 * retransmit_after, milliseconds(1600)));
     });
   }
 
   void on_target_received(const FlowPointer& flow, std::uint32_t number) {
     outcome_.goodput += flow->received.insert(number).second ? kPacketSize : 0;
-    std::uint32_t in_a_row = flow->acknowledged;
-    while (flow->received.contains(in_a_row)) {
-      ++in_a_row;
+    std::uint32_t contiguous = flow->acknowledged;
+    while (flow->received.contains(contiguous)) {
+      ++contiguous;
     }
-    schedule_after(kHopDelay, [this, flow, in_a_row] { on_acknowledged(flow, in_a_row); });
+    schedule_after(kHopDelay, [this, flow, contiguous] { on_acknowledged(flow, contiguous); });
   }
 
-  void on_acknowledged(const FlowPointer& flow, std::uint32_t in_a_row) {
-    flow->acknowledged = std::max(flow->acknowledged, in_a_row);
+  void on_acknowledged(const FlowPointer& flow, std::uint32_t contiguous) {
+    flow->acknowledged = std::max(flow->acknowledged, contiguous);
     if (flow->is_done) {
       return;
     }
@@ -217,10 +212,10 @@
       return;
     }
     flow->is_done = true;
-    const Duration took = now_ - flow->upload->began;
-    outcome_.uploads_in_time += took <= frontend_.latency_objective ? 1 : 0;
+    const Duration elapsed = now_ - flow->upload->began;
+    outcome_.uploads_in_time += elapsed <= frontend_.latency_objective ? 1 : 0;
     outcome_.uploads_late +=
-        took > frontend_.latency_objective && took <= frontend_.timeout ? 1 : 0;
+        elapsed > frontend_.latency_objective && elapsed <= frontend_.timeout ? 1 : 0;
     ClientPacket packet = flow->packet_template;
     packet.sequence = flow->upload->packets * kPacketSize;
     packet.closes = true;
@@ -233,7 +228,7 @@
     send_short_request(flow, milliseconds(200));
   }
 
-  void send_short_request(const FlowPointer& flow, Duration repeat_after) {
+  void send_short_request(const FlowPointer& flow, Duration retransmit_after) {
     if (flow->is_done || now_ - flow->began > short_frontend_.timeout) {
       return;
     }
@@ -245,36 +240,37 @@
       outcome_.short_requests_in_time += !flow->is_done && in_time ? 1 : 0;
       flow->is_done = true;
     });
-    schedule_after(repeat_after,
-                   [this, flow, repeat_after] { send_short_request(flow, 2 * repeat_after); });
+    schedule_after(retransmit_after, [this, flow, retransmit_after] {
+      send_short_request(flow, 2 * retransmit_after);
+    });
   }
 
-  /// A packet comes to its balancer; false when it is refused.
+  /// Delivers a packet to its balancer. Returns false when the flow is rejected.
   bool deliver_to_balancer(const FlowPointer& flow, const ClientPacket& packet,
-                           const std::function<void()>& reached) {
+                           const std::function<void()>& on_delivered) {
     Balancer& balancer = *balancers_[flow->balancer];
     const std::size_t size = packet.data_size + 40;
     if (!uses_shaper_) {
-      transmit(balancer, size, reached);
+      transmit(balancer, size, on_delivered);
       return true;
     }
     const bool is_upload = flow->upload != nullptr;
     const FrontendView* frontend = is_upload ? &frontend_ : &short_frontend_;
-    const LinkDecision verdict = balancer.link.on_packet(packet, size, frontend, now_);
-    if (verdict != LinkDecision::kForward) {
-      return verdict != LinkDecision::kReject;
+    const LinkDecision decision = balancer.link.on_packet(packet, size, frontend, now_);
+    if (decision != LinkDecision::kForward) {
+      return decision != LinkDecision::kReject;
     }
     LinkScheduler& scheduler = balancer.link.scheduler();
     if (scheduler.can_send_immediately(now_)) {
       scheduler.on_sent_immediately(size, now_);
-      transmit(balancer, size, reached);
+      transmit(balancer, size, on_delivered);
       return true;
     }
-    const PacketDeadlines patience = LinkShaper::packet_deadlines(frontend, packet.opens);
-    const auto room = scheduler.enqueue(packet, {1, 1}, size, patience, now_);
+    const PacketDeadlines deadlines = LinkShaper::packet_deadlines(frontend, packet.opens);
+    const auto room = scheduler.enqueue(packet, {1, 1}, size, deadlines, now_);
     if (!room.empty()) {
       const std::uint32_t number = ++last_packet_id_;
-      callbacks_by_packet_[number] = reached;
+      callbacks_by_packet_[number] = on_delivered;
       std::memcpy(room.data(), &number, sizeof(number));
     }
     schedule_dequeue(balancer);
@@ -299,15 +295,15 @@
     });
   }
 
-  /// The link itself.
-  void transmit(Balancer& balancer, std::size_t size, const std::function<void()>& reached) {
+  /// Sends a packet over the link, or drops it when the link queue is full.
+  void transmit(Balancer& balancer, std::size_t size, const std::function<void()>& on_delivered) {
     balancer.link_free_at = std::max(balancer.link_free_at, now_);
     if (balancer.link_free_at - now_ > kLinkQueueDelay) {
       return;
     }
-    const double took = static_cast<double>(size + LinkModel::kFramingBytes) / load_.rate;
-    balancer.link_free_at += Duration(static_cast<Duration::rep>(took * 1e6));
-    schedule_after(balancer.link_free_at - now_ + kHopDelay, reached);
+    const double elapsed = static_cast<double>(size + LinkModel::kFramingBytes) / load_.rate;
+    balancer.link_free_at += Duration(static_cast<Duration::rep>(elapsed * 1e6));
+    schedule_after(balancer.link_free_at - now_ + kHopDelay, on_delivered);
   }
 
   std::mt19937_64 random_;
@@ -324,72 +320,73 @@
   Outcome outcome_;
 };
 
-Outcome run_workload(const Load& load, bool is_managed) {
+Outcome run_workload(const Load& load, bool use_shaper) {
   Outcome sum;
   constexpr std::uint64_t kSeeds = 5;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-    const Outcome one = Workload(seed, load, is_managed).run(seconds(20));
-    sum.uploads += one.uploads;
-    sum.uploads_in_time += one.uploads_in_time;
-    sum.uploads_late += one.uploads_late;
-    sum.short_requests += one.short_requests;
-    sum.short_requests_in_time += one.short_requests_in_time;
-    sum.goodput += one.goodput / kSeeds;
+    const Outcome result = Workload(seed, load, use_shaper).run(seconds(20));
+    sum.uploads += result.uploads;
+    sum.uploads_in_time += result.uploads_in_time;
+    sum.uploads_late += result.uploads_late;
+    sum.short_requests += result.short_requests;
+    sum.short_requests_in_time += result.short_requests_in_time;
+    sum.goodput += result.goodput / kSeeds;
   }
-  MESSAGE(std::string(is_managed ? "managed" : "plain")
+  MESSAGE(std::string(use_shaper ? "shaped" : "unshaped")
           << ", " << load.uploads_per_s << " uploads/s: in time "
           << sum.uploads_in_time / sum.uploads << ", late " << sum.uploads_late / sum.uploads
-          << ", shorts in time " << sum.short_requests_in_time / sum.short_requests << ", goodput "
-          << sum.goodput);
+          << ", short requests in time " << sum.short_requests_in_time / sum.short_requests
+          << ", goodput " << sum.goodput);
   return sum;
 }
 
 }  // namespace
 
 TEST_SUITE("link_workload") {
-  // 5.7 uploads of 40 kB a second fill a link of 2 Mbit/s.
-  TEST_CASE("at half of what the link bears, nearly all uploads are in time") {
+  // 5.7 uploads of 40 kB per second saturate a link of 2 Mbit/s.
+  TEST_CASE("at half of the link capacity, nearly all uploads are in time") {
     Load load;
     load.uploads_per_s = 2.6;
-    const Outcome plain = run_workload(load, false);
-    const Outcome managed = run_workload(load, true);
-    CHECK(managed.uploads_in_time >= 0.9 * managed.uploads);
-    CHECK(managed.uploads_in_time >= 2 * plain.uploads_in_time);
-    CHECK(managed.short_requests_in_time >= 0.995 * managed.short_requests);
-    CHECK(managed.short_requests_in_time > plain.short_requests_in_time);
+    const Outcome unshaped = run_workload(load, false);
+    const Outcome shaped = run_workload(load, true);
+    CHECK(shaped.uploads_in_time >= 0.9 * shaped.uploads);
+    CHECK(shaped.uploads_in_time >= 2 * unshaped.uploads_in_time);
+    CHECK(shaped.short_requests_in_time >= 0.995 * shaped.short_requests);
+    CHECK(shaped.short_requests_in_time > unshaped.short_requests_in_time);
   }
 
-  TEST_CASE("beyond what the link bears, it stays full of what callers get") {
+  TEST_CASE("beyond the link capacity, the shaper increases goodput and uploads in time") {
     Load load;
     load.uploads_per_s = 8;
-    const Outcome plain = run_workload(load, false);
-    const Outcome managed = run_workload(load, true);
-    CHECK(managed.uploads_in_time + managed.uploads_late >=
-          2.5 * (plain.uploads_in_time + plain.uploads_late));
-    CHECK(managed.uploads_in_time >= 5 * plain.uploads_in_time);
-    CHECK(managed.goodput >= 1.5 * plain.goodput);
-    CHECK(managed.short_requests_in_time >= 0.99 * managed.short_requests);
+    const Outcome unshaped = run_workload(load, false);
+    const Outcome shaped = run_workload(load, true);
+    CHECK(shaped.uploads_in_time + shaped.uploads_late >=
+          2.5 * (unshaped.uploads_in_time + unshaped.uploads_late));
+    CHECK(shaped.uploads_in_time >= 5 * unshaped.uploads_in_time);
+    CHECK(shaped.goodput >= 1.5 * unshaped.goodput);
+    CHECK(shaped.short_requests_in_time >= 0.99 * shaped.short_requests);
   }
 
-  TEST_CASE("when one of three balancers is gone, the others serve its callers") {
+  TEST_CASE("when one of three balancers is down, the others serve its clients") {
     Load load;
     load.uploads_per_s = 2.0;
     load.failed_balancers = 1;
-    const Outcome managed = run_workload(load, true);
-    CHECK(managed.uploads_in_time >= 0.85 * managed.uploads);
-    CHECK(managed.short_requests_in_time >= 0.995 * managed.short_requests);
+    const Outcome shaped = run_workload(load, true);
+    CHECK(shaped.uploads_in_time >= 0.85 * shaped.uploads);
+    CHECK(shaped.short_requests_in_time >= 0.995 * shaped.short_requests);
   }
 
-  // Nothing tells a balancer that its link was narrowed: short requests lose there (0.93 to 0.86).
-  TEST_CASE("over a link that is narrower than its settings say, more uploads land") {
+  // The balancer does not know that its link is narrower than configured, so short requests may
+  // lose some performance.
+  TEST_CASE("over a link that is narrower than configured, at least as many uploads finish") {
     Load load;
     load.uploads_per_s = 1;
     load.rate = 0.4 * kRate;
-    const Outcome plain = run_workload(load, false);
-    const Outcome managed = run_workload(load, true);
-    CHECK(managed.uploads_in_time >= plain.uploads_in_time);
-    CHECK(managed.uploads_late >= plain.uploads_late);
-    CHECK(managed.short_requests_in_time >= 0.9 * plain.short_requests_in_time);
+    const Outcome unshaped = run_workload(load, false);
+    const Outcome shaped = run_workload(load, true);
+    CHECK(shaped.uploads_in_time >= unshaped.uploads_in_time);
+    CHECK(shaped.uploads_late >= unshaped.uploads_late);
+    CHECK(shaped.short_requests_in_time >= 0.9 * unshaped.short_requests_in_time);
   }
 }
 
--- a/tests/unit/test_archive.cc
+++ b/tests/unit/test_archive.cc
@@ -19,12 +19,12 @@
 }  // namespace
 
 TEST_SUITE("archive") {
-  TEST_CASE("a fleet state survives encoding and decoding") {
+  TEST_CASE("a fleet state is unchanged after encoding and decoding") {
     const FleetState fleet = sample_fleet();
     CHECK(decode_archive<FleetState>(encode_archive(fleet)) == fleet);
   }
 
-  TEST_CASE("what ends early or is left over is refused") {
+  TEST_CASE("truncated input and trailing bytes are rejected") {
     const Bytes bytes = encode_archive(sample_fleet());
     for (std::size_t size = 0; size < bytes.size(); ++size) {
       CHECK_FALSE(decode_archive<FleetState>(ByteView(bytes).first(size)));
@@ -34,13 +34,13 @@
     CHECK_FALSE(decode_archive<FleetState>(longer));
   }
 
-  TEST_CASE("a length that is larger than the input is refused before memory is taken") {
+  TEST_CASE("a length larger than the input is rejected before memory is allocated") {
     const Bytes huge = {0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0xFF, 0x01};
     CHECK_FALSE(decode_archive<std::string>(huge));
     CHECK_FALSE(decode_archive<std::vector<std::uint64_t>>(huge));
   }
 
-  TEST_CASE("integers that do not fit are refused") {
+  TEST_CASE("integers out of the range of their type are rejected") {
     CHECK(decode_archive<std::uint16_t>(encode_archive(std::uint32_t{65535})) == 65535);
     CHECK_FALSE(decode_archive<std::uint16_t>(encode_archive(std::uint32_t{65536})));
     CHECK(decode_archive<std::int64_t>(encode_archive(std::int64_t{-5})) == -5);
--- a/tests/unit/test_coap.cc
+++ b/tests/unit/test_coap.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_SUITE("coap") {
-  TEST_CASE("a request survives encoding and parsing") {
+  TEST_CASE("a request is unchanged after encoding and parsing") {
     CoapParser parser;
     const auto summary = parser.parse(encode_coap(sample_request()));
     REQUIRE(summary);
@@ -46,7 +46,7 @@
     CHECK(summary->path_hash == coap_path_hash("/temperature"));
   }
 
-  TEST_CASE("malformed and oversized messages are refused") {
+  TEST_CASE("malformed and oversized messages are rejected") {
     CoapParser parser;
     CHECK_FALSE(parser.parse({}));
     CHECK_FALSE(parser.parse(Bytes{0x40}));
@@ -56,7 +56,7 @@
     CHECK_FALSE(parser.parse(Bytes(kMaxCoapSize + 1, 0x40)));
   }
 
-  TEST_CASE("a verdict tells whether the request ran and when to come back") {
+  TEST_CASE("a verdict reports whether the request may have run, and the retry delay") {
     CoapParser parser;
     CoapToken token;
     token.length = 1;
@@ -66,9 +66,9 @@
     CHECK(summary->code == coap_code::kServiceUnavailable);
     CHECK(summary->type == CoapType::kAcknowledgement);
     CHECK(summary->max_age == 3);
-    const Verdict perhaps{Execution::kMayHaveRun, FailureReason::kDeadline,
-                          std::chrono::seconds(2)};
-    summary = parser.parse(encode_verdict(perhaps, CoapType::kNonConfirmable, 5, token));
+    const Verdict may_have_run{Execution::kMayHaveRun, FailureReason::kDeadline,
+                               std::chrono::seconds(2)};
+    summary = parser.parse(encode_verdict(may_have_run, CoapType::kNonConfirmable, 5, token));
     REQUIRE(summary);
     CHECK(summary->code == coap_code::kGatewayTimeout);
     CHECK(summary->type == CoapType::kNonConfirmable);
--- a/tests/unit/test_envelope.cc
+++ b/tests/unit/test_envelope.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_SUITE("envelope") {
-  TEST_CASE("a message arrives with its sender") {
+  TEST_CASE("an opened message has its sender") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     const auto opened = receiver.open(sender.seal(kMessage));
@@ -31,7 +31,7 @@
     CHECK(std::get<TakeoverRequest>(peer).chunk == 7);
   }
 
-  TEST_CASE("a message that was encoded once goes into many envelopes") {
+  TEST_CASE("an encoded message can be sealed several times") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     FleetUpdate update;
@@ -48,7 +48,7 @@
     }
   }
 
-  TEST_CASE("forged, foreign, replayed and malformed messages are told apart") {
+  TEST_CASE("forged, foreign, replayed and malformed messages give distinct errors") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     const Bytes sealed = sender.seal(kMessage);
@@ -63,14 +63,14 @@
     CHECK(receiver.open(sealed).error() == EnvelopeError::kReplayed);
   }
 
-  TEST_CASE("another version of the format is refused as such") {
+  TEST_CASE("another format version is rejected with its own error") {
     Envelope sender = make_envelope("c", {kOldKey});
     Bytes sealed = sender.seal(kMessage);
     ++sealed[3];
     CHECK(make_envelope("c", {kOldKey}).open(sealed).error() == EnvelopeError::kUnsupportedVersion);
   }
 
-  TEST_CASE("messages may cross, and a restarted sender begins anew") {
+  TEST_CASE("reordered messages are accepted, and a restarted sender starts a new sequence") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     const Bytes first = sender.seal(kMessage);
@@ -81,7 +81,7 @@
     CHECK(receiver.open(restarted.seal(kMessage)).has_value());
   }
 
-  TEST_CASE("a large message is compressed, arrives whole, and damage within it is refused") {
+  TEST_CASE("a large message is compressed and unchanged when opened") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     FleetUpdate update;
@@ -99,19 +99,19 @@
     CHECK(arrived.snapshot == update.snapshot);
   }
 
-  TEST_CASE("a compressed body that is damaged or claims too much is refused") {
+  TEST_CASE("a compressed body that is damaged or has a wrong size field is rejected") {
     const Bytes plain(5000, 7);
     const Bytes compressed = compress(plain);
     CHECK(decompress(compressed, plain.size()) == plain);
     CHECK_FALSE(decompress(compressed, plain.size() - 1));
     CHECK_FALSE(decompress(ByteView(compressed).first(3), plain.size()));
     CHECK_FALSE(decompress(ByteView(compressed).first(compressed.size() - 5), plain.size()));
-    Bytes claims = compressed;
-    claims[3] = 0x7F;
-    CHECK_FALSE(decompress(claims, std::size_t{1} << 40U));
+    Bytes wrong_size = compressed;
+    wrong_size[3] = 0x7F;
+    CHECK_FALSE(decompress(wrong_size, std::size_t{1} << 40U));
   }
 
-  TEST_CASE("keys rotate without a moment in which messages are refused") {
+  TEST_CASE("during key rotation, processes with both keys accept messages of either key") {
     Envelope old_node = make_envelope("c", {kOldKey});
     Envelope prepared = make_envelope("c", {kOldKey, kNewKey}, 2);
     Envelope switched = make_envelope("c", {kNewKey, kOldKey}, 3);
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -1,5 +1,5 @@
-/// Random changes of valid inputs to every decoder that takes octets from outside. The seed is
-/// fixed; GORSEVALVE_FUZZ_ROUNDS raises the number of rounds for a run by hand.
+/// Fuzz tests of every decoder of external input: random mutations of valid inputs. The seed is
+/// fixed; GORSEVALVE_FUZZ_ROUNDS sets the number of rounds.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -21,12 +21,12 @@
 constexpr std::uint64_t kSeed = 20261202;
 
 std::uint64_t rounds() {
-  const char* wanted = std::getenv("GORSEVALVE_FUZZ_ROUNDS");
+  const char* configured = std::getenv("GORSEVALVE_FUZZ_ROUNDS");
   constexpr std::uint64_t kRounds = 20000;
-  return wanted == nullptr ? kRounds : std::strtoull(wanted, nullptr, 10);
+  return configured == nullptr ? kRounds : std::strtoull(configured, nullptr, 10);
 }
 
-/// One to eight random edits: flipped bits, replaced, removed, repeated octets.
+/// Applies one to eight random edits: flips a bit, or replaces, removes or duplicates a byte.
 Bytes mutate(Bytes bytes, std::mt19937_64& random) {
   const std::uint64_t edits = 1 + random() % 8;
   for (std::uint64_t i = 0; i < edits && !bytes.empty(); ++i) {
@@ -69,7 +69,7 @@
 }  // namespace
 
 TEST_SUITE("fuzz") {
-  TEST_CASE("datagrams from callers never reach another service's target") {
+  TEST_CASE("datagrams from clients never reach a target of another service") {
     BalancerFixture test;
     ProxyHeader header;
     header.flow = {kClient, kFirstService};
@@ -85,7 +85,7 @@
     });
   }
 
-  TEST_CASE("datagrams from targets never reach a caller that asked nothing") {
+  TEST_CASE("mutated datagrams from targets are processed without failure") {
     BalancerFixture test;
     const CoapMessage request = rich_request();
     test.request(kFirstService, request);
@@ -101,7 +101,7 @@
     CHECK(test.balancer.counters().datagrams_in > rounds());
   }
 
-  TEST_CASE("messages between processes") {
+  TEST_CASE("messages between processes are rejected after a mutation or a replay") {
     Envelope sender("c", {{"key-0123456789abcdef"}}, kSelf, 1);
     Envelope receiver("c", {{"key-0123456789abcdef"}}, kSelf, 1);
     TakeoverChunk chunk;
@@ -113,7 +113,7 @@
     CHECK(opened <= 1);
   }
 
-  TEST_CASE("bodies of messages, as if their authentication code were right") {
+  TEST_CASE("message bodies, as if their authentication code were valid") {
     FleetUpdate update;
     update.is_snapshot = true;
     update.snapshot = make_test_fleet();
@@ -127,7 +127,7 @@
          [](const Bytes& bytes) { decode_archive<ReplicateRequest>(bytes); });
   }
 
-  TEST_CASE("records on disk") {
+  TEST_CASE("log segments on disk") {
     SimDisk disk;
     LogStore store(disk);
     REQUIRE(store.open());
@@ -139,7 +139,7 @@
       REQUIRE(damaged.replace("log-1.seg", bytes));
       LogStore reader(damaged);
       const auto stored = reader.open();
-      // Either refused, or a prefix of what was written.
+      // Either rejected, or a prefix of the written log.
       CHECK((!stored || stored->entries.size() <= 2));
     });
   }
--- a/tests/unit/test_link_model.cc
+++ b/tests/unit/test_link_model.cc
@@ -10,13 +10,13 @@
 constexpr Instant kStart{std::chrono::seconds(1000)};
 /// 2 Mbit/s.
 constexpr double kRate = 250'000;
-/// A packet that takes 5 ms, with its framing, of what may be used.
+/// A packet that takes 5 ms of the usable rate, including framing.
 constexpr std::size_t kLargePacket = 1188 - LinkModel::kFramingBytes;
 
 }  // namespace
 
 TEST_SUITE("link_model") {
-  TEST_CASE("what was handed to the link leaves at its rate") {
+  TEST_CASE("the backlog drains at the rate of the link") {
     LinkModel link(kRate);
     for (int i = 0; i < 16; ++i) {
       link.on_sent(kLargePacket, kStart);
@@ -27,7 +27,7 @@
     CHECK(link.is_congested(kStart));
   }
 
-  TEST_CASE("use follows what came lately") {
+  TEST_CASE("utilization follows recent traffic") {
     LinkModel link(kRate);
     Instant now = kStart;
     for (int i = 0; i < 1000; ++i) {
@@ -40,7 +40,7 @@
           doctest::Approx(0.125).epsilon(0.05));
   }
 
-  TEST_CASE("a link of unknown rate is never busy") {
+  TEST_CASE("a link of unknown rate is never congested") {
     LinkModel link(0);
     for (int i = 0; i < 1000; ++i) {
       link.on_sent(kLargePacket, kStart);
--- a/tests/unit/test_link_scheduler.cc
+++ b/tests/unit/test_link_scheduler.cc
@@ -16,15 +16,16 @@
 constexpr std::size_t kLarge = 1240;
 constexpr PacketDeadlines kDeadlines{std::chrono::seconds(8), milliseconds(1200)};
 
-ClientPacket data_packet(std::uint32_t caller, std::uint32_t sequence, std::uint32_t size = 1200) {
+ClientPacket data_packet(std::uint32_t client_id, std::uint32_t sequence,
+                         std::uint32_t size = 1200) {
   ClientPacket packet;
-  packet.flow = {{caller, 1}, {1, 443}};
+  packet.flow = {{client_id, 1}, {1, 443}};
   packet.sequence = sequence;
   packet.data_size = size;
   return packet;
 }
 
-/// A scheduler with a link behind which something waits already.
+/// A scheduler whose link already has the maximum backlog.
 struct BusyLink {
   LinkModel model{kRate};
   LinkScheduler scheduler{model};
@@ -36,16 +37,17 @@
   }
 
   void enqueue(const ClientPacket& packet, Instant now = kStart,
-               const PacketDeadlines& patience = kDeadlines) {
+               const PacketDeadlines& deadlines = kDeadlines) {
     const std::size_t size = packet.data_size + 40;
-    const auto room = scheduler.enqueue(packet, kTarget, size, patience, now);
+    const auto room = scheduler.enqueue(packet, kTarget, size, deadlines, now);
     REQUIRE(room.size() == size);
-    // What tells the packets apart: caller and place.
+    // The first two bytes identify the packet: client and position in the stream.
     room[0] = static_cast<std::uint8_t>(packet.flow.client.address);
     room[1] = static_cast<std::uint8_t>(packet.sequence / 1200);
   }
 
-  /// Callers and places of all that leaves, in order, with the time of the last one.
+  /// Sends everything; returns client and position of each packet in order, and sets `now` to the
+  /// time of the last one.
   std::vector<std::pair<int, int>> drain(Instant& now) {
     std::vector<std::pair<int, int>> left;
     while (const auto turn = scheduler.next_dequeue_at()) {
@@ -61,7 +63,7 @@
 }  // namespace
 
 TEST_SUITE("link_scheduler") {
-  TEST_CASE("on a link of unknown rate everything leaves at once") {
+  TEST_CASE("on a link of unknown rate every datagram is sent immediately") {
     LinkModel model(0);
     LinkScheduler scheduler(model);
     for (int i = 0; i < 10'000; ++i) {
@@ -71,41 +73,42 @@
     CHECK_FALSE(scheduler.next_dequeue_at());
   }
 
-  TEST_CASE("what waits leaves at the link's rate, in the order of the stream") {
+  TEST_CASE("queued packets are sent at the link's rate, in sequence order") {
     BusyLink link;
-    for (const int place : {3, 0, 2, 1}) {
-      link.enqueue(data_packet(7, place * 1200U));
+    for (const int position : {3, 0, 2, 1}) {
+      link.enqueue(data_packet(7, position * 1200U));
     }
     Instant now = kStart;
     const auto left = link.drain(now);
     CHECK(left == std::vector<std::pair<int, int>>{{7, 0}, {7, 1}, {7, 2}, {7, 3}});
-    // Four packets of 1,286 octets on the wire at 237,500 octets a second, behind what went before.
+    // Four packets of 1,286 bytes on the wire at 237,500 bytes per second, behind the initial
+    // backlog.
     CHECK((now - kStart) / milliseconds(1) >= 15);
     CHECK((now - kStart) / milliseconds(1) <= 25);
   }
 
-  TEST_CASE("a short request passes transfers that wait, and transfers share evenly") {
+  TEST_CASE("a short request overtakes queued transfers, and transfers share the link evenly") {
     BusyLink link;
-    for (std::uint32_t place = 0; place < 4; ++place) {
-      link.enqueue(data_packet(1, place * 1200));
+    for (std::uint32_t position = 0; position < 4; ++position) {
+      link.enqueue(data_packet(1, position * 1200));
     }
-    for (std::uint32_t place = 0; place < 4; ++place) {
-      link.enqueue(data_packet(2, place * 1200));
+    for (std::uint32_t position = 0; position < 4; ++position) {
+      link.enqueue(data_packet(2, position * 1200));
     }
     Instant now = *link.scheduler.next_dequeue_at();
     REQUIRE(link.scheduler.dequeue(now));
     link.enqueue(data_packet(9, 0, 100), now);
     const auto left = link.drain(now);
-    // One of each transfer at most before it: the second one had waited without a turn.
+    // At most one packet of a transfer is sent before it.
     CHECK(left[1] == std::pair{9, 0});
     int ahead = 0;
-    for (const auto& [caller, place] : left) {
-      ahead += caller == 1 ? 1 : caller == 2 ? -1 : 0;
+    for (const auto& [client_id, position] : left) {
+      ahead += client_id == 1 ? 1 : client_id == 2 ? -1 : 0;
       CHECK(std::abs(ahead) <= 2);
     }
   }
 
-  TEST_CASE("a transfer that is late yields to one that can still be in time, and goes on") {
+  TEST_CASE("a late transfer yields to one that can still be in time, and does not starve") {
     BusyLink link;
     link.enqueue(data_packet(1, 0));
     Instant now = kStart;
@@ -114,19 +117,20 @@
     while (link.scheduler.can_send_immediately(now)) {
       link.scheduler.on_sent_immediately(kLarge, now);
     }
-    for (std::uint32_t place = 1; place <= 10; ++place) {
-      link.enqueue(data_packet(1, place * 1200), now);
-      link.enqueue(data_packet(2, place * 1200), now);
+    for (std::uint32_t position = 1; position <= 10; ++position) {
+      link.enqueue(data_packet(1, position * 1200), now);
+      link.enqueue(data_packet(2, position * 1200), now);
     }
     const auto left = link.drain(now);
     const auto first = std::count_if(left.begin(), left.begin() + 10,
-                                     [](const auto& one) { return one.first == 1; });
+                                     [](const auto& entry) { return entry.first == 1; });
     CHECK(first >= 1);
     CHECK(first <= 2);
     CHECK(left.size() == 20);
   }
 
-  TEST_CASE("copies of what waits or left lately are not needed; later ones pass") {
+  TEST_CASE(
+      "retransmissions of queued or recently sent packets are redundant; later ones are not") {
     BusyLink link;
     const ClientPacket packet = data_packet(1, 2400);
     CHECK_FALSE(link.scheduler.is_redundant_retransmission(packet, kStart));
@@ -135,13 +139,14 @@
     Instant now = kStart;
     link.drain(now);
     CHECK(link.scheduler.is_redundant_retransmission(packet, now + milliseconds(40)));
-    // Senders repeat after 200 ms: if the packet was lost, that copy must pass.
+    // Clients retransmit after 200 ms: when the packet was lost, this retransmission must be
+    // forwarded.
     CHECK_FALSE(link.scheduler.is_redundant_retransmission(packet, now + milliseconds(200)));
     CHECK_FALSE(link.scheduler.is_redundant_retransmission(data_packet(1, 3600), now));
     CHECK(link.scheduler.counters().retransmissions_suppressed == 2);
   }
 
-  TEST_CASE("data that follows an opening or an acknowledgement is no copy of it") {
+  TEST_CASE("data after a packet without data is no retransmission of it") {
     BusyLink link;
     link.enqueue(data_packet(1, 2400, 0));
     Instant now = kStart;
@@ -150,38 +155,38 @@
         link.scheduler.is_redundant_retransmission(data_packet(1, 2400), now + milliseconds(10)));
   }
 
-  TEST_CASE("flows that come without end do not starve a transfer that waits") {
+  TEST_CASE("a continuous arrival of new flows does not starve a queued transfer") {
     BusyLink link;
-    for (std::uint32_t place = 0; place < 10; ++place) {
-      link.enqueue(data_packet(1, place * 1200));
+    for (std::uint32_t position = 0; position < 10; ++position) {
+      link.enqueue(data_packet(1, position * 1200));
     }
     Instant now = kStart;
-    std::uint32_t caller = 100;
-    int of_transfer = 0;
+    std::uint32_t client_id = 100;
+    int transfer_packets = 0;
     for (int turn = 0; turn < 200; ++turn) {
       now = std::max(now, *link.scheduler.next_dequeue_at());
       while (link.scheduler.queued_packets() < 40) {
-        link.enqueue(data_packet(++caller, 0, 260), now);
+        link.enqueue(data_packet(++client_id, 0, 260), now);
       }
       while (const auto due = link.scheduler.dequeue(now)) {
-        of_transfer += due->bytes[0] == 1 ? 1 : 0;
+        transfer_packets += due->bytes[0] == 1 ? 1 : 0;
       }
     }
-    CHECK(of_transfer >= 2);
+    CHECK(transfer_packets >= 2);
   }
 
-  TEST_CASE("flows are bounded in number") {
+  TEST_CASE("the number of flows is bounded") {
     BusyLink link;
-    for (std::uint32_t caller = 0; caller < 2 * LinkScheduler::kMaxFlows; ++caller) {
+    for (std::uint32_t client_id = 0; client_id < 2 * LinkScheduler::kMaxFlows; ++client_id) {
       static_cast<void>(
-          link.scheduler.enqueue(data_packet(caller, 0), kTarget, kLarge, kDeadlines, kStart));
+          link.scheduler.enqueue(data_packet(client_id, 0), kTarget, kLarge, kDeadlines, kStart));
     }
     CHECK(link.scheduler.queued_packets() <= LinkScheduler::kMaxQueuedPackets);
     CHECK(link.scheduler.counters().dropped_queue_full >=
           2 * LinkScheduler::kMaxFlows - LinkScheduler::kMaxQueuedPackets);
   }
 
-  TEST_CASE("a packet whose caller has left is dropped, also of a flow that lives on") {
+  TEST_CASE("an expired packet is dropped, also when its flow continues") {
     BusyLink link;
     link.enqueue(data_packet(1, 0), kStart, {milliseconds(10), {}});
     link.enqueue(data_packet(1, 1200), kStart, kDeadlines);
@@ -194,11 +199,11 @@
     CHECK_FALSE(link.scheduler.next_dequeue_at());
   }
 
-  TEST_CASE("a flow that never ends does not take the place of others") {
+  TEST_CASE("a flow that fills the queue does not displace other flows") {
     BusyLink link;
     link.enqueue(data_packet(2, 0));
-    for (std::uint32_t place = 0; place < 2 * LinkScheduler::kMaxQueuedPackets; ++place) {
-      static_cast<void>(link.scheduler.enqueue(data_packet(1, place * 1200), kTarget, kLarge,
+    for (std::uint32_t position = 0; position < 2 * LinkScheduler::kMaxQueuedPackets; ++position) {
+      static_cast<void>(link.scheduler.enqueue(data_packet(1, position * 1200), kTarget, kLarge,
                                                kDeadlines, kStart));
     }
     CHECK(link.scheduler.queued_packets() == LinkScheduler::kMaxQueuedPackets);
@@ -206,20 +211,20 @@
     CHECK(link.scheduler.queued_packets() == LinkScheduler::kMaxQueuedPackets);
     Instant now = kStart;
     const auto left = link.drain(now);
-    const auto place_of = [&](int caller) {
+    const auto position_of = [&](int client_id) {
       const auto found = std::find_if(left.begin(), left.end(),
-                                      [&](const auto& one) { return one.first == caller; });
+                                      [&](const auto& entry) { return entry.first == client_id; });
       return found - left.begin();
     };
-    CHECK(place_of(2) <= 1);
-    CHECK(place_of(3) <= 2);
+    CHECK(position_of(2) <= 1);
+    CHECK(position_of(3) <= 2);
     CHECK(link.scheduler.queued_bytes() == 0);
   }
 
-  TEST_CASE("flows that rest are forgotten") {
+  TEST_CASE("idle flows are removed") {
     BusyLink link;
-    for (std::uint32_t caller = 0; caller < 200; ++caller) {
-      link.enqueue(data_packet(caller, 0));
+    for (std::uint32_t client_id = 0; client_id < 200; ++client_id) {
+      link.enqueue(data_packet(client_id, 0));
     }
     Instant now = kStart;
     link.drain(now);
@@ -233,9 +238,9 @@
 TEST_SUITE("bulk_admission") {
   constexpr Duration kTimeout = milliseconds(8000);
 
-  SteeredFlow flow_of(std::uint32_t caller) { return {{caller, 1}, {1, 443}}; }
+  SteeredFlow flow_of(std::uint32_t client_id) { return {{client_id, 1}, {1, 443}}; }
 
-  TEST_CASE("bulk flows are admitted while they can land before their callers leave") {
+  TEST_CASE("bulk flows are admitted while they can finish before the client timeout") {
     LinkModel model(kRate);
     BulkAdmission admission(model);
     std::uint32_t admitted = 0;
@@ -243,7 +248,7 @@
       ++admitted;
       REQUIRE(admitted < 100);
     }
-    // 18 of 38,400 octets take 3.9 s of three quarters of what may be used of 2 Mbit/s.
+    // 18 flows of 38,400 bytes take 3.9 s at three quarters of the usable rate of 2 Mbit/s.
     CHECK(admitted == 18);
     CHECK(admission.rejected() == 1);
     CHECK(admission.try_admit(flow_of(0), kTimeout, kStart));
@@ -252,7 +257,7 @@
     CHECK(admission.try_admit(flow_of(99), kTimeout, kStart));
   }
 
-  TEST_CASE("one flow is always admitted, and flows that went silent do not count") {
+  TEST_CASE("a single flow is always admitted, and idle flows do not count") {
     LinkModel slow(1000);
     BulkAdmission admission(slow);
     CHECK(admission.try_admit(flow_of(1), kTimeout, kStart));
@@ -261,7 +266,7 @@
     CHECK(admission.try_admit(flow_of(2), kTimeout, kStart));
   }
 
-  TEST_CASE("the usual size is learned from flows that ended") {
+  TEST_CASE("the average size follows the flows that completed") {
     LinkModel model(kRate);
     BulkAdmission admission(model);
     for (std::uint32_t i = 0; i < 200; ++i) {
@@ -270,7 +275,7 @@
       admission.on_flow_end(flow_of(i), true);
     }
     CHECK(admission.average_flow_size() == doctest::Approx(100'000).epsilon(0.01));
-    // Neither a flow that never opened nor one that was broken off tells of sizes.
+    // Neither a flow without data nor an aborted flow changes the average.
     REQUIRE(admission.try_admit(flow_of(1000), kTimeout, kStart));
     admission.on_flow_end(flow_of(1000), true);
     REQUIRE(admission.try_admit(flow_of(1001), kTimeout, kStart));
@@ -279,7 +284,7 @@
     CHECK(admission.average_flow_size() == doctest::Approx(100'000).epsilon(0.01));
   }
 
-  TEST_CASE("callers that open without end are refused beyond a bound; wide links refuse nobody") {
+  TEST_CASE("admitted flows are bounded; a link of unknown rate rejects no flow") {
     LinkModel model(1e12);
     BulkAdmission admission(model);
     for (std::uint32_t i = 0; i < BulkAdmission::kMaxFlows; ++i) {
--- a/tests/unit/test_log_store.cc
+++ b/tests/unit/test_log_store.cc
@@ -12,7 +12,7 @@
   return {std::nullopt, std::nullopt, {make_entry(index)}, index - 1};
 }
 
-/// A disk with entries 1 to 3.
+/// Writes a hard state and the entries 1 to 3.
 void fill(SimDisk& disk) {
   LogStore store(disk);
   REQUIRE(store.open());
@@ -27,7 +27,7 @@
 }  // namespace
 
 TEST_SUITE("log_store") {
-  TEST_CASE("what was appended is there after a restart") {
+  TEST_CASE("appended entries are read back after a restart") {
     SimDisk disk;
     fill(disk);
     LogStore store(disk);
@@ -39,7 +39,8 @@
     CHECK(stored->entries[2] == make_entry(3));
   }
 
-  TEST_CASE("a refused write leaves the log as it was, and the log goes on when the disk does") {
+  TEST_CASE(
+      "a failed write leaves the log unchanged, and appending works after the disk recovers") {
     for (std::uint64_t operations = 0; operations < 12; ++operations) {
       SimDisk disk;
       fill(disk);
@@ -52,14 +53,14 @@
       }
       disk.mend();
       REQUIRE(store.append(make_frame(next)));
-      LogStore again(disk);
-      const auto stored = again.open();
+      LogStore reopened(disk);
+      const auto stored = reopened.open();
       REQUIRE(stored);
       CHECK(stored->entries.size() == next);
     }
   }
 
-  TEST_CASE("a refused snapshot leaves a log that goes on") {
+  TEST_CASE("appending works after a failed snapshot") {
     for (std::uint64_t operations = 0; operations < 10; ++operations) {
       SimDisk disk;
       fill(disk);
@@ -67,12 +68,12 @@
       REQUIRE(store.open());
       disk.fail_after(operations);
       const Snapshot snapshot{2, 1, {}, Bytes(10, 3)};
-      const LogFrame rest{HardState{3, 9}, std::nullopt, {make_entry(3)}};
-      static_cast<void>(store.replace_with_snapshot(snapshot, rest));
+      const LogFrame remaining{HardState{3, 9}, std::nullopt, {make_entry(3)}};
+      static_cast<void>(store.replace_with_snapshot(snapshot, remaining));
       disk.mend();
       REQUIRE(store.append(make_frame(4)));
-      LogStore again(disk);
-      const auto stored = again.open();
+      LogStore reopened(disk);
+      const auto stored = reopened.open();
       REQUIRE(stored);
       REQUIRE_FALSE(stored->entries.empty());
       CHECK(stored->entries.back().index == 4);
@@ -80,24 +81,24 @@
     }
   }
 
-  TEST_CASE("a torn end is cut at every length, and the log goes on") {
-    SimDisk whole;
-    fill(whole);
-    const std::size_t size = whole.read(kSegment)->size();
-    for (std::size_t cut = 1; cut < 40; ++cut) {
-      SimDisk disk = whole;
-      REQUIRE(disk.truncate(kSegment, size - cut));
+  TEST_CASE("a torn write at the end is truncated at every length, and appending works") {
+    SimDisk complete;
+    fill(complete);
+    const std::size_t size = complete.read(kSegment)->size();
+    for (std::size_t removed_bytes = 1; removed_bytes < 40; ++removed_bytes) {
+      SimDisk disk = complete;
+      REQUIRE(disk.truncate(kSegment, size - removed_bytes));
       LogStore store(disk);
       const auto stored = store.open();
       REQUIRE(stored);
       CHECK(stored->entries.size() == 2);
       REQUIRE(store.append(make_frame(3)));
-      LogStore again(disk);
-      CHECK(again.open()->entries.size() == 3);
+      LogStore reopened(disk);
+      CHECK(reopened.open()->entries.size() == 3);
     }
   }
 
-  TEST_CASE("damage before an intact frame is refused, with the file's name") {
+  TEST_CASE("damage before an intact frame is reported with the file name") {
     SimDisk disk;
     fill(disk);
     disk.corrupt(kSegment, 30);
@@ -108,7 +109,7 @@
     CHECK(stored.error().message.find(kSegment) != std::string::npos);
   }
 
-  TEST_CASE("a damaged identity or snapshot is refused") {
+  TEST_CASE("a damaged identity is rejected") {
     SimDisk disk;
     LogStore store(disk);
     REQUIRE(store.write_identity({5, "c", kDiskFormat, {}}));
@@ -117,8 +118,8 @@
     CHECK(store.read_identity().error().kind == StorageErrorKind::kCorrupt);
   }
 
-  TEST_CASE("an identity that is written now can be read again") {
-    // The number stood twice: a new folder said 2 where the program read 3, and nothing started.
+  TEST_CASE("a newly written identity can be read") {
+    // Guards against a format number that differs between writing and reading.
     SimDisk disk;
     LogStore store(disk);
     ReplicaIdentity identity;
@@ -128,7 +129,7 @@
     CHECK(store.read_identity()->value().id == 5);
   }
 
-  TEST_CASE("a folder of another format version is refused") {
+  TEST_CASE("a directory of another format version is rejected") {
     SimDisk disk;
     LogStore store(disk);
     REQUIRE(store.write_identity({5, "c", kDiskFormat + 1, {}}));
@@ -143,8 +144,8 @@
     const Snapshot snapshot{2, 1, {}, Bytes{1, 2, 3}};
     REQUIRE(store.replace_with_snapshot(snapshot, {HardState{4, 0}, {}, {make_entry(3)}}));
     REQUIRE(store.append(make_frame(4)));
-    LogStore again(disk);
-    const auto stored = again.open();
+    LogStore reopened(disk);
+    const auto stored = reopened.open();
     REQUIRE(stored);
     CHECK(stored->snapshot->index == 2);
     CHECK(stored->hard_state == HardState{4, 0});
@@ -164,8 +165,8 @@
       disk.mend();
       SimRandom random(operations);
       disk.crash(random);
-      LogStore again(disk);
-      const auto stored = again.open();
+      LogStore reopened(disk);
+      const auto stored = reopened.open();
       REQUIRE(stored);
       CHECK(stored->hard_state == HardState{3, 9});
       REQUIRE_FALSE(stored->entries.empty());
--- a/tests/unit/test_proxy_header.cc
+++ b/tests/unit/test_proxy_header.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_SUITE("proxy_header") {
-  TEST_CASE("all parts survive encoding and decoding") {
+  TEST_CASE("all fields are unchanged after encoding and decoding") {
     const Bytes datagram = encode_proxy_datagram(full_header(), kPayload);
     const auto decoded = decode_proxy_datagram(datagram);
     REQUIRE(decoded);
@@ -35,7 +35,7 @@
     CHECK(Bytes(decoded->payload.begin(), decoded->payload.end()) == kPayload);
   }
 
-  TEST_CASE("the header has the octets of the specification") {
+  TEST_CASE("the header matches the byte layout of the specification") {
     const Bytes datagram = encode_proxy_datagram({kFlow, {}, {}, {}}, {});
     const Bytes expected = {0x0D, 0x0A, 0x0D, 0x0A, 0x00, 0x0D, 0x0A, 0x51, 0x55, 0x49,
                             0x54, 0x0A, 0x21, 0x12, 0x00, 0x0C, 10,   0,    0,    1,
@@ -43,7 +43,7 @@
     CHECK(datagram == expected);
   }
 
-  TEST_CASE("every shortened or changed header is refused or decoded without harm") {
+  TEST_CASE("truncated headers and corrupted fixed fields are rejected") {
     const Bytes datagram = encode_proxy_datagram(full_header(), {});
     for (std::size_t size = 0; size < datagram.size(); ++size) {
       CHECK_FALSE(decode_proxy_datagram(ByteView(datagram).first(size)));
--- a/tests/unit/test_secret_file.cc
+++ b/tests/unit/test_secret_file.cc
@@ -10,7 +10,7 @@
 namespace gorsevalve {
 namespace {
 
-/// A file that is removed at the end.
+/// A temporary file that the destructor removes.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
@@ -35,7 +35,7 @@
 }  // namespace
 
 TEST_SUITE("secret_file") {
-  TEST_CASE("lines are read with their numbers, empty ones are left out") {
+  TEST_CASE("non-empty lines are read with their line numbers") {
     const TemporaryFile file("first\n\nthird\n");
     const auto lines = read_secret_file(file.path());
     REQUIRE(lines);
@@ -44,7 +44,7 @@
     CHECK((*lines)[1].text == "third");
   }
 
-  TEST_CASE("a file that others may read, is missing or empty is refused") {
+  TEST_CASE("a file that is accessible to other users or missing is rejected") {
     const TemporaryFile file("secret\n");
     file.permit(std::filesystem::perms::owner_read | std::filesystem::perms::group_read);
     CHECK(read_secret_file(file.path()).error().find("0600") != std::string::npos);
@@ -52,7 +52,7 @@
           std::string::npos);
   }
 
-  TEST_CASE("a short key is refused with its line") {
+  TEST_CASE("a short key is rejected with its line number") {
     const TemporaryFile file("a-key-of-20-characters\nshort\n");
     CHECK(read_key_file(file.path()).error().find(":2: ") != std::string::npos);
   }
--- a/tests/unit/test_settings.cc
+++ b/tests/unit/test_settings.cc
@@ -50,14 +50,14 @@
 }  // namespace
 
 TEST_SUITE("settings") {
-  TEST_CASE("a good file is read, with defaults") {
+  TEST_CASE("a valid file is parsed, with default values") {
     const auto settings = parse_settings(kValidFile, "f.toml");
     REQUIRE(settings);
     CHECK(settings->services[0].targets[0].weight == 100);
     CHECK(settings->services[0].targets[0].slots == 2);
   }
 
-  TEST_CASE("the examples are good") {
+  TEST_CASE("the examples are valid") {
     int count = 0;
     for (const auto& entry : std::filesystem::directory_iterator(kRoot / "examples")) {
       CHECK(parse_settings(read_file(entry.path()), entry.path().string()).has_value());
@@ -66,8 +66,8 @@
     CHECK(count == 4);
   }
 
-  TEST_CASE("all errors are listed with file, line and field") {
-    const std::string bad = R"(schema = 1
+  TEST_CASE("all errors are reported with file, line and field") {
+    const std::string invalid = R"(schema = 1
 deployment = "d"
 colour = "red"
 [[service]]
@@ -80,29 +80,29 @@
 zone = "z"
 weight = 2000
 )";
-    const auto messages = errors_of(bad);
+    const auto messages = errors_of(invalid);
     CHECK(any_contains(messages, "f.toml:3: colour: unknown key"));
     CHECK(any_contains(messages, "f.toml:6: service[0].address"));
     CHECK(any_contains(messages, "f.toml:7: service[0].owner_spread"));
     CHECK(any_contains(messages, "f.toml:12: service[0].target[0].weight"));
   }
 
-  TEST_CASE("duplicates and overlaps are refused") {
-    const std::string twice = kValidFile + kValidFile.substr(kValidFile.find("[[service]]"));
-    const auto messages = errors_of(twice);
+  TEST_CASE("duplicate names and addresses are rejected") {
+    const std::string duplicated = kValidFile + kValidFile.substr(kValidFile.find("[[service]]"));
+    const auto messages = errors_of(duplicated);
     CHECK(any_contains(messages, "service[1].name"));
     CHECK(any_contains(messages, "service[1].address"));
     CHECK(any_contains(messages, "target[0].address"));
   }
 
-  TEST_CASE("broken syntax, a wrong schema and an oversized file are refused") {
+  TEST_CASE("invalid syntax, a wrong schema and an oversized file are rejected") {
     CHECK(any_contains(errors_of("schema = = 1"), "f.toml:1"));
     const std::string newer = "schema = 2" + kValidFile.substr(kValidFile.find('\n'));
     CHECK(any_contains(errors_of(newer), "schema"));
     CHECK_FALSE(parse_settings(std::string(kMaxSettingsSize + 1, '#'), "f.toml"));
   }
 
-  TEST_CASE("what is fixed for the life of a service may not change") {
+  TEST_CASE("properties that are fixed for the lifetime of a service cannot change") {
     const Settings before = *parse_settings(kValidFile, "f");
     Settings after = before;
     after.services[0].owner_spread = before.services[0].owner_spread * 2;
