--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -278,12 +278,12 @@
   }
 
   void schedule_dequeue(Balancer& balancer) {
-    const auto turn = balancer.link.scheduler().next_dequeue_at();
-    if (!turn || balancer.has_timer) {
+    const auto dequeue_at = balancer.link.scheduler().next_dequeue_at();
+    if (!dequeue_at || balancer.has_timer) {
       return;
     }
     balancer.has_timer = true;
-    schedule_after(std::max<Duration>(*turn - now_, milliseconds(1)), [this, &balancer] {
+    schedule_after(std::max<Duration>(*dequeue_at - now_, milliseconds(1)), [this, &balancer] {
       balancer.has_timer = false;
       while (const auto due = balancer.link.scheduler().dequeue(now_)) {
         std::uint32_t number = 0;
--- a/tests/unit/test_link_scheduler.cc
+++ b/tests/unit/test_link_scheduler.cc
@@ -49,14 +49,14 @@
   /// Sends everything; returns client and position of each packet in order, and sets `now` to the
   /// time of the last one.
   std::vector<std::pair<int, int>> drain(Instant& now) {
-    std::vector<std::pair<int, int>> left;
+    std::vector<std::pair<int, int>> sent;
     while (const auto turn = scheduler.next_dequeue_at()) {
       now = std::max(now, *turn);
       while (const auto due = scheduler.dequeue(now)) {
-        left.emplace_back(due->bytes[0], due->bytes[1]);
+        sent.emplace_back(due->bytes[0], due->bytes[1]);
       }
     }
-    return left;
+    return sent;
   }
 };
 
@@ -79,8 +79,8 @@
       link.enqueue(data_packet(7, position * 1200U));
     }
     Instant now = kStart;
-    const auto left = link.drain(now);
-    CHECK(left == std::vector<std::pair<int, int>>{{7, 0}, {7, 1}, {7, 2}, {7, 3}});
+    const auto sent = link.drain(now);
+    CHECK(sent == std::vector<std::pair<int, int>>{{7, 0}, {7, 1}, {7, 2}, {7, 3}});
     // Four packets of 1,286 bytes on the wire at 237,500 bytes per second, behind the initial
     // backlog.
     CHECK((now - kStart) / milliseconds(1) >= 15);
@@ -98,11 +98,11 @@
     Instant now = *link.scheduler.next_dequeue_at();
     REQUIRE(link.scheduler.dequeue(now));
     link.enqueue(data_packet(9, 0, 100), now);
-    const auto left = link.drain(now);
+    const auto sent = link.drain(now);
     // At most one packet of a transfer is sent before it.
-    CHECK(left[1] == std::pair{9, 0});
+    CHECK(sent[1] == std::pair{9, 0});
     int ahead = 0;
-    for (const auto& [client_id, position] : left) {
+    for (const auto& [client_id, position] : sent) {
       ahead += client_id == 1 ? 1 : client_id == 2 ? -1 : 0;
       CHECK(std::abs(ahead) <= 2);
     }
@@ -121,12 +121,12 @@
       link.enqueue(data_packet(1, position * 1200), now);
       link.enqueue(data_packet(2, position * 1200), now);
     }
-    const auto left = link.drain(now);
-    const auto first = std::count_if(left.begin(), left.begin() + 10,
+    const auto sent = link.drain(now);
+    const auto first = std::count_if(sent.begin(), sent.begin() + 10,
                                      [](const auto& entry) { return entry.first == 1; });
     CHECK(first >= 1);
     CHECK(first <= 2);
-    CHECK(left.size() == 20);
+    CHECK(sent.size() == 20);
   }
 
   TEST_CASE(
@@ -210,11 +210,11 @@
     link.enqueue(data_packet(3, 0));
     CHECK(link.scheduler.queued_packets() == LinkScheduler::kMaxQueuedPackets);
     Instant now = kStart;
-    const auto left = link.drain(now);
+    const auto sent = link.drain(now);
     const auto position_of = [&](int client_id) {
-      const auto found = std::find_if(left.begin(), left.end(),
+      const auto found = std::find_if(sent.begin(), sent.end(),
                                       [&](const auto& entry) { return entry.first == client_id; });
-      return found - left.begin();
+      return found - sent.begin();
     };
     CHECK(position_of(2) <= 1);
     CHECK(position_of(3) <= 2);
