--- a/src/core/link/bulk_admission.h
+++ b/src/core/link/bulk_admission.h
@@ -22,7 +22,7 @@
   /// `link` must outlive the object.
   explicit BulkAdmission(const LinkModel& link) : link_(link) {}
 
-  /// Assumed size of a flow before any has ended, in bytes: two windows of 16 large packets.
+  /// Flow size in bytes that is assumed before any flow has ended: two windows of 16 large packets.
   static constexpr double kInitialFlowSize = 2 * 16 * 1200;
 
   /// Decides on a new flow whose client times out after `timeout`. Returns false when sending all
--- a/src/core/link/link_model.cc
+++ b/src/core/link/link_model.cc
@@ -8,12 +8,10 @@
 
 using std::chrono::milliseconds;
 
-/// Long enough to cover several packets on a slow link, short enough to follow a transfer of 160
-/// ms.
+/// Covers several packets on a slow link, and still follows a transfer of 160 ms.
 constexpr Duration kHalfLife = milliseconds(200);
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Steady-state decaying sum for a constant rate of 1 byte per second, in seconds: kHalfLife / ln
-/// 2.
+/// Steady-state decaying sum at 1 byte per second: kHalfLife in seconds divided by ln 2.
 constexpr double kDecayedSumPerRate = 0.2 / 0.6931471805599453;
 /// Probes and their replies are queued behind other data. A third of the probe timeout (60 ms) is
 /// tolerable.
--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -1,7 +1,8 @@
 /// Workload simulation of clients, balancers with low-bandwidth links, and targets, with and
 /// without the link shaper. Uploads use windows of 16 packets and retransmission timeouts from 200
 /// ms, doubling up to 1.6 s; short requests run beside them. A link drops what exceeds its short
-/// queue. Guards against fewer uploads and short requests in time than without the shaper.
+/// queue. Guards against a shaper that lets fewer uploads finish in time, or that delays short
+/// requests.
 #include <doctest/doctest.h>
 
 #include <cmath>
