--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -8,10 +8,10 @@
 namespace gorsevalve {
 namespace {
 
-/// Pause between two steps of the sweep for idle flows and unused copies.
+/// Interval between two steps of the sweep that removes idle flows and unused backup copies.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(200);
 
-/// The partition that a message is about.
+/// Returns the partition that a message refers to.
 PartitionId partition_of(const PeerMessage& message) {
   return std::visit([](const auto& body) { return body.partition; }, message);
 }
@@ -121,7 +121,7 @@
     return;
   }
   if (summary->type == CoapType::kConfirmable) {
-    // A ping (RFC 7252 section 4.3).
+    // An empty confirmable message is a ping (RFC 7252 section 4.3).
     state_.output().send_to_client(header.flow,
                                    encode_empty_message(CoapType::kReset, summary->message_id));
     return;
@@ -311,7 +311,7 @@
   }
   record.give_up_at = now + lifetime;
   if (record.is_outstanding()) {
-    // What the previous owner sent may have been lost on the way.
+    // The datagram that the previous owner sent may have been lost.
     actions_.plan_resend(partition, record, now);
   } else {
     state_.set_deadline(partition.id, record, record.give_up_at);
@@ -319,7 +319,8 @@
 }
 
 void Balancer::on_acquired(Partition& partition, Instant now) {
-  // Requests that the previous owner held back were never sent to a target: they go on here.
+  // Requests that were still queued at the previous owner have not been sent to a target. They
+  // resume here.
   std::vector<RequestRecord*> waiting;
   for (const auto& [id, record] : partition.store.requests()) {
     if (record->is_waiting()) {
--- a/src/core/balancer/balancer.h
+++ b/src/core/balancer/balancer.h
@@ -1,6 +1,6 @@
-/// The balancer core: a state machine without sockets, clocks or threads. Every input carries the
-/// time; every effect goes to BalancerOutput. The same code runs in the program and in the
-/// simulator.
+/// The balancer core: a deterministic state machine that does no I/O, reads no clock and starts no
+/// threads. Every input carries the time; every effect goes to BalancerOutput. The balancer program
+/// and the simulator run the same code.
 #pragma once
 
 #include "core/balancer/balancer_state.h"
@@ -19,32 +19,35 @@
   /// `output` must outlive the balancer and must not call back into it.
   Balancer(BalancerConfig config, BalancerOutput& output);
 
-  /// A datagram with a PROXY header: from the fabric, from a target, or relayed by a peer.
+  /// Handles a datagram with a PROXY header, received from the fabric, from a target, or relayed by
+  /// a peer.
   void on_datagram(ByteView datagram, Instant now);
 
   void on_peer_message(const Endpoint& from, const PeerMessage& message, Instant now);
 
-  /// A revision of the fleet state. One that is not newer than the present is ignored.
+  /// Applies a revision of the fleet state. A revision that is not newer than the current one is
+  /// ignored.
   void on_fleet(FleetState fleet, Instant now);
 
-  /// This process may run once-only requests until then.
+  /// Sets the end of this process's lease. Non-idempotent requests are dispatched only under a
+  /// lease.
   void on_lease(Instant until) { state_.set_lease_until(until); }
 
   void on_target_report(const TargetReport& report, Instant now);
 
-  /// To be called every kTickInterval.
+  /// Must be called every kTickInterval.
   void on_tick(Instant now);
 
-  /// Revision in force here; 0 before the first.
+  /// The applied fleet revision; 0 before the first.
   [[nodiscard]] Revision revision() const;
-  /// Membership revision whose handovers are finished here; 0 before the first.
+  /// Membership revision for which all handovers are complete; 0 before the first.
   [[nodiscard]] Revision settled_revision() const;
-  /// True when all partitions have gone to other owners: a stopping process may end.
+  /// True when all partitions have moved to other owners, so that a stopping process may exit.
   [[nodiscard]] bool has_released_all(Instant now) const;
 
   [[nodiscard]] const BalancerCounters& counters() const { return counters_; }
   [[nodiscard]] const std::shared_ptr<const FleetView>& view() const { return state_.view(); }
-  /// Flows and requests held, for metrics and capacity measurements.
+  /// Number of flows and requests stored, for metrics and capacity measurements.
   [[nodiscard]] std::size_t flow_count() const;
   [[nodiscard]] std::size_t request_count() const;
   [[nodiscard]] const TargetTable& target_table() const { return target_table_; }
@@ -80,7 +83,7 @@
   ResponseHandler response_handler_;
   CoapParser parser_;
   Instant next_sweep_;
-  /// Last tick, and the end of the recovery after a pause.
+  /// Time of the last tick, and the end of the recovery period after a process pause.
   std::optional<Instant> last_tick_;
   Instant recovers_until_;
   PartitionId sweep_position_ = 0;
--- a/src/core/balancer/balancer_state.h
+++ b/src/core/balancer/balancer_state.h
@@ -1,4 +1,4 @@
-/// State that the parts of the balancer core share. Owned by Balancer; used by one thread.
+/// State shared by the components of the balancer core. Owned by Balancer; used by one thread.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,7 +17,7 @@
 
 namespace gorsevalve {
 
-/// Counters since the start of the process. Names match the exported metrics.
+/// Counters since the start of the process. The names match the exported metrics.
 struct BalancerCounters {
   std::uint64_t datagrams_in = 0;
   std::uint64_t datagrams_malformed = 0;
@@ -44,11 +44,12 @@
   std::uint64_t partitions_incomplete = 0;
   std::uint64_t partitions_superseded = 0;
   std::uint64_t dispatches_blocked = 0;
-  /// Verdicts by FailureReason.
+  /// Number of verdicts, indexed by FailureReason.
   std::array<std::uint64_t, kFailureReasonCount> given_up{};
 };
 
-/// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
+/// Injected faults, for the tests that verify that the checkers detect violations. Programs leave
+/// all of them off.
 struct BalancerFaults {
   bool skip_lease_check = false;
   bool skip_record_before_dispatch = false;
@@ -62,7 +63,7 @@
   BalancerFaults faults;
 };
 
-/// A deadline of one request; stale entries are recognised by the record's own deadline.
+/// Deadline of one request. The entry is stale when the record has another deadline.
 struct DeadlineEntry {
   Instant at;
   PartitionId partition = 0;
@@ -71,11 +72,11 @@
   friend bool operator>(const DeadlineEntry& a, const DeadlineEntry& b) { return a.at > b.at; }
 };
 
-/// Bounds retries to a share of the requests, so that retries cannot multiply an overload.
+/// Limits retries to a fraction of the requests, so that retries cannot amplify an overload.
 class RetryBudget {
  public:
   void on_request() { tokens_ = std::min(tokens_ + kPerRequest, kMaximum); }
-  /// Takes one retry from the budget; false when there is none.
+  /// Consumes one retry from the budget. Returns false when the budget is exhausted.
   bool take() {
     if (tokens_ < 1) {
       return false;
@@ -103,7 +104,7 @@
   TargetTable& target_table() { return target_table_; }
   RetryBudget& retry_budget() { return retry_budget_; }
 
-  /// The present view; nullptr before the first revision arrived.
+  /// The current view; nullptr before the first revision arrives.
   [[nodiscard]] const std::shared_ptr<const FleetView>& view() const { return view_; }
   void set_view(std::shared_ptr<const FleetView> view) { view_ = std::move(view); }
 
@@ -112,7 +113,7 @@
 
   RequestId next_request_id() { return {config_.self.incarnation, ++last_sequence_}; }
 
-  /// Sets the deadline of a record and remembers to look at it then.
+  /// Sets the deadline of a record and schedules its expiry.
   void set_deadline(PartitionId partition, RequestRecord& record, Instant at) {
     record.deadline = at;
     deadlines_.push({at, partition, record.id});
@@ -122,7 +123,7 @@
   [[nodiscard]] Instant lease_until() const { return lease_until_; }
   void set_lease_until(Instant until) { lease_until_ = until; }
 
-  /// Share of the partitions that this balancer owns under the present view.
+  /// Fraction of the partitions that this balancer owns under the current view.
   [[nodiscard]] double owned_share() const { return owned_share_; }
   void set_owned_share(double share) { owned_share_ = share; }
 
--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -9,23 +9,23 @@
 namespace {
 
 constexpr std::size_t kHeartbeatsRemembered = 64;
-/// Pause between two questions to replicas whose zone is not known, and to the one that this
-/// process should be at while it is at another one.
+/// Interval between heartbeats to replicas whose zone is unknown, and to the preferred replica
+/// while another one is chosen.
 constexpr Duration kProbeInterval = std::chrono::seconds(5);
-/// A process that is not admitted for this long was perhaps admitted and removed before it heard of
-/// it; under its present incarnation it would never be admitted again.
+/// A process that waits this long for admission may have been admitted and removed before it
+/// received an update. Its incarnation would never be admitted again.
 constexpr Duration kAdmissionTimeout = std::chrono::seconds(20);
-/// Pause between two questions for an update that was lost.
+/// Interval between two requests for a lost update.
 constexpr Duration kRepairInterval = std::chrono::milliseconds(300);
-/// A replica that does not confirm what is in force for this long is left: three pauses between
-/// heartbeats of an observer, half of the shortest time within which a change must be in force.
+/// Maximum age of the last confirmation by the chosen replica: three heartbeat intervals of an
+/// observer, and half of the shortest time within which a change must be applied.
 constexpr Duration kFreshnessTimeout = std::chrono::milliseconds(1500);
-/// A replica that answered that it is not current is not asked again for this long: it tells when
-/// it is. After a loss of all, hundreds of balancers would else keep the replicas from their
-/// election. Below the usual pause between heartbeats, so that it matters to starting ones only.
+/// Interval between heartbeats to a replica that is not current, which sends a reply once it is.
+/// This limits the load on the replicas while they elect a leader after all of them restarted.
+/// Below the usual heartbeat interval, so that it affects starting observers only.
 constexpr Duration kNotCurrentBackoff = std::chrono::milliseconds(450);
-/// While several replicas that are not current hold more than this balancer, one is asked for it at
-/// a time, for this long: a whole state takes a thin link 0.2 s.
+/// Minimum interval between update requests to replicas that are not current. A snapshot takes
+/// about 0.2 s on a low-bandwidth link.
 constexpr Duration kUpdateTime = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -93,7 +93,7 @@
   }
   output_.on_rank(reply.rank, now);
   check_confirmed(now);
-  // Only the chosen replica counts: another one that answers late is not waited for.
+  // Only the chosen replica counts; a late reply of another one must not extend the timeout.
   if (!selector_.is_searching() && from == selector_.chosen()) {
     last_answer_ = now;
   }
@@ -118,11 +118,11 @@
   const bool was_searching = selector_.is_searching();
   if (!reply.is_current) {
     not_current_at_[from] = now;
-    // This replica may be cut off from the others: all are asked, not sooner than usual.
+    // This replica may be partitioned from the others. The search starts with the next heartbeat.
     if (!was_searching && from == selector_.chosen() && is_observer()) {
       begin_search();
     }
-    // What it holds is better than nothing, or than what is older.
+    // Its state is newer than the one applied here.
     if (was_searching && reply.revision > fleet_.revision) {
       ask_for_update(from, now);
     }
@@ -133,7 +133,7 @@
     follow(from, reply.revision, now);
   }
   if (was_searching) {
-    // From now on this replica tells of changes.
+    // Subscribes to the updates of this replica.
     send_heartbeat(from, true, now);
   }
   if (from == selector_.chosen()) {
@@ -224,8 +224,8 @@
 }
 
 void ControlClient::apply_snapshot(const Endpoint& from, const FleetUpdate& update, Instant now) {
-  // An older state never replaces a newer one. A whole state of the same revision repairs one whose
-  // digest was wrong.
+  // An older state never replaces a newer one. A snapshot of the same revision replaces a state
+  // whose digest was wrong.
   const bool is_older =
       update.snapshot.revision < revision_floor_ && !faults_.ignore_revision_floor;
   const FleetDigest digest(update.snapshot);
@@ -251,7 +251,7 @@
     return;
   }
   if (digest_.value(fleet_) != update.digest) {
-    // What is in force stays so; a whole state is asked for.
+    // The state that was applied remains in effect; a snapshot is requested.
     output_.on_update_refused({from, update.deltas.front().base, UpdateRefusal::kDigest});
     fleet_ = {};
     digest_ = FleetDigest(fleet_);
@@ -267,7 +267,7 @@
 
 void ControlClient::apply_member_deltas(const Endpoint& from, const FleetUpdate& update,
                                         Instant now) {
-  // The steps are kept apart where the members change, since a handover follows each of them.
+  // Each membership is applied separately, since a handover follows each of them.
   std::vector<std::pair<FleetState, FleetDigest>> steps;
   FleetState next = fleet_;
   FleetDigest digest = digest_;
@@ -314,7 +314,7 @@
   const bool is_new_member = is_member(fleet_) && lease_until_ <= now;
   if (is_new_member || (is_observer() && !has_been_current_)) {
     // A new member has no lease yet, and an observer does not know whether this state is the
-    // newest: they ask at once.
+    // newest. Both send a heartbeat at once.
     settled_revision_ = 0;
     send_heartbeats(now);
   }
@@ -350,8 +350,8 @@
 
 void ControlClient::send_heartbeats(Instant now) {
   if (selector_.is_searching()) {
-    // One of them tells of what it commits from now on; all of them would send the same state.
-    // While nothing is in force here, the first to answer is asked for all it has.
+    // Only the preferred replica is asked for updates, since all of them would send the same state.
+    // Without any state, none is asked: the first to reply is then asked for a snapshot.
     const bool has_state = fleet_.revision > 0;
     for (const auto& replica : selector_.candidates()) {
       if (!will_notify(replica, now)) {
@@ -399,7 +399,7 @@
   check_admission(now);
   check_silence(now);
   check_freshness(now);
-  // Progress is told at once, so that a change that waits for it goes on.
+  // Progress is reported at once, since a pending membership change may wait for it.
   const bool progress = settled_revision != reported_settled_ && settled_revision != 0;
   const bool is_urgent = !selector_.is_searching() && output_.has_urgent_observations();
   if (now >= next_heartbeat_ || progress || is_urgent) {
--- a/src/core/balancer/fleet_view.cc
+++ b/src/core/balancer/fleet_view.cc
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kOwnerSalt = 0x6F776E6572ULL;
 constexpr std::uint64_t kBackupSalt = 0x6261636B7570ULL;
-/// Slots of a service for each of its targets, before rounding up to a power of two.
+/// Number of slots per target of a service, before rounding up to a power of two.
 constexpr std::uint32_t kSlotsPerTarget = 64;
 
 std::uint64_t member_key(const Member& member) { return packed(member.address); }
@@ -37,8 +37,8 @@
   if (owner == kUnassigned) {
     return kUnassigned;
   }
-  // Best score among the members of other zones; a member of the same zone only when there is no
-  // other.
+  // The highest score among the members of other zones; a member of the same zone only if there is
+  // no other.
   std::uint32_t best = kUnassigned;
   bool best_other_zone = false;
   std::uint64_t best_score = 0;
@@ -60,7 +60,7 @@
   return best;
 }
 
-/// Targets in evacuated zones are treated as draining.
+/// Marks targets in evacuated zones as draining.
 void drain_evacuated_zones(FleetState& fleet) {
   const auto is_evacuated = [&](const Target& target) {
     const auto& zones = fleet.steering.evacuated_zones;
@@ -182,8 +182,8 @@
 }
 
 const Target* FleetView::first_choice(const ServiceView& service, const FlowKey& flow) const {
-  // The low bits chose the partition; the slot takes the high ones, so that the flows of one
-  // partition spread over all targets.
+  // The low bits of the hash select the partition. The slot uses the high bits, so that the flows
+  // of one partition spread over all targets.
   constexpr unsigned kHighBits = 32;
   return slot_target(service, flow_hash(flow) >> kHighBits);
 }
--- a/src/core/balancer/flow_binding.cc
+++ b/src/core/balancer/flow_binding.cc
@@ -12,8 +12,8 @@
       std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count());
 }
 
-/// First message id of a flow at this owner. Differs between owners, so that two owners in a row
-/// seldom use the same ids for one caller (RFC 7252 section 4.4).
+/// Initial message id of a flow at this owner. It differs between owners, which makes reuse of
+/// recent ids for a client unlikely (RFC 7252 section 4.4).
 std::uint16_t initial_message_id(const FlowKey& flow, std::uint64_t incarnation, Instant now) {
   const auto time = static_cast<std::uint64_t>(now.time_since_epoch().count());
   return static_cast<std::uint16_t>(flow_hash(flow) ^ incarnation ^ (time >> 4U));
--- a/src/core/balancer/flow_binding.h
+++ b/src/core/balancer/flow_binding.h
@@ -1,4 +1,4 @@
-/// Binding of flows to targets, with the counts and the copies to the backup that go with it.
+/// Binds flows to targets, counts them per target, and marks them for replication to the backup.
 #pragma once
 
 #include "core/balancer/balancer_state.h"
@@ -9,26 +9,26 @@
  public:
   explicit FlowBinding(BalancerState& state) : state_(state) {}
 
-  /// Binds a flow to a target, in place of an earlier one.
+  /// Binds a flow to a target, replacing an earlier binding.
   FlowRecord& bind(Partition& partition, const FlowKey& flow, const Endpoint& target, Instant now);
 
-  /// The binding of a flow, marked as used now; nullptr when there is none.
+  /// Returns the binding of a flow and updates its last activity; nullptr when there is none.
   FlowRecord* touch(Partition& partition, const FlowKey& flow, Instant now);
 
-  /// Forgets a flow.
+  /// Deletes a flow.
   void release(Partition& partition, const FlowKey& flow);
 
-  /// Drops the flows that were idle for timing::kFlowIdle.
+  /// Deletes the flows without observations that have been idle for timing::kFlowIdle.
   void release_idle(Partition& partition, Instant now);
 
-  /// Drops all flows and requests of a partition and what they count at targets.
+  /// Deletes all flows and requests of a partition and updates the counts of their targets.
   void clear(Partition& partition);
 
-  /// True when the target of the flow is not the one that its slot gives now: such flows, and those
-  /// with feeds, are copied to the backup.
+  /// True when the target of the flow differs from that of its slot, or the flow has observations.
+  /// Other bindings can be derived from the slot table.
   [[nodiscard]] bool needs_replication(const FlowKey& flow, const FlowRecord& record) const;
 
-  /// Marks the flows that became exceptions with a new view as changed.
+  /// Marks the flows that need replication under the current view as changed.
   void mark_for_replication(Partition& partition);
 
  private:
--- a/src/core/balancer/graceful_shutdown.h
+++ b/src/core/balancer/graceful_shutdown.h
@@ -1,5 +1,5 @@
-/// When a balancer that leaves may end: after its partitions have moved it relays for a while what
-/// the fabric still sends it, since the list of live machines lags.
+/// Determines when a leaving balancer may exit. After its partitions have moved it relays datagrams
+/// for a while, since the fabric's list of live balancers lags behind.
 #pragma once
 
 #include <optional>
@@ -14,8 +14,8 @@
 
   void begin() { leaving_ = true; }
 
-  /// `has_moved`: control has told that the process may stop, and all partitions have gone. True
-  /// when the process ends now.
+  /// `has_moved`: the control replicas allow the process to stop, and all partitions have moved.
+  /// Returns true when the process may exit.
   [[nodiscard]] bool on_tick(bool has_moved, Instant now) {
     if (leaving_ && has_moved && !ends_at_) {
       ends_at_ = now + kRelayPeriod;
--- a/src/core/balancer/handover.cc
+++ b/src/core/balancer/handover.cc
@@ -8,8 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Datagrams that wait for one partition's state; more are dropped and come again by
-/// retransmission.
+/// Maximum number of datagrams buffered per partition. Further ones are dropped; clients retransmit
+/// them.
 constexpr std::size_t kMaxBufferedDatagrams = 512;
 
 }  // namespace
@@ -40,9 +40,9 @@
 }
 
 void Handover::cancel_if_source_keeps(Partition& partition) {
-  // Another membership change came before the state arrived. Normally the transfer goes on, since
-  // the next owner asks this process. But when the process that has the state owns it again, it
-  // keeps it.
+  // The members changed again before the state arrived. Usually the transfer continues, since the
+  // next owner requests the state from this process. If the process that has the state becomes the
+  // owner again, it keeps the state.
   if (partition.role != PartitionRole::kAcquiring || !partition.acquisition->has_source()) {
     return;
   }
@@ -64,7 +64,7 @@
   }
   partition.unclaimed_since.reset();
   if (!is_own(state_.view()->previous_owner(partition.id))) {
-    // Another process owned it in between and may have decided: its state counts.
+    // Another process owned the partition in between and may have changed its state.
     start_acquisition(partition, now);
     partition.acquisition->retains_state = true;
     return;
@@ -183,7 +183,8 @@
     request_chunk(partition, now);
     return;
   }
-  // An owner in between that never fetched the state decided nothing: what was kept is complete.
+  // An intermediate owner that never received the state changed nothing, so the retained state is
+  // complete.
   const bool kept = acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
   if (chunk.source_state == SourceState::kComplete || kept) {
     finish(partition, true, now);
--- a/src/core/balancer/handover.h
+++ b/src/core/balancer/handover.h
@@ -1,5 +1,5 @@
-/// Moves partitions between owners when the members change: fetches state as the new owner, freezes
-/// and gives it as the old one.
+/// Moves partitions between owners when the members change: requests the state as the new owner,
+/// transfers it as the previous one.
 #pragma once
 
 #include "core/balancer/balancer_state.h"
@@ -8,15 +8,15 @@
 
 namespace gorsevalve {
 
-/// What handover tells the rest of the core.
+/// Events of the handover, for the rest of the balancer core.
 class HandoverListener {
  public:
   virtual ~HandoverListener() = default;
-  /// A request arrived with the state of a partition; the record is indexed already.
+  /// A request arrived with the state of a partition; its record is already indexed.
   virtual void on_request_imported(Partition& partition, RequestRecord& record, Instant now) = 0;
-  /// This process decides for the partition from now on.
+  /// This process serves the partition from now on.
   virtual void on_acquired(Partition& partition, Instant now) = 0;
-  /// A datagram that waited for the state.
+  /// A datagram that was buffered until the state arrived.
   virtual void on_buffered_datagram(const ProxyHeader& header, ByteView payload, Instant now) = 0;
 };
 
@@ -26,25 +26,25 @@
            HandoverListener& listener)
       : state_(state), binding_(binding), replicator_(replicator), listener_(listener) {}
 
-  /// Follows a change of the members. The state's view is the new one.
+  /// Handles a change of the members. The state already has the new view.
   void on_members(Instant now);
 
   void on_takeover_request(const Endpoint& from, const TakeoverRequest& request, Instant now);
   void on_takeover_chunk(const Endpoint& from, const TakeoverChunk& chunk, Instant now);
   void on_tick(Instant now);
 
-  /// Keeps a datagram until the state of its partition has arrived.
+  /// Buffers a datagram until the state of its partition has arrived.
   void buffer_datagram(Partition& partition, const ProxyHeader& header, ByteView payload);
 
-  /// A newer owner has fenced this process off: it stops deciding, and fetches the state again when
-  /// the members still give it the partition.
+  /// A newer owner has fenced off this process. It stops serving the partition, and requests the
+  /// state again if the members still assign the partition to it.
   void on_superseded(Partition& partition, Instant now);
 
-  /// True when this process owns what the view gives it, with its backups complete, and holds
-  /// nothing else.
+  /// True when this process serves exactly the partitions that the view assigns to it, and all
+  /// their backups are complete.
   [[nodiscard]] bool is_settled() const;
 
-  /// True when this process decides for no partition and no new owner asks for state any more.
+  /// True when this process serves no partition and no new owner has recently requested state.
   [[nodiscard]] bool has_released_all(Instant now) const;
 
  private:
@@ -54,7 +54,7 @@
   void abandon_unclaimed(Partition& partition, Instant now);
   void retry_superseded(Partition& partition, Instant now);
   void apply_chunk(Partition& partition, const TakeoverChunk& chunk, Instant now);
-  /// Share of all partitions that this process decides for, also those it is about to hand over.
+  /// Fraction of all partitions that this process serves, including those it is about to hand over.
   [[nodiscard]] double served_share() const;
   [[nodiscard]] bool is_own(const Member* member) const;
   [[nodiscard]] bool waits_for_lease(const Acquisition& acquisition, Instant now) const;
--- a/src/core/balancer/handover_release.cc
+++ b/src/core/balancer/handover_release.cc
@@ -1,4 +1,4 @@
-/// Handover, the side that gives up a partition: the old owner, its backup, and owners that were
+/// The releasing side of a handover: the previous owner, its backup, and owners that were
 /// superseded.
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Cuts a batch into chunks near kBatchSize. There is always at least one.
+/// Splits a batch into chunks of about kBatchSize. Returns at least one chunk.
 std::vector<StateBatch> split_into_chunks(StateBatch&& whole) {
   std::vector<StateBatch> chunks(1);
   std::size_t size = 0;
@@ -30,8 +30,8 @@
   return chunks;
 }
 
-/// All state of a partition. Every flow is included, not only the exceptions: the new owner may
-/// know another revision of the slot table.
+/// All state of a partition. It includes every flow, since the new owner may have another revision
+/// of the slot table.
 StateBatch full_state(const PartitionStore& store) {
   StateBatch batch;
   for (const auto& [flow, record] : store.flows()) {
@@ -40,7 +40,7 @@
   for (const auto& [id, record] : store.requests()) {
     batch.requests.push_back(*record);
   }
-  // Hash maps have no fixed order; a transfer must have one.
+  // Hash maps are unordered; sorting makes the transfer deterministic.
   std::sort(
       batch.flow_records.begin(), batch.flow_records.end(),
       [](const FlowTransferRecord& a, const FlowTransferRecord& b) { return a.flow < b.flow; });
@@ -67,7 +67,7 @@
 
 void Handover::offer_copy(Partition& partition, std::uint64_t last_owner) {
   if (partition.copy == nullptr && partition.outgoing) {
-    // Frozen state that another process asked for before: it may have decided since.
+    // State that was prepared for another process, which may have served the partition since.
     partition.outgoing->source_state = SourceState::kIncomplete;
     return;
   }
@@ -105,7 +105,8 @@
   if (partition.role == PartitionRole::kNone) {
     return false;
   }
-  // The present view gives the partition to this process under a revision that is not older.
+  // Stale when the current view assigns the partition to this process under the same or a newer
+  // revision.
   const FleetView& view = *state_.view();
   return is_own(view.owner(partition.id)) && request.members_revision <= view.members_revision();
 }
@@ -171,7 +172,7 @@
   }
   partition.unclaimed_since = partition.unclaimed_since.value_or(now);
   if (now - *partition.unclaimed_since > timing::kUnclaimedTimeout) {
-    // The new owner found its state elsewhere, or lost its way to this process.
+    // The new owner got the state elsewhere, or cannot reach this process.
     abandon(partition);
   }
 }
--- a/src/core/balancer/observation_migrator.h
+++ b/src/core/balancer/observation_migrator.h
@@ -1,4 +1,4 @@
-/// Moves open feeds away from targets that left the settings or went down.
+/// Moves open observations away from targets that were removed or became unhealthy.
 #pragma once
 
 #include "core/balancer/flow_binding.h"
@@ -11,9 +11,9 @@
   ObservationMigrator(BalancerState& state, FlowBinding& binding, RequestActions& actions)
       : state_(state), binding_(binding), actions_(actions) {}
 
-  /// In all partitions that this process owns.
+  /// Processes all partitions that this process owns.
   void migrate_from_lost_targets(Instant now);
-  /// In one partition. Feeds stay where they are when no other target takes new work.
+  /// Processes one partition. Observations stay in place when no other target accepts new work.
   void migrate_from_lost_targets(Partition& partition, Instant now);
 
  private:
--- a/src/core/balancer/output.h
+++ b/src/core/balancer/output.h
@@ -1,4 +1,4 @@
-/// What the balancer core asks its surroundings to send. The real program implements it with
+/// Messages that the balancer core sends. The balancer program implements the interface with
 /// sockets, the simulator with its network.
 #pragma once
 
@@ -9,20 +9,20 @@
 
 namespace gorsevalve {
 
-/// Sends without waiting and without telling whether the message arrived. Views passed in are valid
-/// only during the call.
+/// Sends without blocking and without reporting delivery. The views passed in are valid only during
+/// the call.
 class BalancerOutput {
  public:
   virtual ~BalancerOutput() = default;
 
-  /// Sends a CoAP message to the caller of a flow, from the service address of the flow.
+  /// Sends a CoAP message to the client of a flow, from the service address of the flow.
   virtual void send_to_client(const FlowKey& flow, ByteView message) = 0;
 
   /// Sends a CoAP message of a flow to a target. The target echoes the header's request id.
   virtual void send_to_target(const Endpoint& target, const ProxyHeader& header,
                               ByteView message) = 0;
 
-  /// Passes a datagram on to another balancer, with the header as given.
+  /// Relays a datagram to another balancer, with the given header.
   virtual void relay(const Endpoint& peer, const ProxyHeader& header, ByteView payload) = 0;
 
   /// Sends a message to another balancer.
--- a/src/core/balancer/partition.h
+++ b/src/core/balancer/partition.h
@@ -1,5 +1,5 @@
-/// One ownership partition as a balancer sees it: its role, its state as owner, the copy it holds
-/// as backup, and the transfers under way.
+/// State of one partition at a balancer: its role, its records as owner, its copy as backup, and
+/// the transfers in progress.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -19,48 +19,48 @@
 namespace gorsevalve {
 
 enum class PartitionRole : std::uint8_t {
-  /// Datagrams go to the owner.
+  /// Datagrams are relayed to the owner.
   kNone = 0,
-  /// Owner under the present members; still fetching the state.
+  /// Owner under the current members; still receiving the state.
   kAcquiring = 1,
-  /// Decides for the partition.
+  /// Serves the partition.
   kOwner = 2,
 };
 
 /// A process that may hold the state of a partition.
 struct TakeoverSource {
   Endpoint address;
-  /// False for a backup: it never decides, so datagrams are not passed to it.
+  /// False for a backup: it never serves the partition, so no datagrams are relayed to it.
   bool was_owner = false;
 };
 
-/// A datagram that waits until the state has arrived.
+/// A datagram that is buffered until the state arrives.
 struct BufferedDatagram {
   ProxyHeader header;
   Bytes payload;
 };
 
-/// Progress of fetching a partition's state.
+/// Progress of acquiring the state of a partition.
 struct Acquisition {
   /// Membership revision that made this process the owner.
   Revision revision = 0;
-  /// Incarnation of the owner before; 0 when there was none.
+  /// Incarnation of the previous owner; 0 when there was none.
   std::uint64_t previous_owner = 0;
   std::vector<TakeoverSource> sources;
   std::size_t source = 0;
   std::uint32_t next_chunk = 0;
   Instant last_sent;
   Instant last_heard;
-  /// The sources are not asked before this process has a lease, or until this instant.
+  /// Requests to the sources are delayed until this process has a lease, at most until this time.
   Instant waits_until;
-  /// This process owned the partition before the last change but one, and still has its state.
+  /// This process owned the partition before the previous owner, and still has its state.
   bool retains_state = false;
   std::vector<BufferedDatagram> buffered;
 
   [[nodiscard]] bool has_source() const { return source < sources.size(); }
 };
 
-/// State that was frozen for the next owner.
+/// State that was prepared for transfer to the next owner.
 struct OutgoingTransfer {
   Endpoint to;
   /// Membership revision of the new owner.
@@ -71,7 +71,7 @@
   Instant last_asked;
 };
 
-/// Changes that the backup has not confirmed.
+/// Changes that the backup has not acknowledged and that are not in flight.
 struct UnconfirmedChanges {
   absl::btree_set<FlowKey> changed_flows;
   absl::btree_set<RequestId> requests;
@@ -82,14 +82,14 @@
   }
 };
 
-/// A batch on its way to the backup.
+/// A batch that the backup has not acknowledged.
 struct BatchInFlight {
   ReplicateRequest message;
   Instant next_send;
   Duration interval{};
 };
 
-/// Copy of another owner's partition.
+/// Backup copy of another owner's partition.
 struct StateCopy {
   struct Flow {
     FlowTransferRecord record;
@@ -99,9 +99,9 @@
     RequestRecord record;
     Revision revision = 0;
   };
-  /// Revision since which its owner has this backup.
+  /// Revision since which the owner has used this backup.
   Revision revision = 0;
-  /// Incarnation of that owner.
+  /// Incarnation of the owner.
   std::uint64_t owner = 0;
   bool complete = false;
   Instant incomplete_until;
@@ -109,9 +109,9 @@
   absl::btree_map<FlowKey, Flow> flow_records;
   absl::btree_map<RequestId, Request> requests;
 
-  /// True when it has all records of the last owner, whose incarnation is given. A copy of an
-  /// earlier owner's state, or of one that a newer revision has sealed off, lacks what was decided
-  /// since, by an owner with another backup.
+  /// True when the copy has all records of the owner with incarnation `last_owner`. A copy from an
+  /// earlier owner, or from before a fencing revision, lacks later changes that were replicated to
+  /// another backup.
   [[nodiscard]] bool is_complete(Revision sealed_revision, std::uint64_t last_owner) const {
     return complete && revision >= sealed_revision && owner == last_owner;
   }
@@ -124,14 +124,15 @@
   PartitionRole role = PartitionRole::kNone;
   PartitionStore store;
 
-  /// Since when this process decides although the members give the partition to another one.
+  /// Since when this process has served the partition although the members assign it to another
+  /// one.
   std::optional<Instant> unclaimed_since;
-  /// After this process was superseded: when it may ask for the state again.
+  /// After this process was superseded: when it may request the state again.
   std::optional<Instant> retry_at;
-  /// As owner: revision since which owner and backup are the same, and the backup.
+  /// As owner: revision since which owner and backup are unchanged, and the backup.
   Revision owner_revision = 0;
   std::optional<Endpoint> backup;
-  /// Once-only requests are not run before this instant: records may have been lost.
+  /// Non-idempotent requests are refused before this time, since records may be missing.
   Instant incomplete_until;
   UnconfirmedChanges unconfirmed;
   bool copy_pending = false;
@@ -140,7 +141,7 @@
   std::optional<Acquisition> acquisition;
   std::optional<OutgoingTransfer> outgoing;
 
-  /// As backup: changes of owners under older revisions are refused.
+  /// As backup: batches from owners under older revisions are rejected.
   Revision fenced_revision = 0;
   std::unique_ptr<StateCopy> copy;
 };
--- a/src/core/balancer/partition_store.cc
+++ b/src/core/balancer/partition_store.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Returns the record to its initial values but keeps the capacity of its buffers.
+/// Resets the record to its initial values but keeps the capacity of its buffers.
 void reset(RequestRecord& record) {
   Bytes request = std::move(record.request);
   Bytes answer = std::move(record.response);
--- a/src/core/balancer/partition_store.h
+++ b/src/core/balancer/partition_store.h
@@ -1,5 +1,4 @@
-/// Flows and requests of one ownership partition: the unit of state that is owned, copied to the
-/// backup and handed over.
+/// Flows and requests of one partition, the unit of ownership, replication and handover.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -12,8 +11,8 @@
 
 namespace gorsevalve {
 
-/// Request records with stable addresses. Freed records keep their buffers for the next use, so a
-/// steady load does not allocate.
+/// Allocator of request records with stable addresses. Freed records keep their buffers, so a
+/// steady load does not allocate memory.
 class RequestPool {
  public:
   RequestRecord* take();
@@ -50,7 +49,7 @@
   return Hasher::combine(std::move(state), key.flow, key.token);
 }
 
-/// Orders records by id: hash maps have no fixed order, effects must have one.
+/// Sorts records by id. Hash maps are unordered, but effects must be deterministic.
 void sort_by_id(std::vector<RequestRecord*>& records);
 
 class PartitionStore {
@@ -69,21 +68,21 @@
   void erase_flow(const FlowKey& flow);
 
   [[nodiscard]] RequestRecord* find_request(const RequestId& id);
-  /// The request that arrived with this message id, if it is remembered.
+  /// The request with this message id, or nullptr.
   [[nodiscard]] RequestRecord* find_message(const FlowKey& flow, std::uint16_t message_id);
-  /// The latest request of the flow with this token, if it is remembered.
+  /// The latest request of the flow with this token, or nullptr.
   [[nodiscard]] RequestRecord* find_token(const FlowKey& flow, const CoapToken& token);
-  /// Open feed of the flow whose last notification had this message id.
+  /// The open observation of the flow whose last notification had this message id, or nullptr.
   [[nodiscard]] RequestRecord* find_notification(const FlowKey& flow, std::uint16_t message_id);
 
-  /// Takes an empty record; it is found by its keys only after `index`.
+  /// Allocates an empty record. Lookups find it only after `index`.
   RequestRecord* new_request();
-  /// Makes a record findable by its id, message id and token; replaces older index entries.
+  /// Indexes a record by its id, message id and token; replaces older index entries.
   void index(RequestRecord* record);
-  /// Gives a record another id.
+  /// Changes the id of an indexed record.
   void change_id(RequestRecord* record, const RequestId& id);
   void erase_request(RequestRecord* record);
-  /// Remembers the message ids of the last notification of a feed.
+  /// Stores the message ids of the last notification of an observation.
   void set_last_notification(RequestRecord* record, std::uint16_t id_out, std::uint16_t id_in);
 
   [[nodiscard]] const FlowMap& flows() const { return flows_; }
--- a/src/core/balancer/partition_table.h
+++ b/src/core/balancer/partition_table.h
@@ -1,5 +1,5 @@
-/// The partitions that a balancer knows, by number. Iteration is in the order of the numbers, so
-/// that a run with the same inputs has the same effects.
+/// The partitions of a balancer, by number. Iteration is ordered by number, so that runs with the
+/// same inputs have the same effects.
 #pragma once
 
 #include <memory>
@@ -14,13 +14,13 @@
   /// The pool must outlive the table.
   explicit PartitionTable(RequestPool& pool) : pool_(pool) {}
 
-  /// The partition with this number; made on first use. Numbers are small: the caller has checked
-  /// that it is below FleetState::partitions.
+  /// The partition with this number, created on first use. Callers must check that the number is
+  /// below FleetState::partitions.
   Partition& at(PartitionId id);
-  /// The partition with this number, or nullptr when it was never used.
+  /// The partition with this number, or nullptr when it has never been used.
   [[nodiscard]] Partition* find(PartitionId id) const;
 
-  /// All partitions that were used, in the order of their numbers.
+  /// All partitions that have been used, ordered by number.
   [[nodiscard]] const std::vector<Partition*>& used() const { return used_; }
 
  private:
--- a/src/core/balancer/peer_messages.h
+++ b/src/core/balancer/peer_messages.h
@@ -1,5 +1,5 @@
-/// Messages between balancers: copies of state to the backup and transfer of partitions.
-/// Every message names the membership revision it was decided under, which fences older owners off.
+/// Messages between balancers, for replication to the backup and transfer of partitions. Every
+/// message carries the membership revision under which it was sent, which fences off older owners.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace gorsevalve {
 
-/// Owner to backup: take over these changes and confirm them.
+/// Owner to backup: apply these changes and acknowledge them.
 struct ReplicateRequest {
-  /// Revision since which this owner has this backup for the partition.
+  /// Revision since which this owner has used this backup for the partition.
   Revision members_revision = 0;
   PartitionId partition = 0;
-  /// Incarnation of the owner that sends it.
+  /// Incarnation of the sending owner.
   std::uint64_t owner = 0;
-  /// Number of the batch, per sender.
+  /// Sequence number of the batch, per sender.
   std::uint64_t batch = 0;
-  /// The last batch of a full copy: from here on the copy is complete, and records that were not
-  /// sent again under this revision are dropped.
+  /// The last batch of a full copy. The copy is then complete, and records that were not sent again
+  /// under this revision are dropped.
   bool ends_copy = false;
-  /// How much longer the owner itself may lack records.
+  /// Remaining time during which the owner itself may lack records.
   std::uint32_t incomplete_for_ms = 0;
   StateBatch changes;
 
@@ -32,12 +32,12 @@
   }
 };
 
-/// Backup to owner.
+/// Backup to owner: acknowledges or rejects a batch.
 struct ReplicateReply {
   Revision members_revision = 0;
   PartitionId partition = 0;
   std::uint64_t batch = 0;
-  /// False when a newer owner has sealed the partition at this backup.
+  /// False when the backup has fenced off this owner.
   bool accepted = false;
 
   template <class Archive>
@@ -46,14 +46,14 @@
   }
 };
 
-/// New owner to the previous owner or its backup: stop deciding for the partition under older
-/// revisions and give me its state. Repeated until the last chunk arrived.
+/// New owner to the previous owner or its backup: stop serving the partition under older revisions
+/// and send its state. Repeated until the last chunk arrives.
 struct TakeoverRequest {
   Revision members_revision = 0;
   PartitionId partition = 0;
-  /// Number of the chunk that is wanted next, from 0.
+  /// Index of the requested chunk, from 0.
   std::uint32_t chunk = 0;
-  /// Incarnation of the owner before: a backup's copy of another owner's state is out of date.
+  /// Incarnation of the previous owner. A backup's copy from any other owner is outdated.
   std::uint64_t previous_owner = 0;
 
   template <class Archive>
@@ -62,26 +62,26 @@
   }
 };
 
-/// What the asked process holds of the partition.
+/// Completeness of the state at the source of a takeover.
 enum class SourceState : std::uint8_t {
-  /// Nothing at all.
+  /// No state.
   kNone = 0,
   /// A copy that may lack records.
   kIncomplete = 1,
   /// All records.
   kComplete = 2,
-  /// It is itself still acquiring the partition: ask again.
+  /// The source is still acquiring the partition itself; repeat the request later.
   kBusy = 3,
 };
 
-/// Answer to a TakeoverRequest.
+/// Reply to a TakeoverRequest.
 struct TakeoverChunk {
   Revision members_revision = 0;
   PartitionId partition = 0;
   std::uint32_t chunk = 0;
   bool last = false;
   SourceState source_state = SourceState::kNone;
-  /// How much longer the state may lack records although its holder has all that it ever had.
+  /// Remaining time during which the state may lack records although its source has lost none.
   std::uint32_t incomplete_for_ms = 0;
   StateBatch state;
 
--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -1,5 +1,5 @@
-/// State that a balancer keeps for the flows and requests of the partitions that it owns, and that
-/// it copies to the backup and to the next owner.
+/// State of the flows and requests of the partitions that a balancer owns. It is replicated to the
+/// backup and transferred to the next owner.
 #pragma once
 
 #include <cstdint>
@@ -11,53 +11,54 @@
 
 namespace gorsevalve {
 
-/// Number of an ownership partition, below Settings::partitions.
+/// Index of a partition, below Settings::partitions.
 using PartitionId = std::uint32_t;
 
-/// How a request may be treated when its fate is unknown.
+/// How a request may be handled when its outcome is unknown.
 enum class RequestKind : std::uint8_t {
   /// Idempotent: may be sent again.
   kRepeatable = 0,
-  /// Runs at most once: recorded at the backup first, then sent once to one target.
+  /// Non-idempotent: runs at most once. It is recorded at the backup first, then sent once to one
+  /// target.
   kOnceOnly = 1,
-  /// An Observe registration: stays open and gets many answers.
+  /// Observe registration (RFC 7641): stays open and gets any number of notifications.
   kObserve = 2,
 };
 
 enum class RequestState : std::uint8_t {
-  /// Waits for the backup to confirm the record. Nothing was sent to a target.
+  /// Waits for the backup to acknowledge the record. Not sent to a target yet.
   kRecording = 0,
-  /// Waits for a free place at its target. Nothing was sent to a target.
+  /// Queued until its target has capacity. Not sent to a target yet.
   kQueued = 1,
-  /// Sent to its target; no final answer yet.
+  /// Sent to its target; no final response yet.
   kDispatched = 2,
-  /// Answered by the target. For feeds: open.
+  /// The target has responded. For observations: open.
   kAnswered = 3,
-  /// Answered by this balancer with a verdict.
+  /// This balancer has responded with a verdict.
   kGivenUp = 4,
 };
 
 /// A flow and the target that it is bound to.
 struct FlowRecord {
   Endpoint target;
-  /// Next message id for messages that targets originate (RFC 7252 section 4.4).
+  /// Next message id for messages that the targets initiate (RFC 7252 section 4.4).
   std::uint16_t next_message_id = 0;
-  /// Open feeds of the flow.
+  /// Number of open observations of the flow.
   std::uint16_t observations = 0;
-  /// Last datagram in either direction, in seconds of the owner's monotonic clock.
+  /// Time of the last datagram in either direction, in seconds of the owner's monotonic clock.
   std::uint32_t last_active_s = 0;
 };
 
-/// Sequence state of an open feed (RFC 7641 section 3.4).
+/// Sequence state of an open observation (RFC 7641 section 3.4).
 struct ObserveState {
-  /// Last Observe value taken from the target, and sent to the caller.
+  /// Last Observe values received from the target and sent to the client.
   std::uint32_t last_in = 0;
   std::uint32_t last_out = 0;
-  /// Added to the target's values after the feed moved to another target.
+  /// Added to the target's Observe values after the observation moved to another target.
   std::uint32_t offset = 0;
-  /// The next value of the target starts a new offset.
+  /// The observation has moved: the next Observe value from the target determines a new offset.
   bool moved = false;
-  /// Message ids of the last notification, as sent to the caller and as the target gave it.
+  /// Message ids of the last notification, as sent to the client and as received from the target.
   std::uint16_t message_id_out = 0;
   std::uint16_t message_id_in = 0;
 
@@ -67,7 +68,7 @@
   }
 };
 
-/// One request, from its arrival until it may be forgotten.
+/// One request, from its arrival until its record is deleted.
 struct RequestRecord {
   FlowKey flow;
   RequestId id;
@@ -76,30 +77,30 @@
   CoapType type = CoapType::kConfirmable;
   RequestKind kind = RequestKind::kRepeatable;
   RequestState state = RequestState::kDispatched;
-  /// Why it was given up on, and when to come back; meaningful in state kGivenUp.
+  /// The verdict and its retry time; valid in state kGivenUp.
   Execution execution = Execution::kMayHaveRun;
   std::uint8_t retry_after_s = 0;
-  /// Raised with each change; a copy keeps the highest.
+  /// Incremented by each change; the backup keeps the record with the highest version.
   std::uint32_t version = 0;
-  /// Times it was sent to another target after a refusal.
+  /// Number of times it was sent to another target after a refusal.
   std::uint8_t retries = 0;
-  /// Block-wise continuation: never refused for overload.
+  /// Continuation of a block-wise transfer (RFC 7959): never refused because of overload.
   bool continuation = false;
   Endpoint target;
-  /// Look at the record again at this instant: send again, give up, or forget. Local to the
-  /// process.
+  /// When to process the record again: to resend it, give up, or delete it. Local to the process.
   Instant deadline;
-  /// While dispatched: give up at this instant. Local to the process.
+  /// When to give up on a dispatched request. Local to the process.
   Instant give_up_at;
-  /// Times that it was sent to the same target again.
+  /// Number of times it was resent to the same target.
   std::uint8_t resends = 0;
   ObserveState observe_state;
-  /// The request as the caller sent it: while it waits, and for feeds as long as they are open.
+  /// The request as received from the client. Kept while the request is queued, and for
+  /// observations while they are open.
   Bytes request;
-  /// The final answer of a once-only request.
+  /// Final response to a non-idempotent request.
   Bytes response;
 
-  /// True while the request counts against its target's limit.
+  /// True while the request counts towards its target's limit.
   [[nodiscard]] bool is_outstanding() const { return state == RequestState::kDispatched; }
   [[nodiscard]] bool is_waiting() const {
     return state == RequestState::kRecording || state == RequestState::kQueued;
@@ -112,7 +113,7 @@
   }
 };
 
-/// A flow record with its key, for transfer.
+/// A flow record with its key, as transferred between balancers.
 struct FlowTransferRecord {
   FlowKey flow;
   Endpoint target;
@@ -124,11 +125,11 @@
   }
 };
 
-/// A change of the state of one partition, as it travels to the backup or to the next owner.
+/// Changes to the state of one partition, as sent to the backup or to the next owner.
 struct StateBatch {
   std::vector<FlowTransferRecord> flow_records;
   std::vector<RequestRecord> requests;
-  /// Requests that are no longer needed.
+  /// Requests whose records are deleted.
   std::vector<RequestId> deleted_requests;
 
   [[nodiscard]] bool empty() const {
--- a/src/core/balancer/replica_selector.h
+++ b/src/core/balancer/replica_selector.h
@@ -1,7 +1,7 @@
-/// Which control replica a balancer talks to. It keeps to one replica that is current: its home,
-/// spread by its own address over the replicas of its zone, since bytes between zones are dear.
-/// Without one it searches, that is, asks all of them at once, so that replicas without power or
-/// behind a cut cost no time. A state machine without sockets.
+/// Selects the control replica that a balancer subscribes to. A balancer keeps to one current
+/// replica, by preference one in its own zone, to limit traffic between zones. Without a current
+/// replica it searches: it contacts all candidates at once, so that unreachable replicas cause no
+/// delay. Deterministic; does no I/O and reads no clock.
 #pragma once
 
 #include <map>
@@ -14,29 +14,31 @@
 
 class ReplicaSelector {
  public:
-  /// Begins with a search among the seeds. `zone` may be empty: then all replicas are alike.
+  /// Starts with a search among the seeds. `zone` may be empty: then no replica is preferred for
+  /// its zone.
   ReplicaSelector(const Endpoint& self, std::string zone, std::vector<Endpoint> seeds);
 
   [[nodiscard]] bool is_searching() const { return searching_; }
-  /// The replica that is asked; meaningful while there is no search.
+  /// The selected replica; valid while no search is in progress.
   [[nodiscard]] const Endpoint& chosen() const { return chosen_; }
-  /// Replicas that a search asks: those that replicas have told, and the seeds.
+  /// Replicas that a search contacts: those named by current replicas, and the seeds.
   [[nodiscard]] const std::vector<Endpoint>& candidates() const { return candidates_; }
 
-  /// The chosen replica is silent or not current: all are asked again.
+  /// Starts a search, when the chosen replica does not reply or is not current.
   void begin_search();
-  /// A replica has shown that it is current.
+  /// Selects a replica that has shown that it is current, and ends the search.
   void choose(const Endpoint& replica);
-  /// Takes the replicas that a current one named. Searches when the chosen one is not among them.
+  /// Sets the replicas that a current replica named. Starts a search when the chosen one is not
+  /// among them.
   void set_replicas(const std::vector<Endpoint>& replicas);
   void set_seeds(std::vector<Endpoint> seeds);
-  /// A replica told its zone.
+  /// Sets the zone that a replica reported.
   void set_zone(const Endpoint& replica, const std::string& zone);
-  /// The replica that this balancer should be at, so that balancers spread evenly (rendezvous
-  /// hashing) over the replicas of their zone, or over all where the zone has none; the chosen one
-  /// when none is known.
+  /// The replica that this balancer should use: rendezvous hashing spreads balancers evenly over
+  /// the replicas of their zone, or over all when the zone has none. The chosen replica when none
+  /// is known.
   [[nodiscard]] Endpoint preferred() const;
-  /// Replicas whose zone is not known yet.
+  /// Replicas whose zone is unknown.
   [[nodiscard]] std::vector<Endpoint> with_unknown_zone() const;
 
  private:
--- a/src/core/balancer/replication.h
+++ b/src/core/balancer/replication.h
@@ -1,45 +1,45 @@
-/// Copies of state between an owner and the backup of its partitions, both sides.
+/// Replicates partition state from an owner to its backup; both sides.
 #pragma once
 
 #include "core/balancer/balancer_state.h"
 
 namespace gorsevalve {
 
-/// What replication tells the request path.
+/// Events of the replication, for the request path.
 class ReplicationListener {
  public:
   virtual ~ReplicationListener() = default;
-  /// The backup confirmed the record of a once-only request.
+  /// The backup acknowledged the record of a non-idempotent request.
   virtual void on_recorded(Partition& partition, const RequestId& id, Instant now) = 0;
-  /// A newer owner has taken the partition: this process must stop deciding for it.
+  /// A newer owner has taken over the partition: this process must stop serving it.
   virtual void on_superseded(Partition& partition, Instant now) = 0;
 };
 
-/// Owner side: sends changes and repeats them until they are confirmed.
+/// Owner side: sends changes and retransmits them until they are acknowledged.
 class Replicator {
  public:
   Replicator(BalancerState& state, ReplicationListener& listener)
       : state_(state), listener_(listener) {}
 
-  /// Sends the record of a once-only request at once, in a batch of its own.
+  /// Sends the record of a non-idempotent request at once, in a separate batch.
   void replicate_now(Partition& partition, const RequestRecord& record, Instant now);
 
-  /// The record changed; it travels with the next batch.
+  /// Marks a record as changed; it is sent with the next batch.
   void mark_changed(Partition& partition, const RequestRecord& record);
 
-  /// The record was forgotten; the backup may forget it too.
+  /// Marks a record as deleted; the backup deletes its copy.
   void mark_deleted(Partition& partition, const RequestRecord& record);
 
-  /// Begins a full copy to the partition's backup.
+  /// Starts a full copy to the partition's backup.
   void start_copy(Partition& partition);
-  /// The backup is another one: sends the records that wait for a confirmation to it.
+  /// Sends the unacknowledged records of the partition to its new backup.
   void record_again(Partition& partition, Instant now);
 
   void on_reply(const ReplicateReply& reply, Instant now);
   void on_tick(Instant now);
 
  private:
-  /// A record that was sent in a batch of its own.
+  /// A record that was sent in a separate batch.
   struct PendingRecord {
     ReplicateRequest message;
     Endpoint backup;
@@ -58,14 +58,14 @@
   absl::btree_map<std::uint64_t, PendingRecord> pending_;
 };
 
-/// Backup side: holds the copies.
+/// Backup side: stores the copies.
 class BackupStore {
  public:
   explicit BackupStore(BalancerState& state) : state_(state) {}
 
   void on_request(const Endpoint& from, const ReplicateRequest& request, Instant now);
 
-  /// The copied state, for the next owner.
+  /// The copied state, for transfer to the next owner.
   [[nodiscard]] static StateBatch content(const StateCopy& copy);
 
   void drop_unused(Instant now);
@@ -77,17 +77,18 @@
   BalancerState& state_;
 };
 
-/// The form in which a record is copied to the backup. A record there may lag behind the owner's,
-/// so it never claims that nothing was sent; the request's own bytes go along for feeds only.
+/// Returns a record as it is replicated to the backup. The copy may be older than the owner's
+/// record, so it never states that the request was not sent. It contains the request message for
+/// observations only.
 RequestRecord to_backup_record(const RequestRecord& record);
 
-/// Time left until an instant, in milliseconds; 0 when it has passed.
+/// Time left until `until` in milliseconds; 0 when it has passed.
 std::uint32_t milliseconds_until(Instant until, Instant now);
 
-/// Rough encoded size, in octets, for cutting batches.
+/// Approximate encoded size in bytes, for splitting batches.
 std::size_t estimated_size(const RequestRecord& record);
 constexpr std::size_t kEstimatedFlowSize = 28;
-/// Batches are cut near this size so that they fit one datagram on an Ethernet path.
+/// Approximate size of a batch in bytes; a batch fits into one datagram on an Ethernet path.
 constexpr std::size_t kBatchSize = 1100;
 
 }  // namespace gorsevalve
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -8,8 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// The second choice must be better than the first by this factor, so that most flows stay on the
-/// target that can be derived from their slot.
+/// Factor by which the load of the second choice is multiplied before it is compared with the first
+/// choice. Flows on their first choice need no replication.
 constexpr double kSecondChoiceGain = 1.0;
 
 Duration request_timeout(const ServiceView* service) {
@@ -96,7 +96,7 @@
 void RequestActions::give_up(Partition& partition, RequestRecord& record, Execution execution,
                              FailureReason reason, Instant now) {
   if (record.is_outstanding()) {
-    // Tell the target that nobody waits any more (RFC 7252 section 4.2: Reset).
+    // Tell the target that nobody waits for the response any more (RFC 7252 section 4.2: Reset).
     send_to_target(record, encode_empty_message(CoapType::kReset, record.message_id), now);
     release_outstanding(record);
   }
@@ -136,7 +136,8 @@
   release_outstanding(record);
   partition.store.change_id(&record, state_.next_request_id());
   record.target = target;
-  // The target counts from its own value; the caller's sequence goes on from here.
+  // The new target uses its own Observe values. The first one sets the offset that continues the
+  // client's sequence.
   record.observe_state.offset = 0;
   record.observe_state.last_in = 0;
   record.observe_state.moved = true;
@@ -172,7 +173,8 @@
   if (state == nullptr) {
     return true;
   }
-  // Each owner may use the part of the limit that matches its part of the partitions.
+  // Each owner may use a fraction of the connection limit that matches its fraction of the
+  // partitions.
   const double share = std::max(std::floor(target.max_connections * state_.owned_share()), 1.0);
   return state->healthy && state->flows < share;
 }
--- a/src/core/balancer/request_actions.h
+++ b/src/core/balancer/request_actions.h
@@ -1,5 +1,5 @@
-/// Steps that several filters and the answer path share: making records, sending to targets, giving
-/// up, and going on with requests that wait.
+/// Operations shared by the request filters and the response handler: creating records, sending to
+/// targets, giving up, and resuming queued requests.
 #pragma once
 
 #include "core/balancer/flow_binding.h"
@@ -13,47 +13,51 @@
   RequestActions(BalancerState& state, FlowBinding& binding, Replicator& replicator)
       : state_(state), binding_(binding), replicator_(replicator) {}
 
-  /// Makes the record of a request, unless it has one, and puts it into a state.
+  /// Creates the record of a request unless it exists, and sets its state.
   RequestRecord& make_record(RequestContext& context, RequestState record_state);
 
-  /// Sends a message of a request to its target. The only way to a target: one that the service
-  /// does not have (any more) is never sent to, since its address may serve another one by now.
-  /// Returns whether it was sent. An undecided request carries the time that is left for it.
+  /// Sends a message of a request to its target. All messages to targets go through this function.
+  /// Returns false without sending when the service does not have the target, since another service
+  /// may use the address by now. The header of a request without a response carries the time left
+  /// until its deadline.
   bool send_to_target(const RequestRecord& record, ByteView message, Instant now);
 
-  /// Sends a request to its target for the first time and counts it. The backup need not hear of
-  /// it: it has a once-only request as sent since its record, and a feed matters once it is open.
+  /// Sends a request to its target for the first time and counts it. The backup needs no update: it
+  /// already treats a recorded non-idempotent request as sent, and an observation is replicated
+  /// once it is open.
   void dispatch(RequestRecord& record, ByteView message, Instant now);
 
-  /// Plans the next look at a dispatched request: the next send of a repeatable one, or the moment
-  /// to give up.
+  /// Sets the next deadline of a dispatched request: the next resend of an idempotent request, or
+  /// the time to give up.
   void plan_resend(Partition& partition, RequestRecord& record, Instant now);
-  /// Sends a request that got no answer to its target once more.
+  /// Resends a request that got no response to the same target, if the retry budget allows it.
   void resend(Partition& partition, RequestRecord& record, Instant now);
 
-  /// Gives up on a request that has a record: answers the caller at once and remembers the verdict.
+  /// Gives up on a request that has a record: sends the verdict to the client and stores it in the
+  /// record.
   void give_up(Partition& partition, RequestRecord& record, Execution execution,
                FailureReason reason, Instant now);
 
-  /// Sends the verdict that was given before.
+  /// Sends the stored verdict of a request again.
   void repeat_verdict(const RequestRecord& record);
 
-  /// Moves a feed to another target: registers it there under a new id.
+  /// Moves an observation to another target: registers it there under a new request id.
   void migrate_observation(Partition& partition, RequestRecord& record, const Endpoint& target,
                            Instant now);
 
-  /// The request no longer counts against its target.
+  /// Stops counting the request as outstanding at its target.
   void release_outstanding(const RequestRecord& record);
 
-  /// Erases a record; the backup is told when it has a copy.
+  /// Deletes a record, and its copy at the backup if there is one.
   void delete_record(Partition& partition, RequestRecord& record);
 
-  /// Target for new work of a flow by its two slots and the loads; nothing when none takes work.
-  /// `avoid` is not chosen.
+  /// Selects a target for new work of a flow, from the targets of its two slots and their load.
+  /// Returns nullptr when no target accepts new work. `avoid` is never selected.
   [[nodiscard]] const Target* select_target(const ServiceView& service, const FlowKey& flow,
                                             Instant now, std::optional<Endpoint> avoid);
 
-  /// Time until a verdict's caller should come back, spread over the service's bounds.
+  /// Time after which the client should retry, spread by a hash over the bounds that the service
+  /// sets.
   [[nodiscard]] std::chrono::seconds retry_after(const Service& service,
                                                  const RequestRecord& record) const;
 
--- a/src/core/balancer/request_context.h
+++ b/src/core/balancer/request_context.h
@@ -1,4 +1,4 @@
-/// What the filters of the request chain see of one request.
+/// One request as seen by the filters of the filter chain.
 #pragma once
 
 #include "core/balancer/balancer_state.h"
@@ -17,7 +17,7 @@
   Partition& partition;
   const ServiceView& service;
   FlowKey flow;
-  /// The request as the caller sent it.
+  /// The request as received from the client.
   ByteView message;
   Instant now;
   CoapToken token;
@@ -26,21 +26,21 @@
   RequestKind kind = RequestKind::kRepeatable;
   bool continuation = false;
   std::optional<std::uint32_t> observe;
-  /// Chosen target; nothing when there is none.
+  /// Selected target; empty when there is none.
   std::optional<Endpoint> target;
-  /// The record, once there is one.
+  /// The record of the request; nullptr until it is created.
   RequestRecord* record = nullptr;
 };
 
-/// What a filter decided.
+/// Decision of a filter.
 enum class FilterStatus : std::uint8_t {
   /// Pass the request to the next filter.
   kContinue,
-  /// The request is answered, absorbed, or waits; the chain ends here.
+  /// The request has been responded to, dropped, or queued; the chain ends here.
   kStop,
 };
 
-/// One decision about a request. Filters keep no state of their own between requests.
+/// One step of request processing. Filters keep no state between requests.
 class RequestFilter {
  public:
   virtual ~RequestFilter() = default;
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -69,7 +69,8 @@
       }
       break;
   }
-  // Repeatable, or a registration whose first answer may be lost: the same target gets it again.
+  // An idempotent request, or a registration whose first notification may be lost, is resent to the
+  // same target.
   actions_.send_to_target(record, context.message, context.now);
 }
 
--- a/src/core/balancer/request_filters.h
+++ b/src/core/balancer/request_filters.h
@@ -1,4 +1,4 @@
-/// The filters of the request chain, in their order. Each makes one decision.
+/// The filters of the request filter chain, in processing order. Each filter makes one decision.
 #pragma once
 
 #include <array>
@@ -9,7 +9,7 @@
 
 namespace gorsevalve {
 
-/// Recognises a request that arrived before and answers or absorbs it.
+/// Detects retransmitted requests; resends the response or drops them.
 class DuplicateFilter : public RequestFilter {
  public:
   DuplicateFilter(BalancerState& state, RequestActions& actions)
@@ -22,7 +22,7 @@
   RequestActions& actions_;
 };
 
-/// Passes a renewed or cancelled registration to the target of its open feed.
+/// Forwards a renewed or cancelled registration to the target of its open observation.
 class ObserveFilter : public RequestFilter {
  public:
   ObserveFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
@@ -33,7 +33,7 @@
   RequestActions& actions_;
 };
 
-/// Refuses once-only requests when another owner may exist or records may be missing.
+/// Refuses non-idempotent requests when another owner may exist or records may be missing.
 class LeaseFilter : public RequestFilter {
  public:
   LeaseFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
@@ -44,7 +44,7 @@
   RequestActions& actions_;
 };
 
-/// Finds the target: the one the flow is bound to, or a new one.
+/// Selects the target: the one that the flow is bound to, or a new one.
 class PlacementFilter : public RequestFilter {
  public:
   PlacementFilter(BalancerState& state, RequestActions& actions)
@@ -57,8 +57,8 @@
   RequestActions& actions_;
 };
 
-/// Has once-only requests recorded at the backup before anything else happens to them. Whatever is
-/// decided later, also "not run", is then known to the next owner.
+/// Records non-idempotent requests at the backup before any other action, so that the next owner
+/// knows of them whatever their outcome is.
 class RecordFilter : public RequestFilter {
  public:
   RecordFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
@@ -69,7 +69,7 @@
   RequestActions& actions_;
 };
 
-/// Lets a request go to its target, queues it, or refuses it when the queue is full.
+/// Admits a request to its target, queues it, or refuses it when the queue is full.
 class AdmissionFilter : public RequestFilter {
  public:
   AdmissionFilter(BalancerState& state, RequestActions& actions)
@@ -77,8 +77,8 @@
   FilterStatus on_request(RequestContext& context) override;
 
  private:
-  /// Frees a place in a full queue by refusing a request of a lower class; false when there is
-  /// none.
+  /// Frees a place in a full queue by refusing a request of a lower priority. Returns false when
+  /// there is none.
   bool evict_lower_priority(TargetState& target, QueuePriority wait_class, Instant now);
   BalancerState& state_;
   RequestActions& actions_;
@@ -96,14 +96,14 @@
   RequestActions& actions_;
 };
 
-/// Where a request enters the chain.
+/// Filter at which a request enters the chain. Values are indexes into the chain.
 enum class ChainEntry : std::uint8_t {
   kArrival = 0,
-  /// Again, after the state of its partition moved here.
+  /// Resumed after the state of its partition was taken over.
   kRecord = 4,
-  /// After the backup confirmed its record.
+  /// Resumed after the backup acknowledged its record.
   kAdmission = 5,
-  /// After a place at its target became free.
+  /// Resumed after its target got free capacity.
   kDispatch = 6,
 };
 
@@ -113,10 +113,10 @@
 
   void run(RequestContext& context, ChainEntry entry);
 
-  /// Runs a request that has a record and waits.
+  /// Resumes a queued request that has a record.
   void resume(Partition& partition, RequestRecord& record, ChainEntry entry, Instant now);
 
-  /// Sends as many waiting requests of a target as it has room for.
+  /// Dispatches queued requests of a target until its capacity is used up.
   void drain_queue(const Endpoint& target, Instant now);
 
  private:
@@ -124,11 +124,11 @@
   std::array<std::unique_ptr<RequestFilter>, 7> filters_;
 };
 
-/// Class of a request in its target's queue.
+/// Priority of a request in its target's queue.
 QueuePriority queue_priority(RequestKind kind);
 
-/// How a request may be treated, from its method, its options and the service's path rules.
-/// Methods: RFC 7252 section 5.1 and RFC 8132 section 1.1.
+/// Classifies a request by its method, its options and the path rules of the service. Methods: RFC
+/// 7252 section 5.1 and RFC 8132 section 1.1.
 RequestKind classify(const CoapSummary& summary, const ServiceView& service);
 
 }  // namespace gorsevalve
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -27,7 +27,8 @@
   ++state_.counters().answers;
   actions_.binding().touch(partition, record->flow, now);
   if (empty) {
-    // The target's acknowledgement before a separate response (RFC 7252 section 5.2.2).
+    // The target acknowledges the request before it sends a separate response (RFC 7252 section
+    // 5.2.2).
     state_.output().send_to_client(record->flow, answer.message);
     return;
   }
@@ -48,8 +49,8 @@
     ++state_.counters().answers_unmatched;
     return;
   }
-  // An answer to a request of a lost owner. Its target names the flow, so the binding is learned
-  // from it; a notification reopens the feed.
+  // The response belongs to a request of a failed owner. It names the flow and the target, so it
+  // restores the binding; a notification also reopens the observation.
   FlowRecord* flow = actions_.binding().touch(partition, answer.header.flow, now);
   if (flow == nullptr) {
     actions_.binding().bind(partition, answer.header.flow, answer.target, now);
@@ -158,7 +159,7 @@
     return;
   }
   if (record.kind == RequestKind::kOnceOnly && record.state == RequestState::kAnswered) {
-    // A copy of the answer that the caller already has.
+    // A duplicate of the response that the client already has.
     forward(partition, record, answer, std::nullopt);
     return;
   }
@@ -187,7 +188,8 @@
   const std::span<std::uint8_t> message(buffer_);
   std::uint16_t message_id = answer.summary.message_id;
   const bool piggybacked = answer.summary.type == CoapType::kAcknowledgement;
-  // A reply to a registration that this balancer made itself answers no message of the caller.
+  // A piggybacked response to a registration that this balancer initiated acknowledges no message
+  // of the client.
   const bool foreign_reply = piggybacked && message_id != record.message_id;
   FlowRecord* flow = partition.store.find_flow(record.flow);
   if ((!piggybacked || foreign_reply) && flow != nullptr) {
--- a/src/core/balancer/response_handler.h
+++ b/src/core/balancer/response_handler.h
@@ -1,5 +1,5 @@
-/// What happens to messages from targets: matching to the request, feed order, retries, and what
-/// the caller gets.
+/// Handles messages from targets: matches them to requests, keeps notifications in order, retries
+/// refused requests, and forwards responses to clients.
 #pragma once
 
 #include "core/balancer/request_actions.h"
@@ -7,7 +7,7 @@
 
 namespace gorsevalve {
 
-/// A message from a target, parsed.
+/// A parsed message from a target.
 struct TargetMessage {
   const ProxyHeader& header;
   Endpoint target;
@@ -22,7 +22,8 @@
 
   void on_response(Partition& partition, const TargetMessage& answer, Instant now);
 
-  /// An empty message (acknowledgement or reset) from a caller, for a notification it got.
+  /// Handles an empty message (acknowledgement or reset) from a client, sent in reply to a
+  /// notification.
   void on_client_empty(Partition& partition, const FlowKey& flow, const CoapSummary& summary,
                        Instant now);
 
@@ -35,7 +36,8 @@
   void close_observation(Partition& partition, RequestRecord& record);
   void open_observation(Partition& partition, RequestRecord& record, Instant now);
   bool retry_on_other_target(Partition& partition, RequestRecord& record, Instant now);
-  /// Forwards a message; one that the target originated gets a message id of the owner's.
+  /// Forwards a message to the client. A message that the target initiated gets a message id from
+  /// this owner. Returns the message id that was sent.
   std::uint16_t forward(Partition& partition, const RequestRecord& record,
                         const TargetMessage& answer, std::optional<std::uint32_t> observe);
 
--- a/src/core/balancer/state_freshness.h
+++ b/src/core/balancer/state_freshness.h
@@ -1,6 +1,6 @@
-/// As of which moment a balancer knows its state to be the newest. Only the answer of a current
-/// replica to the balancer's own question proves that, and only for the moment at which the
-/// question was sent: what else a replica sends, and when it arrives, proves nothing.
+/// Tracks the latest time at which the applied state was known to be the newest. Only a current
+/// replica's reply to a heartbeat of this balancer proves that, and only for the time at which the
+/// heartbeat was sent. Other messages and arrival times prove nothing.
 #pragma once
 
 #include <optional>
@@ -12,14 +12,15 @@
 
 class StateFreshness {
  public:
-  /// A current replica answered a question that was sent at `sent_at`, and held this revision.
+  /// A current replica that holds this revision replied to a heartbeat that was sent at `sent_at`.
   void on_current_reply(Instant sent_at, Revision held);
-  /// This revision is in force from now on.
+  /// This revision is applied.
   void on_applied(Revision revision);
 
-  /// Latest moment as of which the state in force was the newest; nothing before the first one.
+  /// Latest time at which the applied state was known to be the newest; empty before the first
+  /// confirmation.
   [[nodiscard]] std::optional<Instant> confirmed_at() const { return confirmed_at_; }
-  /// The revision that a current replica held and that is not in force here; 0 for none.
+  /// Revision that a current replica reported and that is not applied here yet; 0 for none.
   [[nodiscard]] Revision pending() const { return pending_ ? pending_->revision : 0; }
 
  private:
@@ -30,7 +31,7 @@
 
   Revision applied_ = 0;
   std::optional<Instant> confirmed_at_;
-  /// The earliest answer whose revision is not in force yet.
+  /// The earliest reply whose revision is not applied yet.
   std::optional<PendingReply> pending_;
 };
 
--- a/src/core/balancer/target_table.cc
+++ b/src/core/balancer/target_table.cc
@@ -11,14 +11,14 @@
 constexpr double kMinWindow = 1;
 constexpr double kMaxWindow = 256;
 constexpr double kWindowDecrease = 0.5;
-/// At most one decrease in this time, so that one burst of refusals counts once.
+/// Minimum time between two decreases of the window, so that a burst of refusals counts once.
 constexpr Duration kDecreaseInterval = milliseconds(100);
-/// A cold target gets its full share after this time, starting from kWarmUpMinFactor.
+/// A new target gets its full share after this time, starting from kWarmUpMinFactor.
 constexpr Duration kWarmUpPeriod = seconds(20);
 constexpr double kWarmUpMinFactor = 0.1;
-/// A report is ignored after this age.
+/// Maximum age of a report that is used.
 constexpr Duration kReportLifetime = seconds(10);
-/// How much of the difference between report and own view is believed.
+/// Weight of a report against the balancer's own count.
 constexpr double kReportWeight = 0.5;
 
 double warm_up_factor(const TargetState& state, Instant now) {
@@ -101,7 +101,7 @@
   }
   double load = state->flows + state->outstanding + static_cast<double>(state->queued_count());
   if (state->has_report && now - state->reported_at < kReportLifetime) {
-    // The share of the reported total that this balancer would expect to have caused itself.
+    // The part of the reported total that corresponds to this balancer's share of the partitions.
     const double expected = state->report.connections * owned_share;
     load += kReportWeight * (expected - load);
   }
--- a/src/core/routing/bounded_rendezvous.cc
+++ b/src/core/routing/bounded_rendezvous.cc
@@ -18,7 +18,7 @@
   return value ^ (value >> 31U);
 }
 
-/// Number of slots that each candidate may hold: its share by largest remainder.
+/// Number of slots per candidate: its share, rounded by the largest remainder method.
 std::vector<std::uint32_t> quotas(const std::vector<RendezvousCandidate>& candidates,
                                   std::uint32_t slot_count, std::uint64_t total_weight) {
   struct Remainder {
@@ -77,7 +77,7 @@
   }
 
  private:
-  /// Places a slot, and then each slot that was displaced by it in turn.
+  /// Places a slot, and then each slot that is displaced in turn.
   void place(std::uint32_t slot) {
     std::optional<Claim> unplaced = Claim{kNoBound, slot};
     while (unplaced) {
--- a/src/core/routing/bounded_rendezvous.h
+++ b/src/core/routing/bounded_rendezvous.h
@@ -1,9 +1,9 @@
 /// Rendezvous hashing with bounded loads: assigns numbered slots to weighted candidates so that
-/// each candidate gets its exact share (within one slot), from the candidates alone. The result
-/// does not depend on earlier assignments, so every process that knows the same candidates derives
-/// the same table, and nothing of the table needs to be sent or stored. Sources: Thaler and
-/// Ravishankar, "Using name-based mappings to increase hit rates" (1998); Mirrokni, Thorup and
-/// Zadimoghaddam, "Consistent hashing with bounded loads" (2018).
+/// each candidate gets its exact share, within one slot. The result depends on the candidates only,
+/// not on earlier assignments, so every process that knows the same candidates computes the same
+/// table, and the table is neither sent nor stored. Sources: Thaler and Ravishankar, "Using
+/// name-based mappings to increase hit rates" (1998); Mirrokni, Thorup and Zadimoghaddam,
+/// "Consistent hashing with bounded loads" (2018).
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 
 namespace gorsevalve {
 
-/// One candidate of an assignment.
+/// A candidate for slots.
 struct RendezvousCandidate {
-  /// Identity that the scores are derived from.
+  /// Identity from which the scores are derived.
   std::uint64_t key = 0;
   /// Relative share; 0 means that the candidate gets no slot.
   std::uint32_t weight = 0;
 };
 
-/// Index of a candidate that does not exist: the slot is unassigned.
+/// Index that marks a slot as unassigned.
 constexpr std::uint32_t kUnassigned = 0xFFFFFFFF;
 
-/// Gives, for each of `slot_count` slots, the index of its candidate, or kUnassigned for all slots
-/// when no candidate has a weight. `salt` separates independent tables.
+/// Returns the index of the candidate for each of `slot_count` slots, or kUnassigned for all slots
+/// when every weight is 0. `salt` separates independent tables.
 std::vector<std::uint32_t> assign_slots(const std::vector<RendezvousCandidate>& candidates,
                                         std::uint32_t slot_count, std::uint64_t salt);
 
