--- a/tests/unit/balancer_fixture.h
+++ b/tests/unit/balancer_fixture.h
@@ -1,4 +1,4 @@
-/// A single balancer core with everything that it sends recorded, for unit tests.
+/// A single balancer core that records everything it sends, for unit tests.
 #pragma once
 
 #include <vector>
@@ -82,13 +82,13 @@
     balancer.on_lease(now + std::chrono::hours(1));
   }
 
-  /// A request from a caller, as the fabric brings it.
+  /// Delivers a request from a client, as received from the fabric.
   void request(const Endpoint& service, const CoapMessage& message,
                const Endpoint& caller = kClient) {
     datagram({{caller, service}, {}, {}, {}}, encode_coap(message));
   }
 
-  /// A target's answer to something that it was sent.
+  /// Delivers a target's response to a message that was sent to it.
   void respond(const SentToTarget& sent, const CoapMessage& message) {
     ProxyHeader header;
     header.flow = sent.header.flow;
@@ -107,7 +107,7 @@
     balancer.on_fleet(fleet, now);
   }
 
-  /// Lets time pass with a tick at each interval.
+  /// Advances the time, with a tick at each interval.
   void advance_time(Duration time) {
     const Instant end = now + time;
     while (now < end) {
--- a/tests/unit/test_balancer.cc
+++ b/tests/unit/test_balancer.cc
@@ -38,7 +38,7 @@
     CHECK(test.output.to_client.size() == 400);
   }
 
-  TEST_CASE("a datagram for a service that does not exist goes nowhere") {
+  TEST_CASE("a datagram for an unknown service is dropped") {
     BalancerFixture test;
     test.request({0x0A0001FF, 5683}, make_request(coap_code::kGet, 1, 1));
     CHECK(test.output.to_target.empty());
@@ -46,7 +46,7 @@
     CHECK(test.balancer.counters().datagrams_unknown_service == 1);
   }
 
-  TEST_CASE("a target that left the settings gets nothing more") {
+  TEST_CASE("a target that was removed from the settings receives nothing") {
     BalancerFixture test;
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
     FleetState next = test.fleet;
@@ -61,7 +61,7 @@
     }
   }
 
-  TEST_CASE("crossed answers reach the request that they belong to") {
+  TEST_CASE("responses that arrive out of order reach their own requests") {
     BalancerFixture test;
     const auto one = make_request(coap_code::kGet, 1, 0x11);
     const auto two = make_request(coap_code::kGet, 2, 0x22);
@@ -78,7 +78,7 @@
     CHECK(payload_of(test.output.to_client[1].message) == "one");
   }
 
-  TEST_CASE("an answer with another request's token or id is not passed on") {
+  TEST_CASE("a response with the token or id of another request is dropped") {
     BalancerFixture test;
     const auto one = make_request(coap_code::kGet, 1, 0x11);
     test.request(kFirstService, one);
@@ -91,7 +91,7 @@
     CHECK(test.balancer.counters().answers_unmatched == 2);
   }
 
-  TEST_CASE("a late answer after the verdict is not passed on") {
+  TEST_CASE("a late response after the verdict is dropped") {
     BalancerFixture test;
     const auto request = make_request(coap_code::kPost, 1, 1);
     test.request(kFirstService, request);
@@ -104,7 +104,7 @@
     CHECK(test.output.to_client.size() == 1);
   }
 
-  TEST_CASE("a once-only request is sent once, whatever the caller repeats") {
+  TEST_CASE("a non-idempotent request is sent once, however often the client retransmits it") {
     BalancerFixture test;
     const auto request = make_request(coap_code::kPost, 1, 1);
     for (int i = 0; i < 5; ++i) {
@@ -118,7 +118,7 @@
     CHECK(test.output.to_client[0].message == test.output.to_client[1].message);
   }
 
-  TEST_CASE("a repeatable request without an answer is sent again to the same target") {
+  TEST_CASE("an idempotent request without a response is resent to the same target") {
     BalancerFixture test;
     test.request(kFirstService, make_request(coap_code::kGet, 1, 1));
     test.advance_time(std::chrono::seconds(2));
@@ -129,7 +129,7 @@
     }
   }
 
-  TEST_CASE("the target learns how much time is left, and of the end") {
+  TEST_CASE("the target receives the remaining time, and a reset when it is over") {
     BalancerFixture test;
     test.request(kFirstService, make_request(coap_code::kPost, 1, 1));
     REQUIRE(test.output.to_target.size() == 1);
@@ -139,7 +139,7 @@
     CHECK(parse(test.output.to_target[1].message)->type == CoapType::kReset);
   }
 
-  TEST_CASE("a once-only request without a lease is never sent") {
+  TEST_CASE("a non-idempotent request is never sent without a lease") {
     BalancerFixture test;
     test.balancer.on_lease(test.now);
     test.request(kFirstService, make_request(coap_code::kPost, 1, 1));
@@ -148,7 +148,7 @@
     CHECK(parse(test.output.to_client[0].message)->code == coap_code::kGatewayTimeout);
   }
 
-  TEST_CASE("over the limit a request is refused at once, with a time to come back") {
+  TEST_CASE("a request over the limit is refused at once, with a time to retry") {
     BalancerFixture test;
     FleetState next = test.fleet;
     next.settings.services[0].queue_limit = 3;
@@ -171,7 +171,8 @@
     CHECK(test.output.to_target.size() + test.output.to_client.size() + 3 == 40);
   }
 
-  TEST_CASE("a feed takes the queue's place of an ordinary request, a continuation is kept") {
+  TEST_CASE(
+      "an observation displaces an ordinary request from a full queue, a continuation is kept") {
     BalancerFixture test;
     FleetState next = test.fleet;
     next.settings.services[0].queue_limit = 1;
@@ -193,7 +194,7 @@
     CHECK(test.output.to_client.size() == 1);
   }
 
-  TEST_CASE("a draining target keeps its feeds and downloads and gets no new work") {
+  TEST_CASE("a draining target keeps its observations and gets no new work") {
     BalancerFixture test;
     FleetState next = test.fleet;
     Target second = next.settings.services[0].targets[0];
@@ -216,7 +217,7 @@
     CHECK(test.output.to_target.back().target == kFirstTarget);
   }
 
-  TEST_CASE("after a pause of the process datagrams are dropped until control can be heard") {
+  TEST_CASE("after a pause of the process datagrams are dropped until updates can arrive") {
     BalancerFixture test;
     test.advance_time(std::chrono::milliseconds(100));
     test.now += std::chrono::seconds(10);
@@ -227,15 +228,15 @@
     CHECK(test.output.to_target.size() == 1);
   }
 
-  TEST_CASE("partition numbers from peers are bounded") {
+  TEST_CASE("a partition number out of range from a peer is ignored") {
     BalancerFixture test;
     const TakeoverRequest request{99, 4000000000U, 0, 0};
     test.balancer.on_peer_message({1, 1}, request, test.now);
     CHECK(test.output.to_peer.empty());
   }
 
-  TEST_CASE("a backup's copy of an earlier owner's state is not complete") {
-    // Found by simulation (failures_in_changes seed 83, balancers_killed_often seed 71).
+  TEST_CASE("a backup's copy of an earlier owner's state is reported as incomplete") {
+    // Guards against a takeover from a stale copy that is reported as complete.
     constexpr std::uint64_t kOwner = 1;
     constexpr std::uint64_t kLaterOwner = 2;
     for (const std::uint64_t last_owner : {kOwner, kLaterOwner}) {
@@ -259,7 +260,7 @@
     }
   }
 
-  TEST_CASE("an older revision changes nothing") {
+  TEST_CASE("an older fleet revision is ignored") {
     BalancerFixture test;
     FleetState older = test.fleet;
     --older.revision;
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -39,7 +39,7 @@
   }
 
   std::vector<NodeHeartbeat> heartbeats;
-  /// Where each heartbeat went.
+  /// Destination of each heartbeat.
   std::vector<Endpoint> recipients;
   std::vector<Revision> revisions;
   std::vector<TargetObservation> seen;
@@ -54,7 +54,7 @@
 
 Member make_self() { return {"b", "z", {0x0A00C901, 6000}, 42, MemberState::kActive}; }
 
-/// The state that follows `before` by a change of the members.
+/// Returns the state that follows `before` with other members.
 FleetState next_members(FleetState before, const std::vector<Member>& members) {
   before.previous_members = before.members;
   before.members = members;
@@ -84,7 +84,7 @@
   ControlClient client{make_self(), {kReplica}, {}, output};
 };
 
-/// A client that is no member, with short pauses.
+/// A client that is not a member, with short intervals.
 struct Observer {
   explicit Observer(std::vector<Endpoint> replicas, std::uint16_t port = 6000)
       : client({"b", "z", {0x0A00C901, port}, 42, MemberState::kObserver}, std::move(replicas), {},
@@ -110,8 +110,8 @@
   return reply;
 }
 
-/// Lets an observer run for three seconds among replicas that are all current and tell their zones;
-/// the first one answers first. Gives the one that it asks at the end.
+/// Runs an observer for about three seconds among replicas that are all current and report their
+/// zones; the first one replies first. Returns the replica of its last heartbeat.
 Endpoint run_until_settled(Observer& test, const std::map<Endpoint, std::string>& zones) {
   std::size_t answered = 0;
   Instant now = kStart;
@@ -145,7 +145,7 @@
     CHECK(test.client.fleet().revision == 2);
   }
 
-  TEST_CASE("a state whose digest does not match is refused") {
+  TEST_CASE("a snapshot whose digest does not match is refused") {
     Client test;
     FleetUpdate update = make_snapshot(next_members({}, {make_self()}));
     ++update.digest;
@@ -153,7 +153,7 @@
     CHECK(test.output.revisions.empty());
   }
 
-  TEST_CASE("after changes that lead to another digest the whole state is asked for") {
+  TEST_CASE("deltas that lead to another digest cause a request for a snapshot") {
     Observer test{{kReplica}};
     FleetState fleet;
     fleet.revision = 4;
@@ -170,7 +170,7 @@
     CHECK(test.output.revisions == std::vector<Revision>{4});
     test.client.on_tick(0, kStart + milliseconds(10));
     CHECK(test.output.heartbeats.back().revision == 0);
-    // What was in force is not taken back meanwhile.
+    // An older snapshot does not replace the applied state meanwhile.
     FleetState older;
     older.revision = 3;
     test.client.on_message(kReplica, make_snapshot(older), kStart);
@@ -180,7 +180,7 @@
     CHECK(test.output.revisions == std::vector<Revision>{4, 5});
   }
 
-  TEST_CASE("memberships that come together are put in force one by one") {
+  TEST_CASE("membership changes that arrive together are applied one by one") {
     Client test;
     FleetState fleet = next_members({}, {make_self()});
     test.client.on_message(kReplica, make_snapshot(fleet), kStart);
@@ -196,7 +196,7 @@
     CHECK(test.output.removed == 0);
   }
 
-  TEST_CASE("a process that was removed while it runs rejoins as another member") {
+  TEST_CASE("a running process that was removed from the members rejoins as another member") {
     Client test;
     FleetState fleet = next_members({}, {make_self()});
     test.client.on_message(kReplica, make_snapshot(fleet), kStart);
@@ -211,7 +211,7 @@
     CHECK(test.output.heartbeats.back().member.incarnation == 99);
   }
 
-  TEST_CASE("a whole state that skips memberships expels, too") {
+  TEST_CASE("a snapshot that skips memberships removes the member, too") {
     Client test;
     const FleetState first = next_members({}, {make_self()});
     test.client.on_message(kReplica, make_snapshot(first), kStart);
@@ -220,7 +220,7 @@
     CHECK(test.output.removed == 1);
   }
 
-  TEST_CASE("a new member asks for a lease at once, and counts it from its question") {
+  TEST_CASE("a new member requests a lease at once; the lease starts when the request is sent") {
     Client test;
     test.client.on_message(kReplica, make_snapshot(next_members({}, {make_self()})), kStart);
     REQUIRE(test.output.heartbeats.size() == 1);
@@ -229,9 +229,10 @@
     CHECK(test.output.lease == kStart + std::chrono::seconds(10));
   }
 
-  TEST_CASE("a process that was admitted and removed before it heard of it rejoins as another") {
-    // Found by simulation (everything, seed 34): its incarnation was remembered as removed, and it
-    // never learned of that, because it had never been a member in its own view.
+  TEST_CASE(
+      "a process that was admitted and removed before it got an update rejoins as another member") {
+    // Guards against a process that waits forever because its incarnation was removed before it
+    // received a state in which it was a member.
     Client test;
     const FleetState without = next_members({}, {});
     test.client.on_message(kReplica, make_snapshot(without), kStart);
@@ -245,34 +246,33 @@
     CHECK(test.output.removed == 1);
   }
 
-  TEST_CASE("a starting observer asks all replicas at once, and often, until one is current") {
-    // On days when all machines lost power, the replica that a balancer asked first was still dark,
-    // and the others were asked 0.8 s later only.
+  TEST_CASE("a starting observer sends frequent heartbeats to all replicas until one is current") {
+    // Guards against a slow start when the first of the replicas is unreachable.
     Observer test{{kReplica, kOther, kThird}};
     test.client.on_tick(0, kStart);
     CHECK(test.output.recipients == std::vector<Endpoint>{kReplica, kOther, kThird});
-    // Which of them holds anything is not known yet: the first to answer is asked for its state.
+    // No replica is known to have a state yet, so none is asked for updates.
     const auto wanted = std::count_if(test.output.heartbeats.begin(), test.output.heartbeats.end(),
                                       [](const auto& sent) { return sent.wants_update; });
     CHECK(wanted == 0);
     test.client.on_tick(0, kStart + milliseconds(110));
     CHECK(test.output.recipients.size() == 6);
-    // The one that is current gets the next heartbeats, and sends its state.
+    // The current replica gets the next heartbeat, and is asked for its state.
     test.client.on_message(kOther, current_reply(test.output.heartbeats[4], 3),
                            kStart + milliseconds(115));
     REQUIRE(test.output.recipients.size() == 7);
     CHECK(test.output.recipients.back() == kOther);
     CHECK(test.output.heartbeats.back().wants_update);
-    // It holds more than this node has: not confirmed yet.
+    // Its revision is newer than the applied one: not confirmed yet.
     CHECK_FALSE(test.client.has_been_current());
     FleetState state;
     state.revision = 3;
     test.client.on_message(kOther, make_snapshot(state), kStart + milliseconds(116));
-    // What it held when it was current is in force: that confirms it, once.
+    // The revision that the current replica reported is applied, which confirms it once.
     CHECK(test.client.has_been_current());
     CHECK(test.output.confirmed == 1);
     CHECK(test.output.heartbeats.size() == 7);
-    // From now on the usual pause holds, and the chosen replica alone is asked.
+    // From here on the usual interval applies, and only the chosen replica gets heartbeats.
     test.client.on_tick(0, kStart + milliseconds(250));
     test.client.on_tick(0, kStart + milliseconds(400));
     CHECK(std::count(test.output.recipients.begin() + 7, test.output.recipients.end(), kOther) ==
@@ -284,7 +284,7 @@
     CHECK(test.output.confirmed == 1);
   }
 
-  TEST_CASE("an observer takes what a replica without a leader holds, and goes on searching") {
+  TEST_CASE("an observer applies the state of a replica without a leader and continues to search") {
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     HeartbeatReply stale = stale_reply(test.output.heartbeats[0], 2);
@@ -300,9 +300,8 @@
     CHECK(test.output.recipients.back() == kOther);
   }
 
-  TEST_CASE("a starting observer asks one replica at a time for its state") {
-    // After a loss of all, 295 balancers asked three replicas each for whole states of 13 KB, which
-    // kept these busy for 0.3 s in which they should have elected a leader.
+  TEST_CASE("a starting observer requests the state of one replica at a time") {
+    // Guards against snapshot requests to all replicas at once, which delay their election.
     Observer test{{kReplica, kOther, kThird}};
     test.client.on_tick(0, kStart);
     const std::vector<NodeHeartbeat> first = test.output.heartbeats;
@@ -315,7 +314,7 @@
       test.client.on_message(test.output.recipients[i], reply, kStart + milliseconds(5));
     }
     CHECK(states_wanted() == 1);
-    // It does not come: after a while another one is asked.
+    // The update does not arrive: after a while another replica is asked.
     test.client.on_tick(0, kStart + milliseconds(480));
     REQUIRE(test.output.heartbeats.size() == 7);
     HeartbeatReply later = stale_reply(test.output.heartbeats[5], 2);
@@ -323,7 +322,7 @@
     CHECK(states_wanted() == 2);
   }
 
-  TEST_CASE("a replica that is not current is not asked again soon, since it will tell") {
+  TEST_CASE("a replica that is not current gets no further heartbeats for a while") {
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     HeartbeatReply reply = stale_reply(test.output.heartbeats[0], 0);
@@ -332,21 +331,21 @@
       test.client.on_tick(0, kStart + milliseconds(101) * turn);
     }
     CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kReplica) == 1);
-    // The other one may be dark: it is asked often.
+    // The other replica may be unreachable: it gets a heartbeat at each interval.
     CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kOther) == 5);
-    // It tells by the number of the same heartbeat, and counts.
+    // The later reply with the sequence number of the same heartbeat counts.
     reply.is_current = true;
     test.client.on_message(kReplica, reply, kStart + milliseconds(430));
     CHECK(test.client.has_been_current());
     CHECK(test.output.recipients.back() == kReplica);
   }
 
-  TEST_CASE("an observer searches again when its replica is silent or not current") {
+  TEST_CASE("an observer searches again when its replica does not reply or is not current") {
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
     REQUIRE(test.client.has_been_current());
-    SUBCASE("silent") {
+    SUBCASE("does not reply") {
       test.client.on_tick(0, kStart + milliseconds(900));
       CHECK(test.output.silent == 1);
     }
@@ -361,8 +360,8 @@
     CHECK(last == std::vector<Endpoint>{kReplica, kOther});
   }
 
-  TEST_CASE("answers to old questions confirm nothing: the replica is left") {
-    // A queue of seconds on the way back: something is heard all the time, and all of it is old.
+  TEST_CASE("late replies confirm nothing: the observer searches for another replica") {
+    // A long queue on the return path: replies arrive all the time, but all of them are old.
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
@@ -374,7 +373,7 @@
       for (; answered < sent_at.size() && sent_at[answered] + kQueue <= now; ++answered) {
         test.client.on_message(kReplica, current_reply(test.output.heartbeats[answered], 0), now);
       }
-      // What is answered late looks like an answer in time to whoever only listens.
+      // Late replies look like timely ones when only their arrival is considered.
       test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), now);
       test.client.on_tick(0, now);
       sent_at.resize(test.output.heartbeats.size(), now);
@@ -384,7 +383,7 @@
     CHECK_FALSE(test.client.replica());
   }
 
-  TEST_CASE("updates and figures are no sign that the replica hears this balancer") {
+  TEST_CASE("updates and target health do not show that the replica receives heartbeats") {
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
@@ -400,7 +399,7 @@
     CHECK_FALSE(test.client.replica());
   }
 
-  TEST_CASE("an answer to an earlier process at the same address is none to this one") {
+  TEST_CASE("a reply to an earlier process at the same address is ignored") {
     Observer before{{kReplica}};
     before.client.on_tick(0, kStart);
     RecordingOutput output;
@@ -413,7 +412,7 @@
     CHECK(after.has_been_current());
   }
 
-  TEST_CASE("observers spread over the replicas, whichever answered them first") {
+  TEST_CASE("observers spread over the replicas, whichever replied first") {
     std::map<Endpoint, int> chosen;
     for (std::uint16_t port = 1; port <= 90; ++port) {
       Observer test{{kReplica, kOther, kThird}, port};
@@ -435,12 +434,13 @@
     CHECK(chosen[kThird] >= 30);
   }
 
-  TEST_CASE("what was seen of targets goes with heartbeats, troubles at once; figures come back") {
+  TEST_CASE(
+      "heartbeats report target observations, urgent ones at once; replies carry target health") {
     Observer test{{kReplica}};
     test.client.on_tick(0, kStart);
     test.output.seen = {{7, 3}};
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
-    // While it looked for a replica nothing was reported.
+    // Nothing is reported during a search.
     CHECK(test.output.heartbeats[0].observations.empty());
     REQUIRE(test.output.heartbeats.size() == 2);
     CHECK(test.output.heartbeats[1].observations == test.output.seen);
@@ -455,19 +455,19 @@
     reply.health = TargetHealthUpdate{9, {{7, 130, true}}};
     test.client.on_message(kReplica, reply, kStart + milliseconds(705));
     CHECK(test.output.figures == reply.health->targets);
-    // Pushed ones count, too; the edition that is held is told.
+    // Pushed updates count too, and heartbeats carry the version of the last one.
     test.client.on_message(kReplica, TargetHealthUpdate{10, {}}, kStart + milliseconds(710));
     CHECK(test.output.figures.empty());
     test.client.on_tick(0, kStart + milliseconds(1300));
     CHECK(test.output.heartbeats.back().health_version == 10);
   }
 
-  TEST_CASE("a silent replica keeps nobody from the one where it should be") {
+  TEST_CASE("a replica that does not reply does not keep an observer from its preferred one") {
     Observer test{{kReplica, kOther, kThird}};
     CHECK(run_until_settled(test, {{kReplica, "y"}, {kOther, "z"}}) == kOther);
   }
 
-  TEST_CASE("an observer follows the replicas that a current replica names, and new seeds") {
+  TEST_CASE("an observer uses the replicas that a current replica names, and new seeds") {
     constexpr Endpoint kNew{0x0A00C805, 7000};
     constexpr Endpoint kSeed{0x0A00C804, 7000};
     Observer test{{kReplica}};
--- a/tests/unit/test_state_freshness.cc
+++ b/tests/unit/test_state_freshness.cc
@@ -12,24 +12,24 @@
 }  // namespace
 
 TEST_SUITE("state_freshness") {
-  TEST_CASE("nothing is confirmed before the first answer") {
+  TEST_CASE("nothing is confirmed before the first reply") {
     StateFreshness freshness;
     freshness.on_applied(7);
     CHECK_FALSE(freshness.confirmed_at());
     CHECK(freshness.pending() == 0);
   }
 
-  TEST_CASE("an answer confirms the state as of the question, not as of its arrival") {
+  TEST_CASE("a reply confirms the state as of the heartbeat, not as of its arrival") {
     StateFreshness freshness;
     freshness.on_applied(7);
     freshness.on_current_reply(kStart, 7);
     CHECK(freshness.confirmed_at() == kStart);
-    // An answer to an earlier question that comes late takes nothing back.
+    // A late reply to an earlier heartbeat does not move the time back.
     freshness.on_current_reply(kStart - milliseconds(500), 7);
     CHECK(freshness.confirmed_at() == kStart);
   }
 
-  TEST_CASE("an answer about a newer revision confirms once that is in force") {
+  TEST_CASE("a reply with a newer revision confirms the state once that revision is applied") {
     StateFreshness freshness;
     freshness.on_applied(7);
     freshness.on_current_reply(kStart, 7);
@@ -44,7 +44,7 @@
     CHECK(freshness.pending() == 0);
   }
 
-  TEST_CASE("a state that was given up is not confirmed by what confirmed it before") {
+  TEST_CASE("a dropped state is not confirmed by replies that confirmed it before") {
     StateFreshness freshness;
     freshness.on_applied(7);
     freshness.on_current_reply(kStart, 7);
--- a/tests/unit/test_target_table.cc
+++ b/tests/unit/test_target_table.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 TEST_SUITE("target_table") {
-  TEST_CASE("one failed poll is not believed, three are, and one success brings it back") {
+  TEST_CASE("a target becomes unhealthy after three failed polls and healthy after one success") {
     TargetTable board;
     const TargetReport failed{kTarget, false, 0, 0};
     CHECK_FALSE(board.on_report(failed, kStart));
@@ -24,7 +24,7 @@
     CHECK(board.at(kTarget).healthy);
   }
 
-  TEST_CASE("a refusal halves the window once for a burst, answers widen it again") {
+  TEST_CASE("a burst of refusals halves the window once, other responses increase it") {
     TargetTable board;
     board.at(kTarget).window = 8;
     board.on_response(kTarget, true, kStart);
@@ -37,7 +37,7 @@
     CHECK(board.at(kTarget).window < 5.0);
   }
 
-  TEST_CASE("room is the window less what is outstanding") {
+  TEST_CASE("the capacity is the window minus the outstanding requests") {
     TargetTable board;
     board.at(kTarget).window = 2.5;
     board.at(kTarget).outstanding = 1;
@@ -46,7 +46,7 @@
     CHECK_FALSE(board.has_capacity(kTarget));
   }
 
-  TEST_CASE("the retry budget is a share of the requests") {
+  TEST_CASE("the retry budget is a fraction of the requests") {
     RetryBudget budget;
     int taken = 0;
     while (budget.take()) {
