--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -321,14 +321,14 @@
 void Balancer::on_acquired(Partition& partition, Instant now) {
   // Requests that were still queued at the previous owner have not been sent to a target. They
   // resume here.
-  std::vector<RequestRecord*> waiting;
+  std::vector<RequestRecord*> queued;
   for (const auto& [id, record] : partition.store.requests()) {
     if (record->is_waiting()) {
-      waiting.push_back(record);
+      queued.push_back(record);
     }
   }
-  sort_by_id(waiting);
-  for (RequestRecord* record : waiting) {
+  sort_by_id(queued);
+  for (RequestRecord* record : queued) {
     chain_.resume(partition, *record, ChainEntry::kRecord, now);
   }
   observation_migrator_.migrate_from_lost_targets(partition, now);
--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -67,8 +67,8 @@
     on_reply(from, *reply, now);
   } else if (const auto* update = std::get_if<FleetUpdate>(&message)) {
     on_update(from, *update, now);
-  } else if (const auto* figures = std::get_if<TargetHealthUpdate>(&message)) {
-    apply_target_health(*figures);
+  } else if (const auto* health_update = std::get_if<TargetHealthUpdate>(&message)) {
+    apply_target_health(*health_update);
   } else if (const auto* refusing = std::get_if<RefusingTargets>(&message)) {
     output_.on_refusing(*refusing, now);
   }
@@ -100,9 +100,9 @@
   evaluate_replica(from, reply, now);
 }
 
-void ControlClient::apply_target_health(const TargetHealthUpdate& figures) {
-  health_version_ = figures.version;
-  output_.on_target_health(figures.targets);
+void ControlClient::apply_target_health(const TargetHealthUpdate& health_update) {
+  health_version_ = health_update.version;
+  output_.on_target_health(health_update.targets);
 }
 
 void ControlClient::check_confirmed(Instant now) {
@@ -141,13 +141,13 @@
   }
 }
 
-void ControlClient::follow(const Endpoint& replica, Revision held, Instant now) {
+void ControlClient::follow(const Endpoint& replica, Revision held_revision, Instant now) {
   const bool is_other = selector_.is_searching() || selector_.chosen() != replica;
   selector_.choose(replica);
   last_answer_ = now;
   if (is_other) {
     followed_since_ = now;
-    output_.on_replica_chosen(replica, held);
+    output_.on_replica_chosen(replica, held_revision);
   }
 }
 
@@ -294,13 +294,13 @@
 
 void ControlClient::adopt(FleetState next, const FleetDigest& digest, Instant now) {
   const bool was_member = is_member(fleet_);
-  const bool missed_members = next.members_epoch > fleet_.members_epoch + 1;
-  const bool expelled = was_member && (!is_member(next) || missed_members);
+  const bool skipped_memberships = next.members_epoch > fleet_.members_epoch + 1;
+  const bool was_removed = was_member && (!is_member(next) || skipped_memberships);
   fleet_ = std::move(next);
   digest_ = digest;
   revision_floor_ = fleet_.revision;
   freshness_.on_applied(fleet_.revision);
-  if (expelled && self_.state == MemberState::kActive) {
+  if (was_removed && self_.state == MemberState::kActive) {
     output_.on_removed(now);
   }
   output_.on_fleet(fleet_, now);
@@ -368,12 +368,13 @@
 }
 
 void ControlClient::probe(Instant now) {
-  std::vector<Endpoint> asked = selector_.with_unknown_zone();
-  const Endpoint home = selector_.preferred();
-  if (home != selector_.chosen() && std::find(asked.begin(), asked.end(), home) == asked.end()) {
-    asked.push_back(home);
+  std::vector<Endpoint> recipients = selector_.with_unknown_zone();
+  const Endpoint preferred_replica = selector_.preferred();
+  if (preferred_replica != selector_.chosen() &&
+      std::find(recipients.begin(), recipients.end(), preferred_replica) == recipients.end()) {
+    recipients.push_back(preferred_replica);
   }
-  for (const auto& replica : asked) {
+  for (const auto& replica : recipients) {
     send_heartbeat(replica, false, now);
   }
 }
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -60,13 +60,13 @@
   /// Returns the target observations since the last call, for the next heartbeat.
   virtual std::vector<TargetObservation> take_observations() { return {}; }
   /// Target health aggregated over all balancers; replaces what was reported before.
-  virtual void on_target_health(const std::vector<TargetHealth>& /*figures*/) {}
+  virtual void on_target_health(const std::vector<TargetHealth>& /*health*/) {}
   /// Balancers have recently been refused by these targets.
   virtual void on_refusing(const RefusingTargets& /*refusing*/, Instant /*now*/) {}
   /// Rank of this balancer among all; reported with each reply. A count of 0 means unknown.
-  virtual void on_rank(const BalancerRank& /*place*/, Instant /*now*/) {}
+  virtual void on_rank(const BalancerRank& /*rank*/, Instant /*now*/) {}
   /// The client subscribes to a current replica, which holds this revision.
-  virtual void on_replica_chosen(const Endpoint& /*replica*/, Revision /*held*/) {}
+  virtual void on_replica_chosen(const Endpoint& /*replica*/, Revision /*held_revision*/) {}
   /// The chosen replica does not reply; connections to it should be closed.
   virtual void on_replica_silent(const Endpoint& /*replica*/) {}
   /// The chosen replica replies, but its updates are overdue. The client searches again.
@@ -117,8 +117,8 @@
 
   /// Number of revisions by which a current replica is known to be ahead.
   [[nodiscard]] Revision revisions_behind() const {
-    const Revision awaited = freshness_.pending();
-    return awaited > fleet_.revision ? awaited - fleet_.revision : 0;
+    const Revision reported = freshness_.pending();
+    return reported > fleet_.revision ? reported - fleet_.revision : 0;
   }
 
   /// The replica that the client is subscribed to; empty during a search.
@@ -139,7 +139,7 @@
   /// most once per kRepairInterval.
   void on_gap(const Endpoint& from, Revision base, Instant now);
   /// Subscribes to a replica.
-  void follow(const Endpoint& replica, Revision held, Instant now);
+  void follow(const Endpoint& replica, Revision held_revision, Instant now);
   /// Searches for another replica when the chosen one replies but does not confirm the applied
   /// state, because its updates are missing or its replies are late.
   void check_freshness(Instant now);
@@ -161,7 +161,8 @@
   [[nodiscard]] bool is_member(const FleetState& fleet) const;
   void on_reply(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Stores the version of a target health update and forwards its contents.
-  void apply_target_health(const TargetHealthUpdate& figures);
+  void apply_target_health(const TargetHealthUpdate& health_update);
+  /// Subscribes to the replica, keeps it, or searches, depending on its reply.
   void evaluate_replica(const Endpoint& from, const HeartbeatReply& reply, Instant now);
   /// Sends a heartbeat to the chosen replica, or to all candidates during a search.
   void send_heartbeats(Instant now);
--- a/src/core/balancer/flow_binding.cc
+++ b/src/core/balancer/flow_binding.cc
@@ -25,9 +25,9 @@
                               Instant now) {
   FlowRecord* record = partition.store.find_flow(flow);
   if (record == nullptr) {
-    FlowRecord fresh;
-    fresh.next_message_id = initial_message_id(flow, state_.config().self.incarnation, now);
-    record = &partition.store.add_flow(flow, fresh);
+    FlowRecord new_record;
+    new_record.next_message_id = initial_message_id(flow, state_.config().self.incarnation, now);
+    record = &partition.store.add_flow(flow, new_record);
   } else {
     --state_.target_table().at(record->target).flows;
   }
--- a/src/core/balancer/handover.cc
+++ b/src/core/balancer/handover.cc
@@ -28,10 +28,10 @@
 
 double Handover::served_share() const {
   const auto& partitions = state_.partitions().used();
-  const auto decided = std::count_if(
+  const auto served = std::count_if(
       partitions.begin(), partitions.end(),
       [](const Partition* partition) { return partition->role == PartitionRole::kOwner; });
-  return static_cast<double>(decided) / state_.view()->state().partitions;
+  return static_cast<double>(served) / state_.view()->state().partitions;
 }
 
 bool Handover::is_own(const Member* member) const {
@@ -185,8 +185,9 @@
   }
   // An intermediate owner that never received the state changed nothing, so the retained state is
   // complete.
-  const bool kept = acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
-  if (chunk.source_state == SourceState::kComplete || kept) {
+  const bool state_retained =
+      acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
+  if (chunk.source_state == SourceState::kComplete || state_retained) {
     finish(partition, true, now);
   } else {
     next_source(partition, now);
@@ -205,9 +206,10 @@
 }
 
 void Handover::import(Partition& partition, const StateBatch& batch, Instant now) {
-  for (const auto& pin : batch.flow_records) {
-    if (partition.store.find_flow(pin.flow) == nullptr) {
-      binding_.bind(partition, pin.flow, pin.target, now).next_message_id = pin.next_message_id;
+  for (const auto& flow_record : batch.flow_records) {
+    if (partition.store.find_flow(flow_record.flow) == nullptr) {
+      binding_.bind(partition, flow_record.flow, flow_record.target, now).next_message_id =
+          flow_record.next_message_id;
     }
   }
   for (const auto& record : batch.requests) {
@@ -227,13 +229,13 @@
     ++state_.counters().partitions_incomplete;
     partition.incomplete_until = now + timing::kIncompleteTakeover;
   }
-  std::vector<BufferedDatagram> held = std::move(partition.acquisition->buffered);
+  std::vector<BufferedDatagram> datagrams = std::move(partition.acquisition->buffered);
   const Revision revision = partition.acquisition->revision;
   partition.acquisition.reset();
   partition.role = PartitionRole::kOwner;
   set_backup(partition, revision);
   listener_.on_acquired(partition, now);
-  for (const auto& datagram : held) {
+  for (const auto& datagram : datagrams) {
     listener_.on_buffered_datagram(datagram.header, datagram.payload, now);
   }
 }
@@ -263,9 +265,9 @@
 }
 
 void Handover::buffer_datagram(Partition& partition, const ProxyHeader& header, ByteView payload) {
-  auto& held = partition.acquisition->buffered;
-  if (held.size() < kMaxBufferedDatagrams) {
-    held.push_back({header, Bytes(payload.begin(), payload.end())});
+  auto& datagrams = partition.acquisition->buffered;
+  if (datagrams.size() < kMaxBufferedDatagrams) {
+    datagrams.push_back({header, Bytes(payload.begin(), payload.end())});
     ++state_.counters().datagrams_held;
   }
 }
--- a/src/core/balancer/handover_release.cc
+++ b/src/core/balancer/handover_release.cc
@@ -9,22 +9,22 @@
 namespace {
 
 /// Splits a batch into chunks of about kBatchSize. Returns at least one chunk.
-std::vector<StateBatch> split_into_chunks(StateBatch&& whole) {
+std::vector<StateBatch> split_into_chunks(StateBatch&& full_batch) {
   std::vector<StateBatch> chunks(1);
   std::size_t size = 0;
-  const auto room_for = [&](std::size_t next) {
+  const auto reserve = [&](std::size_t next) {
     if (size > 0 && size + next > kBatchSize) {
       chunks.emplace_back();
       size = 0;
     }
     size += next;
   };
-  for (auto& pin : whole.flow_records) {
-    room_for(kEstimatedFlowSize);
-    chunks.back().flow_records.push_back(pin);
+  for (auto& flow_record : full_batch.flow_records) {
+    reserve(kEstimatedFlowSize);
+    chunks.back().flow_records.push_back(flow_record);
   }
-  for (auto& record : whole.requests) {
-    room_for(estimated_size(record));
+  for (auto& record : full_batch.requests) {
+    reserve(estimated_size(record));
     chunks.back().requests.push_back(std::move(record));
   }
   return chunks;
@@ -181,9 +181,9 @@
   const auto& partitions = state_.partitions().used();
   return std::all_of(partitions.begin(), partitions.end(), [&](const Partition* used) {
     const Partition& partition = *used;
-    const bool asked_lately =
+    const bool recently_requested =
         partition.outgoing && now - partition.outgoing->last_asked < timing::kTakeoverSourceTimeout;
-    return partition.role == PartitionRole::kNone && !asked_lately;
+    return partition.role == PartitionRole::kNone && !recently_requested;
   });
 }
 
--- a/src/core/balancer/observation_migrator.cc
+++ b/src/core/balancer/observation_migrator.cc
@@ -22,14 +22,14 @@
 }
 
 void ObservationMigrator::migrate_from_lost_targets(Partition& partition, Instant now) {
-  std::vector<RequestRecord*> lost;
+  std::vector<RequestRecord*> affected;
   for (const auto& [id, record] : partition.store.requests()) {
     if (has_lost_target(*record)) {
-      lost.push_back(record);
+      affected.push_back(record);
     }
   }
-  sort_by_id(lost);
-  for (RequestRecord* record : lost) {
+  sort_by_id(affected);
+  for (RequestRecord* record : affected) {
     const ServiceView* service = state_.view()->service(record->flow.service);
     const Target* target = actions_.select_target(*service, record->flow, now, record->target);
     if (target != nullptr) {
--- a/src/core/balancer/partition_store.cc
+++ b/src/core/balancer/partition_store.cc
@@ -7,13 +7,13 @@
 
 /// Resets the record to its initial values but keeps the capacity of its buffers.
 void reset(RequestRecord& record) {
-  Bytes request = std::move(record.request);
-  Bytes answer = std::move(record.response);
-  request.clear();
-  answer.clear();
+  Bytes request_buffer = std::move(record.request);
+  Bytes response_buffer = std::move(record.response);
+  request_buffer.clear();
+  response_buffer.clear();
   record = RequestRecord{};
-  record.request = std::move(request);
-  record.response = std::move(answer);
+  record.request = std::move(request_buffer);
+  record.response = std::move(response_buffer);
 }
 
 template <typename Map, typename Key>
--- a/src/core/balancer/partition_table.cc
+++ b/src/core/balancer/partition_table.cc
@@ -11,10 +11,10 @@
   auto& slot = by_id_[id];
   if (slot == nullptr) {
     slot = std::make_unique<Partition>(id, pool_);
-    const auto place = std::lower_bound(
+    const auto position = std::lower_bound(
         used_.begin(), used_.end(), id,
         [](const Partition* partition, PartitionId value) { return partition->id < value; });
-    used_.insert(place, slot.get());
+    used_.insert(position, slot.get());
   }
   return *slot;
 }
--- a/src/core/balancer/replication.cc
+++ b/src/core/balancer/replication.cc
@@ -222,15 +222,15 @@
     copy.owner = request.owner;
     copy.complete = false;
   }
-  for (const auto& pin : request.changes.flow_records) {
-    copy.flow_records[pin.flow] = {pin, request.members_revision};
+  for (const auto& flow_record : request.changes.flow_records) {
+    copy.flow_records[flow_record.flow] = {flow_record, request.members_revision};
   }
   for (const auto& record : request.changes.requests) {
-    auto& held = copy.requests[record.id];
-    if (record.version >= held.record.version) {
-      held.record = record;
+    auto& stored = copy.requests[record.id];
+    if (record.version >= stored.record.version) {
+      stored.record = record;
     }
-    held.revision = request.members_revision;
+    stored.revision = request.members_revision;
   }
   for (const auto& id : request.changes.deleted_requests) {
     copy.requests.erase(id);
@@ -242,8 +242,10 @@
 }
 
 void BackupStore::drop_older(StateCopy& copy) {
-  for (auto pin = copy.flow_records.begin(); pin != copy.flow_records.end();) {
-    pin = pin->second.revision < copy.revision ? copy.flow_records.erase(pin) : std::next(pin);
+  for (auto flow_record = copy.flow_records.begin(); flow_record != copy.flow_records.end();) {
+    flow_record = flow_record->second.revision < copy.revision
+                      ? copy.flow_records.erase(flow_record)
+                      : std::next(flow_record);
   }
   for (auto request = copy.requests.begin(); request != copy.requests.end();) {
     request = request->second.revision < copy.revision ? copy.requests.erase(request)
@@ -253,8 +255,8 @@
 
 StateBatch BackupStore::content(const StateCopy& copy) {
   StateBatch batch;
-  for (const auto& [flow, pin] : copy.flow_records) {
-    batch.flow_records.push_back(pin.record);
+  for (const auto& [flow, flow_record] : copy.flow_records) {
+    batch.flow_records.push_back(flow_record.record);
   }
   for (const auto& [id, request] : copy.requests) {
     batch.requests.push_back(request.record);
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -78,17 +78,17 @@
   if (!context.observe) {
     return FilterStatus::kContinue;
   }
-  RequestRecord* feed = context.partition.store.find_token(context.flow, context.token);
-  const bool open = feed != nullptr && feed->kind == RequestKind::kObserve &&
-                    feed->state == RequestState::kAnswered;
-  if (!open || state_.view()->target(context.service, feed->target) == nullptr) {
+  RequestRecord* observation = context.partition.store.find_token(context.flow, context.token);
+  const bool open = observation != nullptr && observation->kind == RequestKind::kObserve &&
+                    observation->state == RequestState::kAnswered;
+  if (!open || state_.view()->target(context.service, observation->target) == nullptr) {
     return FilterStatus::kContinue;
   }
-  feed->message_id = context.message_id;
-  feed->type = context.type;
-  feed->request.assign(context.message.begin(), context.message.end());
-  context.partition.store.index(feed);
-  actions_.send_to_target(*feed, context.message, context.now);
+  observation->message_id = context.message_id;
+  observation->type = context.type;
+  observation->request.assign(context.message.begin(), context.message.end());
+  context.partition.store.index(observation);
+  actions_.send_to_target(*observation, context.message, context.now);
   return FilterStatus::kStop;
 }
 
@@ -152,18 +152,18 @@
   return FilterStatus::kStop;
 }
 
-bool AdmissionFilter::evict_lower_priority(TargetState& target, QueuePriority wait_class,
+bool AdmissionFilter::evict_lower_priority(TargetState& target, QueuePriority priority,
                                            Instant now) {
-  for (std::size_t lower = kQueuePriorities - 1; lower > static_cast<std::size_t>(wait_class);
+  for (std::size_t lower = kQueuePriorities - 1; lower > static_cast<std::size_t>(priority);
        --lower) {
     auto& queue = target.queues[lower];
-    for (auto waiting = queue.rbegin(); waiting != queue.rend(); ++waiting) {
-      Partition& partition = state_.partitions().at(waiting->partition);
-      RequestRecord* record = partition.store.find_request(waiting->id);
+    for (auto queued = queue.rbegin(); queued != queue.rend(); ++queued) {
+      Partition& partition = state_.partitions().at(queued->partition);
+      RequestRecord* record = partition.store.find_request(queued->id);
       if (record == nullptr || record->continuation) {
         continue;
       }
-      queue.erase(std::next(waiting).base());
+      queue.erase(std::next(queued).base());
       actions_.give_up(partition, *record, Execution::kNotRun, FailureReason::kOverload, now);
       return true;
     }
@@ -251,10 +251,10 @@
   TargetState& target_state = state_.target_table().at(target);
   for (auto& queue : target_state.queues) {
     while (!queue.empty() && state_.target_table().has_capacity(target)) {
-      const QueuedRequest waiting = queue.front();
+      const QueuedRequest queued = queue.front();
       queue.pop_front();
-      Partition& partition = state_.partitions().at(waiting.partition);
-      RequestRecord* record = partition.store.find_request(waiting.id);
+      Partition& partition = state_.partitions().at(queued.partition);
+      RequestRecord* record = partition.store.find_request(queued.id);
       if (record != nullptr && record->state == RequestState::kQueued) {
         resume(partition, *record, ChainEntry::kDispatch, now);
       }
--- a/src/core/balancer/request_filters.h
+++ b/src/core/balancer/request_filters.h
@@ -9,7 +9,7 @@
 
 namespace gorsevalve {
 
-/// Detects retransmitted requests; resends the response or drops them.
+/// Detects retransmitted requests: resends the response, forwards them again, or drops them.
 class DuplicateFilter : public RequestFilter {
  public:
   DuplicateFilter(BalancerState& state, RequestActions& actions)
@@ -79,7 +79,7 @@
  private:
   /// Frees a place in a full queue by refusing a request of a lower priority. Returns false when
   /// there is none.
-  bool evict_lower_priority(TargetState& target, QueuePriority wait_class, Instant now);
+  bool evict_lower_priority(TargetState& target, QueuePriority priority, Instant now);
   BalancerState& state_;
   RequestActions& actions_;
 };
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -11,15 +11,17 @@
 
 }  // namespace
 
-void ResponseHandler::on_response(Partition& partition, const TargetMessage& answer, Instant now) {
-  RequestRecord* record = partition.store.find_request(*answer.header.request_id);
+void ResponseHandler::on_response(Partition& partition, const TargetMessage& target_message,
+                                  Instant now) {
+  RequestRecord* record = partition.store.find_request(*target_message.header.request_id);
   if (record == nullptr) {
-    on_unmatched(partition, answer, now);
+    on_unmatched(partition, target_message, now);
     return;
   }
-  const bool empty = answer.summary.code == coap_code::kEmpty;
-  const bool matches = record->flow == answer.header.flow && record->target == answer.target &&
-                       (empty || record->token == answer.summary.token);
+  const bool empty = target_message.summary.code == coap_code::kEmpty;
+  const bool matches = record->flow == target_message.header.flow &&
+                       record->target == target_message.target &&
+                       (empty || record->token == target_message.summary.token);
   if (!matches || record->is_waiting() || record->state == RequestState::kGivenUp) {
     ++state_.counters().answers_unmatched;
     return;
@@ -29,52 +31,54 @@
   if (empty) {
     // The target acknowledges the request before it sends a separate response (RFC 7252 section
     // 5.2.2).
-    state_.output().send_to_client(record->flow, answer.message);
+    state_.output().send_to_client(record->flow, target_message.message);
     return;
   }
-  if (record->kind == RequestKind::kObserve && answer.summary.observe) {
-    on_notification(partition, *record, answer, now);
+  if (record->kind == RequestKind::kObserve && target_message.summary.observe) {
+    on_notification(partition, *record, target_message, now);
   } else {
-    on_final_response(partition, *record, answer, now);
+    on_final_response(partition, *record, target_message, now);
   }
 }
 
-void ResponseHandler::on_unmatched(Partition& partition, const TargetMessage& answer, Instant now) {
-  const bool own_id = answer.header.request_id->incarnation == state_.config().self.incarnation;
-  const bool newer_request =
-      partition.store.find_token(answer.header.flow, answer.summary.token) != nullptr;
-  const ServiceView* service = state_.view()->service(answer.header.flow.service);
-  const bool known_target = state_.view()->target(*service, answer.target) != nullptr;
-  if (own_id || newer_request || !known_target || !answer.summary.is_response()) {
+void ResponseHandler::on_unmatched(Partition& partition, const TargetMessage& target_message,
+                                   Instant now) {
+  const bool own_id =
+      target_message.header.request_id->incarnation == state_.config().self.incarnation;
+  const bool newer_request = partition.store.find_token(target_message.header.flow,
+                                                        target_message.summary.token) != nullptr;
+  const ServiceView* service = state_.view()->service(target_message.header.flow.service);
+  const bool known_target = state_.view()->target(*service, target_message.target) != nullptr;
+  if (own_id || newer_request || !known_target || !target_message.summary.is_response()) {
     ++state_.counters().answers_unmatched;
     return;
   }
   // The response belongs to a request of a failed owner. It names the flow and the target, so it
   // restores the binding; a notification also reopens the observation.
-  FlowRecord* flow = actions_.binding().touch(partition, answer.header.flow, now);
+  FlowRecord* flow = actions_.binding().touch(partition, target_message.header.flow, now);
   if (flow == nullptr) {
-    actions_.binding().bind(partition, answer.header.flow, answer.target, now);
+    actions_.binding().bind(partition, target_message.header.flow, target_message.target, now);
   }
   RequestRecord* record = partition.store.new_request();
-  record->flow = answer.header.flow;
-  record->id = *answer.header.request_id;
-  record->token = answer.summary.token;
-  record->message_id = answer.summary.message_id;
-  record->target = answer.target;
+  record->flow = target_message.header.flow;
+  record->id = *target_message.header.request_id;
+  record->token = target_message.summary.token;
+  record->message_id = target_message.summary.message_id;
+  record->target = target_message.target;
   record->state = RequestState::kAnswered;
-  if (!answer.summary.observe) {
-    forward(partition, *record, answer, std::nullopt);
+  if (!target_message.summary.observe) {
+    forward(partition, *record, target_message, std::nullopt);
     partition.store.index(record);
     partition.store.erase_request(record);
     return;
   }
   record->kind = RequestKind::kObserve;
-  record->observe_state.last_in = (*answer.summary.observe - 1) & kObserveMask;
+  record->observe_state.last_in = (*target_message.summary.observe - 1) & kObserveMask;
   record->observe_state.last_out = record->observe_state.last_in;
   partition.store.index(record);
   ++partition.store.find_flow(record->flow)->observations;
   ++state_.counters().feeds_relearned;
-  on_notification(partition, *record, answer, now);
+  on_notification(partition, *record, target_message, now);
 }
 
 void ResponseHandler::open_observation(Partition& partition, RequestRecord& record, Instant now) {
@@ -91,27 +95,28 @@
 }
 
 void ResponseHandler::on_notification(Partition& partition, RequestRecord& record,
-                                      const TargetMessage& answer, Instant now) {
-  ObserveState& feed = record.observe_state;
-  const std::uint32_t value = *answer.summary.observe;
+                                      const TargetMessage& target_message, Instant now) {
+  ObserveState& observation = record.observe_state;
+  const std::uint32_t value = *target_message.summary.observe;
   const bool first = record.state == RequestState::kDispatched;
-  const bool is_reply = answer.summary.type == CoapType::kAcknowledgement;
+  const bool is_reply = target_message.summary.type == CoapType::kAcknowledgement;
   if (first) {
     open_observation(partition, record, now);
-  } else if (feed.moved) {
-    feed.offset = (feed.last_out + 1 - value) & kObserveMask;
-  } else if (!observe_is_fresher(feed.last_in, value) && !is_reply) {
+  } else if (observation.moved) {
+    observation.offset = (observation.last_out + 1 - value) & kObserveMask;
+  } else if (!observe_is_fresher(observation.last_in, value) && !is_reply) {
     return;
   }
-  feed.moved = false;
-  if (first || observe_is_fresher(feed.last_in, value) || feed.offset != 0) {
-    feed.last_in = value;
+  observation.moved = false;
+  if (first || observe_is_fresher(observation.last_in, value) || observation.offset != 0) {
+    observation.last_in = value;
   }
-  const std::uint32_t out = (value + feed.offset) & kObserveMask;
-  feed.last_out = first || observe_is_fresher(feed.last_out, out) ? out : feed.last_out;
+  const std::uint32_t out = (value + observation.offset) & kObserveMask;
+  observation.last_out =
+      first || observe_is_fresher(observation.last_out, out) ? out : observation.last_out;
   state_.set_deadline(partition.id, record, now + timing::kObservationIdleTimeout);
-  const std::uint16_t id_out = forward(partition, record, answer, out);
-  partition.store.set_last_notification(&record, id_out, answer.summary.message_id);
+  const std::uint16_t id_out = forward(partition, record, target_message, out);
+  partition.store.set_last_notification(&record, id_out, target_message.summary.message_id);
 }
 
 void ResponseHandler::close_observation(Partition& partition, RequestRecord& record) {
@@ -149,8 +154,8 @@
 }
 
 void ResponseHandler::on_final_response(Partition& partition, RequestRecord& record,
-                                        const TargetMessage& answer, Instant now) {
-  const bool refused = answer.summary.code == coap_code::kServiceUnavailable;
+                                        const TargetMessage& target_message, Instant now) {
+  const bool refused = target_message.summary.code == coap_code::kServiceUnavailable;
   const Endpoint target = record.target;
   if (record.state == RequestState::kDispatched) {
     state_.target_table().on_response(target, refused, now);
@@ -160,14 +165,14 @@
   }
   if (record.kind == RequestKind::kOnceOnly && record.state == RequestState::kAnswered) {
     // A duplicate of the response that the client already has.
-    forward(partition, record, answer, std::nullopt);
+    forward(partition, record, target_message, std::nullopt);
     return;
   }
-  forward(partition, record, answer, std::nullopt);
+  forward(partition, record, target_message, std::nullopt);
   actions_.release_outstanding(record);
   if (record.kind == RequestKind::kOnceOnly) {
     record.state = RequestState::kAnswered;
-    record.response.assign(answer.message.begin(), answer.message.end());
+    record.response.assign(target_message.message.begin(), target_message.message.end());
     record.request.clear();
     ++record.version;
     actions_.replicator().mark_changed(partition, record);
@@ -181,13 +186,13 @@
 }
 
 std::uint16_t ResponseHandler::forward(Partition& partition, const RequestRecord& record,
-                                       const TargetMessage& answer,
+                                       const TargetMessage& target_message,
                                        std::optional<std::uint32_t> observe) {
-  std::size_t size = answer.message.size();
-  std::copy(answer.message.begin(), answer.message.end(), buffer_.begin());
+  std::size_t size = target_message.message.size();
+  std::copy(target_message.message.begin(), target_message.message.end(), buffer_.begin());
   const std::span<std::uint8_t> message(buffer_);
-  std::uint16_t message_id = answer.summary.message_id;
-  const bool piggybacked = answer.summary.type == CoapType::kAcknowledgement;
+  std::uint16_t message_id = target_message.summary.message_id;
+  const bool piggybacked = target_message.summary.type == CoapType::kAcknowledgement;
   // A piggybacked response to a registration that this balancer initiated acknowledges no message
   // of the client.
   const bool foreign_reply = piggybacked && message_id != record.message_id;
@@ -199,7 +204,7 @@
       set_coap_type(message, CoapType::kNonConfirmable);
     }
   }
-  if (observe && *observe != *answer.summary.observe) {
+  if (observe && *observe != *target_message.summary.observe) {
     const std::size_t new_size = set_coap_observe(message, size, *observe);
     size = new_size == 0 ? size : new_size;
   }
--- a/src/core/balancer/response_handler.h
+++ b/src/core/balancer/response_handler.h
@@ -20,7 +20,7 @@
   ResponseHandler(BalancerState& state, RequestActions& actions, FilterChain& chain)
       : state_(state), actions_(actions), chain_(chain) {}
 
-  void on_response(Partition& partition, const TargetMessage& answer, Instant now);
+  void on_response(Partition& partition, const TargetMessage& target_message, Instant now);
 
   /// Handles an empty message (acknowledgement or reset) from a client, sent in reply to a
   /// notification.
@@ -28,18 +28,18 @@
                        Instant now);
 
  private:
-  void on_unmatched(Partition& partition, const TargetMessage& answer, Instant now);
-  void on_notification(Partition& partition, RequestRecord& record, const TargetMessage& answer,
-                       Instant now);
-  void on_final_response(Partition& partition, RequestRecord& record, const TargetMessage& answer,
-                         Instant now);
+  void on_unmatched(Partition& partition, const TargetMessage& target_message, Instant now);
+  void on_notification(Partition& partition, RequestRecord& record,
+                       const TargetMessage& target_message, Instant now);
+  void on_final_response(Partition& partition, RequestRecord& record,
+                         const TargetMessage& target_message, Instant now);
   void close_observation(Partition& partition, RequestRecord& record);
   void open_observation(Partition& partition, RequestRecord& record, Instant now);
   bool retry_on_other_target(Partition& partition, RequestRecord& record, Instant now);
   /// Forwards a message to the client. A message that the target initiated gets a message id from
   /// this owner. Returns the message id that was sent.
   std::uint16_t forward(Partition& partition, const RequestRecord& record,
-                        const TargetMessage& answer, std::optional<std::uint32_t> observe);
+                        const TargetMessage& target_message, std::optional<std::uint32_t> observe);
 
   BalancerState& state_;
   RequestActions& actions_;
--- a/src/core/balancer/state_freshness.cc
+++ b/src/core/balancer/state_freshness.cc
@@ -4,13 +4,13 @@
 
 namespace gorsevalve {
 
-void StateFreshness::on_current_reply(Instant sent_at, Revision held) {
-  if (held <= applied_) {
+void StateFreshness::on_current_reply(Instant sent_at, Revision held_revision) {
+  if (held_revision <= applied_) {
     confirmed_at_ = std::max(confirmed_at_.value_or(sent_at), sent_at);
     return;
   }
   if (!pending_) {
-    pending_ = {sent_at, held};
+    pending_ = {sent_at, held_revision};
   }
 }
 
@@ -19,9 +19,9 @@
   if (!pending_ || pending_->revision > revision) {
     return;
   }
-  const PendingReply arrived = *pending_;
+  const PendingReply applied_reply = *pending_;
   pending_.reset();
-  on_current_reply(arrived.sent_at, arrived.revision);
+  on_current_reply(applied_reply.sent_at, applied_reply.revision);
 }
 
 }  // namespace gorsevalve
--- a/src/core/balancer/state_freshness.h
+++ b/src/core/balancer/state_freshness.h
@@ -13,7 +13,7 @@
 class StateFreshness {
  public:
   /// A current replica that holds this revision replied to a heartbeat that was sent at `sent_at`.
-  void on_current_reply(Instant sent_at, Revision held);
+  void on_current_reply(Instant sent_at, Revision held_revision);
   /// This revision is applied.
   void on_applied(Revision revision);
 
--- a/tests/unit/balancer_fixture.h
+++ b/tests/unit/balancer_fixture.h
@@ -84,8 +84,8 @@
 
   /// Delivers a request from a client, as received from the fabric.
   void request(const Endpoint& service, const CoapMessage& message,
-               const Endpoint& caller = kClient) {
-    datagram({{caller, service}, {}, {}, {}}, encode_coap(message));
+               const Endpoint& client = kClient) {
+    datagram({{client, service}, {}, {}, {}}, encode_coap(message));
   }
 
   /// Delivers a target's response to a message that was sent to it.
--- a/tests/unit/test_balancer.cc
+++ b/tests/unit/test_balancer.cc
@@ -23,9 +23,9 @@
   TEST_CASE("requests reach only targets of their own service") {
     BalancerFixture test;
     for (std::uint16_t i = 0; i < 200; ++i) {
-      const Endpoint caller{kClient.address + i, 40000};
-      test.request(kFirstService, make_request(coap_code::kGet, i, 1), caller);
-      test.request(kSecondService, make_request(coap_code::kGet, i, 1), caller);
+      const Endpoint client_endpoint{kClient.address + i, 40000};
+      test.request(kFirstService, make_request(coap_code::kGet, i, 1), client_endpoint);
+      test.request(kSecondService, make_request(coap_code::kGet, i, 1), client_endpoint);
       test.advance_time(Balancer::kTickInterval);
       while (!test.output.to_target.empty()) {
         const auto sent = test.output.to_target.front();
@@ -183,9 +183,9 @@
       test.request(kFirstService, make_request(coap_code::kGet, id, 1), {kClient.address + id, 1});
     }
     test.output.to_client.clear();
-    CoapMessage feed = make_request(coap_code::kGet, 500, 5);
-    feed.observe = 0;
-    test.request(kFirstService, feed, {kClient.address, 5});
+    CoapMessage registration = make_request(coap_code::kGet, 500, 5);
+    registration.observe = 0;
+    test.request(kFirstService, registration, {kClient.address, 5});
     REQUIRE(test.output.to_client.size() == 1);
     CHECK(test.output.to_client[0].flow.client.port == 1);
     CoapMessage block = make_request(coap_code::kGet, 501, 6);
@@ -201,19 +201,19 @@
     second.name = "second";
     second.address = {0x0A000A02, 5683};
     next.settings.services[0].targets[0].draining = true;
-    CoapMessage feed = make_request(coap_code::kGet, 1, 1);
-    feed.observe = 0;
-    test.request(kFirstService, feed);
-    CoapMessage opened = make_response(feed, "state");
-    opened.observe = 1;
-    test.respond(test.output.to_target[0], opened);
+    CoapMessage registration = make_request(coap_code::kGet, 1, 1);
+    registration.observe = 0;
+    test.request(kFirstService, registration);
+    CoapMessage first_notification = make_response(registration, "state");
+    first_notification.observe = 1;
+    test.respond(test.output.to_target[0], first_notification);
     next.settings.services[0].targets.push_back(second);
     test.apply_fleet(next);
     test.output.to_target.clear();
     test.request(kFirstService, make_request(coap_code::kGet, 2, 2));
     REQUIRE(test.output.to_target.size() == 1);
     CHECK(test.output.to_target[0].target == second.address);
-    test.request(kFirstService, feed);
+    test.request(kFirstService, registration);
     CHECK(test.output.to_target.back().target == kFirstTarget);
   }
 
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -30,7 +30,9 @@
   void on_confirmed(Instant /*now*/) override { ++confirmed; }
   bool has_urgent_observations() override { return urgent; }
   std::vector<TargetObservation> take_observations() override { return seen; }
-  void on_target_health(const std::vector<TargetHealth>& told) override { figures = told; }
+  void on_target_health(const std::vector<TargetHealth>& target_health) override {
+    figures = target_health;
+  }
   void on_lease(Instant until) override { lease = until; }
   void on_removed(Instant /*now*/) override { ++removed; }
   void on_replica_silent(const Endpoint& /*replica*/) override { ++silent; }
@@ -113,15 +115,15 @@
 /// Runs an observer for about three seconds among replicas that are all current and report their
 /// zones; the first one replies first. Returns the replica of its last heartbeat.
 Endpoint run_until_settled(Observer& test, const std::map<Endpoint, std::string>& zones) {
-  std::size_t answered = 0;
+  std::size_t replied = 0;
   Instant now = kStart;
-  for (int turn = 0; turn < 6; ++turn) {
+  for (int step = 0; step < 6; ++step) {
     test.client.on_tick(0, now);
-    for (; answered < test.output.recipients.size(); ++answered) {
-      const Endpoint replica = test.output.recipients[answered];
+    for (; replied < test.output.recipients.size(); ++replied) {
+      const Endpoint replica = test.output.recipients[replied];
       const auto zone = zones.find(replica);
       if (zone != zones.end()) {
-        HeartbeatReply reply = current_reply(test.output.heartbeats[answered], 0);
+        HeartbeatReply reply = current_reply(test.output.heartbeats[replied], 0);
         reply.zone = zone->second;
         test.client.on_message(replica, reply, now + milliseconds(1));
       }
@@ -229,8 +231,7 @@
     CHECK(test.output.lease == kStart + std::chrono::seconds(10));
   }
 
-  TEST_CASE(
-      "a process that was admitted and removed before it got an update rejoins as another member") {
+  TEST_CASE("a process that is admitted and removed before it gets an update rejoins as another") {
     // Guards against a process that waits forever because its incarnation was removed before it
     // received a state in which it was a member.
     Client test;
@@ -252,9 +253,10 @@
     test.client.on_tick(0, kStart);
     CHECK(test.output.recipients == std::vector<Endpoint>{kReplica, kOther, kThird});
     // No replica is known to have a state yet, so none is asked for updates.
-    const auto wanted = std::count_if(test.output.heartbeats.begin(), test.output.heartbeats.end(),
-                                      [](const auto& sent) { return sent.wants_update; });
-    CHECK(wanted == 0);
+    const auto update_requests =
+        std::count_if(test.output.heartbeats.begin(), test.output.heartbeats.end(),
+                      [](const auto& sent) { return sent.wants_update; });
+    CHECK(update_requests == 0);
     test.client.on_tick(0, kStart + milliseconds(110));
     CHECK(test.output.recipients.size() == 6);
     // The current replica gets the next heartbeat, and is asked for its state.
@@ -305,7 +307,7 @@
     Observer test{{kReplica, kOther, kThird}};
     test.client.on_tick(0, kStart);
     const std::vector<NodeHeartbeat> first = test.output.heartbeats;
-    const auto states_wanted = [&test] {
+    const auto snapshot_requests = [&test] {
       return std::count_if(test.output.heartbeats.begin(), test.output.heartbeats.end(),
                            [](const auto& sent) { return sent.wants_update; });
     };
@@ -313,13 +315,13 @@
       HeartbeatReply reply = stale_reply(first[i], 2);
       test.client.on_message(test.output.recipients[i], reply, kStart + milliseconds(5));
     }
-    CHECK(states_wanted() == 1);
+    CHECK(snapshot_requests() == 1);
     // The update does not arrive: after a while another replica is asked.
     test.client.on_tick(0, kStart + milliseconds(480));
     REQUIRE(test.output.heartbeats.size() == 7);
     HeartbeatReply later = stale_reply(test.output.heartbeats[5], 2);
     test.client.on_message(test.output.recipients[5], later, kStart + milliseconds(485));
-    CHECK(states_wanted() == 2);
+    CHECK(snapshot_requests() == 2);
   }
 
   TEST_CASE("a replica that is not current gets no further heartbeats for a while") {
@@ -327,8 +329,8 @@
     test.client.on_tick(0, kStart);
     HeartbeatReply reply = stale_reply(test.output.heartbeats[0], 0);
     test.client.on_message(kReplica, reply, kStart + milliseconds(5));
-    for (int turn = 1; turn <= 4; ++turn) {
-      test.client.on_tick(0, kStart + milliseconds(101) * turn);
+    for (int step = 1; step <= 4; ++step) {
+      test.client.on_tick(0, kStart + milliseconds(101) * step);
     }
     CHECK(std::count(test.output.recipients.begin(), test.output.recipients.end(), kReplica) == 1);
     // The other replica may be unreachable: it gets a heartbeat at each interval.
@@ -366,12 +368,12 @@
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
     constexpr Duration kQueue = std::chrono::seconds(2);
-    std::size_t answered = test.output.heartbeats.size();
-    std::vector<Instant> sent_at(answered, kStart);
-    for (int turn = 1; turn <= 100 && test.output.lagging == 0; ++turn) {
-      const Instant now = kStart + milliseconds(20) * turn;
-      for (; answered < sent_at.size() && sent_at[answered] + kQueue <= now; ++answered) {
-        test.client.on_message(kReplica, current_reply(test.output.heartbeats[answered], 0), now);
+    std::size_t replied = test.output.heartbeats.size();
+    std::vector<Instant> sent_at(replied, kStart);
+    for (int step = 1; step <= 100 && test.output.lagging == 0; ++step) {
+      const Instant now = kStart + milliseconds(20) * step;
+      for (; replied < sent_at.size() && sent_at[replied] + kQueue <= now; ++replied) {
+        test.client.on_message(kReplica, current_reply(test.output.heartbeats[replied], 0), now);
       }
       // Late replies look like timely ones when only their arrival is considered.
       test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), now);
@@ -387,12 +389,12 @@
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
-    for (std::uint64_t turn = 1; turn <= 5; ++turn) {
-      const Instant now = kStart + milliseconds(200) * turn;
+    for (std::uint64_t step = 1; step <= 5; ++step) {
+      const Instant now = kStart + milliseconds(200) * step;
       FleetState fleet;
-      fleet.revision = turn;
+      fleet.revision = step;
       test.client.on_message(kReplica, make_snapshot(fleet), now);
-      test.client.on_message(kReplica, TargetHealthUpdate{turn, {}}, now);
+      test.client.on_message(kReplica, TargetHealthUpdate{step, {}}, now);
       test.client.on_tick(0, now);
     }
     CHECK(test.output.silent == 1);
