--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -24,8 +24,8 @@
 /// This limits the load on the replicas while they elect a leader after all of them restarted.
 /// Below the usual heartbeat interval, so that it affects starting observers only.
 constexpr Duration kNotCurrentBackoff = std::chrono::milliseconds(450);
-/// Minimum interval between update requests to replicas that are not current. A snapshot takes
-/// about 0.2 s on a low-bandwidth link.
+/// Minimum interval between update requests to replicas that are not current. It leaves time for a
+/// snapshot to arrive over a low-bandwidth link.
 constexpr Duration kUpdateTime = std::chrono::milliseconds(300);
 
 }  // namespace
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -145,7 +145,7 @@
   void check_freshness(Instant now);
   /// Searches for another replica when the chosen one does not reply.
   void check_silence(Instant now);
-  /// Drops the chosen replica and sends heartbeats to all candidates.
+  /// Drops the chosen replica; the next heartbeats go to all candidates.
   void begin_search();
   void apply_snapshot(const Endpoint& from, const FleetUpdate& update, Instant now);
   /// Applies deltas in place.
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -274,7 +274,8 @@
     CHECK(test.client.has_been_current());
     CHECK(test.output.confirmed == 1);
     CHECK(test.output.heartbeats.size() == 7);
-    // From here on the usual interval applies, and only the chosen replica gets heartbeats.
+    // From here on the usual interval applies, and apart from one probe only the chosen replica
+    // gets heartbeats.
     test.client.on_tick(0, kStart + milliseconds(250));
     test.client.on_tick(0, kStart + milliseconds(400));
     CHECK(std::count(test.output.recipients.begin() + 7, test.output.recipients.end(), kOther) ==
