--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -101,11 +101,12 @@
     release_outstanding(record);
   }
   const ServiceView* service = state_.view()->service(record.flow.service);
-  const auto wait =
+  const auto retry_delay =
       service == nullptr ? std::chrono::seconds(1) : retry_after(*service->service, record);
   record.state = RequestState::kGivenUp;
   record.execution = execution;
-  record.retry_after_s = static_cast<std::uint8_t>(std::min<std::int64_t>(wait.count(), 255));
+  record.retry_after_s =
+      static_cast<std::uint8_t>(std::min<std::int64_t>(retry_delay.count(), 255));
   ++record.version;
   auto& counters = state_.counters();
   ++(execution == Execution::kNotRun ? counters.verdicts_not_run : counters.verdicts_may_have_run);
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -33,9 +33,10 @@
   if (!idempotent && !contains(service.repeatable_paths, summary.path_hash)) {
     return RequestKind::kOnceOnly;
   }
-  const bool registers = summary.observe && *summary.observe == 0 &&
-                         (summary.code == coap_code::kGet || summary.code == coap_code::kFetch);
-  return registers ? RequestKind::kObserve : RequestKind::kRepeatable;
+  const bool is_registration =
+      summary.observe && *summary.observe == 0 &&
+      (summary.code == coap_code::kGet || summary.code == coap_code::kFetch);
+  return is_registration ? RequestKind::kObserve : RequestKind::kRepeatable;
 }
 
 FilterStatus DuplicateFilter::on_request(RequestContext& context) {
--- a/src/core/balancer/request_filters.h
+++ b/src/core/balancer/request_filters.h
@@ -57,8 +57,8 @@
   RequestActions& actions_;
 };
 
-/// Records non-idempotent requests at the backup before any other action, so that the next owner
-/// knows of them whatever their outcome is.
+/// Records non-idempotent requests at the backup before they are queued or sent, so that the next
+/// owner knows of them whatever their outcome is.
 class RecordFilter : public RequestFilter {
  public:
   RecordFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -195,12 +195,12 @@
   const bool piggybacked = target_message.summary.type == CoapType::kAcknowledgement;
   // A piggybacked response to a registration that this balancer initiated acknowledges no message
   // of the client.
-  const bool foreign_reply = piggybacked && message_id != record.message_id;
+  const bool unrelated_ack = piggybacked && message_id != record.message_id;
   FlowRecord* flow = partition.store.find_flow(record.flow);
-  if ((!piggybacked || foreign_reply) && flow != nullptr) {
+  if ((!piggybacked || unrelated_ack) && flow != nullptr) {
     message_id = flow->next_message_id++;
     set_coap_message_id(message, message_id);
-    if (foreign_reply) {
+    if (unrelated_ack) {
       set_coap_type(message, CoapType::kNonConfirmable);
     }
   }
