--- a/src/core/balancer/handover.cc
+++ b/src/core/balancer/handover.cc
@@ -8,8 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Datagrams that wait for one partition's state; more are dropped and come again by
-/// retransmission.
+/// Maximum number of datagrams buffered per partition. Further ones are dropped; clients retransmit
+/// them.
 constexpr std::size_t kMaxBufferedDatagrams = 512;
 
 }  // namespace
@@ -28,10 +28,10 @@
 
 double Handover::served_share() const {
   const auto& partitions = state_.partitions().used();
-  const auto decided = std::count_if(
+  const auto served = std::count_if(
       partitions.begin(), partitions.end(),
       [](const Partition* partition) { return partition->role == PartitionRole::kOwner; });
-  return static_cast<double>(decided) / state_.view()->state().partitions;
+  return static_cast<double>(served) / state_.view()->state().partitions;
 }
 
 bool Handover::is_own(const Member* member) const {
@@ -40,9 +40,9 @@
 }
 
 void Handover::cancel_if_source_keeps(Partition& partition) {
-  // Another membership change came before the state arrived. Normally the transfer goes on, since
-  // the next owner asks this process. But when the process that has the state owns it again, it
-  // keeps it.
+  // The members changed again before the state arrived. Usually the transfer continues, since the
+  // next owner requests the state from this process. If the process that has the state becomes the
+  // owner again, it keeps the state.
   if (partition.role != PartitionRole::kAcquiring || !partition.acquisition->has_source()) {
     return;
   }
@@ -64,7 +64,7 @@
   }
   partition.unclaimed_since.reset();
   if (!is_own(state_.view()->previous_owner(partition.id))) {
-    // Another process owned it in between and may have decided: its state counts.
+    // Another process owned the partition in between and may have changed its state.
     start_acquisition(partition, now);
     partition.acquisition->retains_state = true;
     return;
@@ -183,9 +183,11 @@
     request_chunk(partition, now);
     return;
   }
-  // An owner in between that never fetched the state decided nothing: what was kept is complete.
-  const bool kept = acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
-  if (chunk.source_state == SourceState::kComplete || kept) {
+  // An intermediate owner that never received the state changed nothing, so the retained state is
+  // complete.
+  const bool state_retained =
+      acquisition.retains_state && acquisition.sources[acquisition.source].was_owner;
+  if (chunk.source_state == SourceState::kComplete || state_retained) {
     finish(partition, true, now);
   } else {
     next_source(partition, now);
@@ -204,9 +206,10 @@
 }
 
 void Handover::import(Partition& partition, const StateBatch& batch, Instant now) {
-  for (const auto& pin : batch.flow_records) {
-    if (partition.store.find_flow(pin.flow) == nullptr) {
-      binding_.bind(partition, pin.flow, pin.target, now).next_message_id = pin.next_message_id;
+  for (const auto& flow_record : batch.flow_records) {
+    if (partition.store.find_flow(flow_record.flow) == nullptr) {
+      binding_.bind(partition, flow_record.flow, flow_record.target, now).next_message_id =
+          flow_record.next_message_id;
     }
   }
   for (const auto& record : batch.requests) {
@@ -226,13 +229,13 @@
     ++state_.counters().partitions_incomplete;
     partition.incomplete_until = now + timing::kIncompleteTakeover;
   }
-  std::vector<BufferedDatagram> held = std::move(partition.acquisition->buffered);
+  std::vector<BufferedDatagram> datagrams = std::move(partition.acquisition->buffered);
   const Revision revision = partition.acquisition->revision;
   partition.acquisition.reset();
   partition.role = PartitionRole::kOwner;
   set_backup(partition, revision);
   listener_.on_acquired(partition, now);
-  for (const auto& datagram : held) {
+  for (const auto& datagram : datagrams) {
     listener_.on_buffered_datagram(datagram.header, datagram.payload, now);
   }
 }
@@ -262,9 +265,9 @@
 }
 
 void Handover::buffer_datagram(Partition& partition, const ProxyHeader& header, ByteView payload) {
-  auto& held = partition.acquisition->buffered;
-  if (held.size() < kMaxBufferedDatagrams) {
-    held.push_back({header, Bytes(payload.begin(), payload.end())});
+  auto& datagrams = partition.acquisition->buffered;
+  if (datagrams.size() < kMaxBufferedDatagrams) {
+    datagrams.push_back({header, Bytes(payload.begin(), payload.end())});
     ++state_.counters().datagrams_held;
   }
 }
