--- a/src/core/steering/target_reachability.cc
+++ b/src/core/steering/target_reachability.cc
@@ -9,38 +9,39 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Probes that must come to nothing before silence counts: where one packet in ten is lost on the
-/// way there and on the way back, a target that lives leaves three unanswered once in 146 times.
+/// Probes that must time out before silence counts. With 10% packet loss in each direction, a live
+/// target misses all three once in 146 times.
 constexpr std::uint32_t kRequiredProbes = 3;
-/// The references are probed with this one, so that the time in which the target says nothing is
-/// known to be one in which this balancer could hear.
+/// Reference targets are probed together with this probe, the middle one, to show that this
+/// balancer received answers while the target was silent.
 constexpr std::uint32_t kReferenceProbeNumber = 2;
-/// Refusals that count: one may come from a target that is just starting to listen.
+/// Refusals that are required: a single one may come from a target that is just starting to listen.
 constexpr std::uint32_t kRequiredRefusals = 2;
-/// A case with refusals waits for this long after its last probe for a flow that gets nothing back:
-/// a caller's copies at 0.2, 0.6, 1.4 and 3.0 s are 1.6 s apart at most.
+/// After its last probe, a suspicion with refusals waits this long for an unacknowledged flow:
+/// client retransmissions at 0.2, 0.6, 1.4 and 3.0 s are at most 1.6 s apart.
 constexpr Duration kRefusedWait = milliseconds(1700);
-/// The last probe is waited for at least this long, and for this multiple of the time that the
-/// reference took.
+/// Timeout of the last probe: at least this time, and at least this multiple of the reference
+/// round-trip time.
 constexpr Duration kMinAnswerTimeout = milliseconds(60);
 constexpr int kAnswerTimeoutFactor = 4;
-/// Without an answer of a reference in this time, the suspicion is dropped undecided.
+/// Without an answer from a reference target within this time, the suspicion is dropped as
+/// inconclusive.
 constexpr Duration kInconclusiveTimeout = milliseconds(400);
-/// A suspicion whose probes met congestion is dropped undecided after this time, so that its place
-/// is free for others: while the link stays busy, a caller's next copy, at 0.6, 1.4 or 3 s, renews
+/// A suspicion that saw congestion is dropped as inconclusive after this time, to make room for
+/// others. While the link stays busy, the next client retransmission, at 0.6, 1.4 or 3 s, renews
 /// it.
 constexpr Duration kMaxSuspicionTime = seconds(1);
-/// A target that answered is not suspected again for this long: callers repeat data at targets with
-/// a long queue, too, and each probe costs the target something.
+/// A target that answered is not suspected again for this time: clients also retransmit to targets
+/// with long queues, and each probe costs the target resources.
 constexpr Duration kReachableCooldown = seconds(1);
-/// The same after a suspicion that could not be decided.
+/// The same after an inconclusive suspicion.
 constexpr Duration kInconclusiveCooldown = milliseconds(200);
-/// Pause between two looks whether an unreachable target is back.
+/// Interval between probes that check whether an unreachable target has recovered.
 constexpr Duration kProbeAgainAfter = seconds(1);
-/// Such looks in a row that must find something before the target counts as back. Another target
-/// may listen at the address already and announce itself a little later.
+/// Consecutive accepted probes before an unreachable target counts as recovered: another target may
+/// already listen at the address and announce itself slightly later.
 constexpr std::uint32_t kRequiredAccepts = 3;
-/// Answers that come later than this tell nothing.
+/// Answers that arrive later than this are ignored.
 constexpr Duration kProbeLifetime = seconds(1);
 
 }  // namespace
@@ -83,9 +84,9 @@
   if (found == suspicions_.end() || !found->second.refused_at) {
     return;
   }
-  // The probe goes with the next step, and timers fire late.
-  const bool was_open = *found->second.refused_at <= sent_at + 2 * kStepInterval;
-  found->second.has_unacknowledged_flow = found->second.has_unacknowledged_flow || was_open;
+  // The probe is sent at the next step, and timers may fire late.
+  const bool was_path_open = *found->second.refused_at <= sent_at + 2 * kStepInterval;
+  found->second.has_unacknowledged_flow = found->second.has_unacknowledged_flow || was_path_open;
 }
 
 void TargetReachability::set_link_congested(bool is_congested, Instant now) {
@@ -107,13 +108,13 @@
 }
 
 void TargetReachability::on_progress(TargetId target, Instant now) {
-  // In the usual case there is nothing to look up: this is on the packet path.
-  const bool is_calm = suspicions_.empty() && unreachable_.empty() && replaced_.empty();
-  if (is_calm) {
+  // Fast path: this runs for client packets, and usually nothing is suspected.
+  const bool is_idle = suspicions_.empty() && unreachable_.empty() && replaced_.empty();
+  if (is_idle) {
     return;
   }
-  const bool was_doubted = suspicions_.contains(target) || is_unreachable(target);
-  if (replaced_.erase(target) > 0 || was_doubted) {
+  const bool was_suspected = suspicions_.contains(target) || is_unreachable(target);
+  if (replaced_.erase(target) > 0 || was_suspected) {
     clear(target, now);
   }
 }
@@ -147,8 +148,8 @@
 
 void TargetReachability::probe_cases(Instant now, std::vector<ProbeRequest>& out) {
   for (auto& [target, suspected] : suspicions_) {
-    const bool is_due = now - suspected.probed_at >= kStepInterval;
-    if (!is_due || suspected.probes >= kRequiredProbes) {
+    const bool is_probe_due = now - suspected.probed_at >= kStepInterval;
+    if (!is_probe_due || suspected.probes >= kRequiredProbes) {
       continue;
     }
     ++suspected.probes;
@@ -193,7 +194,7 @@
   const SentProbe sent = found->second;
   sent_.erase(found);
   if (sent.reference_for != 0) {
-    // A refusal shows as well that this balancer can hear.
+    // A refusal by a reference target also shows that this balancer receives answers.
     on_reference_answer(sent, now);
     return;
   }
@@ -219,7 +220,7 @@
 
 void TargetReachability::on_reference_answer(const SentProbe& probe, Instant now) {
   const auto found = suspicions_.find(probe.reference_for);
-  // What was probed before the link was free says nothing of the time that counts.
+  // Reference probes sent before the link was free do not cover the time that counts.
   const bool counts = found != suspicions_.end() && probe.at >= found->second.probing_since;
   if (counts && !found->second.reference_rtt) {
     found->second.reference_rtt = now - probe.at;
@@ -268,7 +269,7 @@
     return UnreachableReason::kRefused;
   }
   if (suspected.refusals > 0) {
-    // Something answers there: this is no silence.
+    // The host answers, so the target is not silent.
     return std::nullopt;
   }
   if (suspected.probes < kRequiredProbes || suspected.saw_congestion) {
--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -1,15 +1,15 @@
-/// Finds out which targets cannot be reached from this balancer, so that callers with open flows at
-/// them can be told at once. Packets alone cannot tell: a lost packet, a full queue and a dead
-/// target look alike, since targets answer callers directly. So a suspicion only leads to probes,
-/// connections that are opened to the target's address and closed again, and these decide. A state
-/// machine without sockets or clocks.
+/// Detects targets that this balancer cannot reach, so that clients with open flows at them can be
+/// reset at once. Client packets alone are not enough: a lost packet, a full queue and a dead
+/// target look alike, because targets reply to clients directly. A suspicion therefore only starts
+/// probes, TCP connections that are opened to the target's address and closed again, and the probes
+/// decide. It is deterministic, does no I/O and reads no clock.
 ///
-/// A target counts as unreachable when its probes came to nothing or were refused, while a probe of
-/// another target, sent between them, was answered: so neither a slow balancer nor one that is cut
-/// off blames a target. While this machine's own link is congested, silence proves nothing: probes
-/// and answers may have been lost on it. Only refusals count then, and a case that met congestion
-/// is probed anew once the link is free. Each balancer concludes for itself, by its own path to the
-/// target. What others concluded only makes it look for itself.
+/// A target counts as unreachable when its probes timed out or were refused while a probe of a
+/// reference target, sent between them, was answered. A slow balancer, or one that is cut off
+/// itself, therefore blames no target. While the local link is congested, silence proves nothing,
+/// because probes and answers may have been lost on it. Only refusals count then, and a suspicion
+/// that saw congestion is probed again once the link is free. Each balancer decides by its own path
+/// to the target; reports of other balancers only start probes.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -26,15 +26,15 @@
 
 namespace gorsevalve {
 
-/// What became of a probe that was answered at all.
+/// Result of a probe that was answered.
 enum class ProbeAnswer : std::uint8_t {
   /// Something accepts connections at the address.
   kAccepted = 0,
-  /// The machine says that nothing listens there.
+  /// The host refuses connections at the address.
   kRefused = 1,
 };
 
-/// A connection to open.
+/// A probe connection to open.
 struct ProbeRequest {
   std::uint64_t number = 0;
   TargetId target = 0;
@@ -51,57 +51,58 @@
 /// Name of a reason in logs.
 std::string_view to_string(UnreachableReason reason);
 
-/// A conclusion: flows at this target get nowhere from here.
+/// A target that was found to be unreachable from this balancer.
 struct UnreachableTarget {
   TargetId target = 0;
   UnreachableReason reason = UnreachableReason::kSilent;
-  /// From the suspicion to the conclusion.
+  /// Time from the suspicion to the detection.
   Duration detection_time{0};
   std::uint32_t probes = 0;
 };
 
-/// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
+/// Injected faults, used only by tests to show that their checks can fail.
 struct ReachabilityFaults {
-  /// Takes each suspicion for a conclusion, without a probe.
+  /// Reports each suspected target as unreachable without a probe.
   bool trust_suspicions = false;
-  /// Counts the silence of probes without an answer of another target.
+  /// Counts unanswered probes although no reference target answered.
   bool ignore_references = false;
-  /// Counts the silence of probes while the own link is congested.
+  /// Counts unanswered probes while the local link is congested.
   bool ignore_congestion = false;
-  /// Counts refusals although no flow is known to get nothing back.
+  /// Counts refusals although no flow is known to be unacknowledged.
   bool trust_refusals = false;
 };
 
 class TargetReachability {
  public:
-  /// False while the target is under suspicion or known to be unreachable, shortly after it
-  /// answered, and while too many others are under suspicion.
+  /// False while the target is suspected or unreachable, shortly after it answered, and while too
+  /// many other targets are suspected.
   [[nodiscard]] bool may_suspect(TargetId target, Instant now) const;
-  /// Something points to a target that does not answer; does nothing where it may not be suspected.
-  /// `references` are other targets that answered lately; without one, silence proves nothing.
+  /// Starts probing a target that seems not to answer; does nothing unless `may_suspect`.
+  /// `references` are other targets that answered recently; without one, silence proves nothing.
   void suspect(TargetId target, const std::vector<TargetId>& references, Instant now);
-  /// A caller repeats data that it had sent again at `sent_at`, over a link that was free: a target
-  /// that lives acknowledges what comes again, so it did not get that, or is gone. It counts when a
-  /// probe of that moment was refused: the way to the machine was open.
+  /// A client retransmits data that it had already retransmitted at `sent_at` over a link that was
+  /// not congested. A live target acknowledges a retransmission, so this one did not receive it or
+  /// is gone. Counts only if a probe of about that time was refused, which shows that the path to
+  /// the host was open.
   void on_unacknowledged_flow(TargetId target, Instant sent_at);
-  /// Another target announced itself later at the address of this one: what is accepted there says
-  /// nothing of this one any more.
+  /// Another target announced itself later at the same address, so connections accepted there say
+  /// nothing about this one.
   void on_replaced(TargetId target) { replaced_.insert(target); }
-  /// A caller got something from the target: it lives and can be reached.
+  /// A client received data or an acknowledgement from the target, so it is alive and reachable.
   void on_progress(TargetId target, Instant now);
-  /// Tells whether this machine's own link is so busy that answers may be late or lost. To be told
-  /// before each step; a link that nobody tells of is free.
+  /// Reports whether the local link is so busy that answers may be late or lost. Call it before
+  /// each step; by default the link is free.
   void set_link_congested(bool is_congested, Instant now);
   void on_answer(std::uint64_t probe, ProbeAnswer answer, Instant now);
-  /// A probe could not be sent: what it would have shown stays open.
+  /// A probe could not be sent; it proves nothing.
   void on_not_sent(std::uint64_t probe, Instant now);
   void forget(TargetId target);
 
-  /// Probes to send now. To be called each `kStepInterval` while `is_probing`, else now and then.
+  /// Probes to send now. Call it every `kStepInterval` while `is_probing`, otherwise occasionally.
   [[nodiscard]] std::vector<ProbeRequest> take_probes(Instant now);
-  /// Targets that were unreachable and answered since the last call, in order.
+  /// Targets that were unreachable and became reachable since the last call, in ascending order.
   [[nodiscard]] std::vector<TargetId> take_restored();
-  /// What is newly concluded.
+  /// Targets that were newly found to be unreachable.
   [[nodiscard]] std::vector<UnreachableTarget> detect_unreachable(Instant now);
 
   [[nodiscard]] bool is_unreachable(TargetId target) const { return unreachable_.contains(target); }
@@ -110,38 +111,39 @@
   void set_faults(const ReachabilityFaults& faults) { faults_ = faults; }
   [[nodiscard]] std::size_t unreachable_count() const { return unreachable_.size(); }
 
-  /// Pause between two probes of a suspected target: a round trip between two regions (12 ms each
-  /// way). Callers repeat data after 200 ms, so this decides how long they wait beyond that.
+  /// Interval between two probes of a suspected target: a round trip between two regions (12 ms
+  /// each way). It bounds how long clients wait beyond their retransmission timeout of 200 ms.
   static constexpr Duration kStepInterval = std::chrono::milliseconds(25);
-  /// Targets under suspicion at once; further ones wait for their next sign. A case takes 0.11 s,
-  /// so a fifth of 4,200 targets that die at once are judged within two seconds.
+  /// Upper bound of targets that are suspected at the same time; others wait for their next
+  /// suspicion.
   static constexpr std::size_t kMaxSuspicions = 64;
 
  private:
-  /// A target under suspicion.
+  /// A suspected target.
   struct Suspicion {
     std::vector<TargetId> references;
     Instant since;
-    /// When the probes that count began: with the suspicion, or when the link was free again.
+    /// Start of the probes that count: the suspicion, or the end of link congestion.
     Instant probing_since;
     /// When the last probe was sent.
     Instant probed_at;
-    /// Probes that count.
+    /// Number of probes sent since `probing_since`.
     std::uint32_t probes = 0;
     std::uint32_t refusals = 0;
-    /// When the first probe that was refused was sent.
+    /// Send time of the first probe that was refused.
     std::optional<Instant> refused_at;
-    /// A flow at the target gets nothing back, although the way there is open.
+    /// A flow at the target is unacknowledged although the path to the host is open.
     bool has_unacknowledged_flow = false;
-    /// The own link was congested since then, so that silence counts for nothing.
+    /// The local link was congested since `probing_since`, so silence does not count.
     bool saw_congestion = false;
-    /// How long the first reference to answer took.
+    /// Round-trip time of the first reference target that answered.
     std::optional<Duration> reference_rtt;
   };
-  /// A probe whose answer is awaited.
+  /// A probe that is not answered yet.
   struct SentProbe {
     TargetId target = 0;
-    /// The suspected target for which another one is probed; 0 for a probe of the suspected target.
+    /// The suspected target that this reference probe belongs to; 0 for a probe of the suspected
+    /// target itself.
     TargetId reference_for = 0;
     Instant at;
   };
@@ -150,14 +152,14 @@
   void probe_cases(Instant now, std::vector<ProbeRequest>& out);
   void probe_unreachable(Instant now, std::vector<ProbeRequest>& out);
   void drop_expired(Instant now);
-  /// Probes a target anew whose probes met congestion.
+  /// Restarts the probes of a suspicion after link congestion.
   static void restart(Suspicion& suspected, Instant now);
-  /// True when nothing can be concluded any more from the probes of a suspicion.
+  /// True when the probes of a suspicion can no longer lead to a decision.
   [[nodiscard]] static bool is_inconclusive(const Suspicion& suspected, Instant now);
-  /// Ends a suspicion without a conclusion.
+  /// Ends a suspicion without a decision.
   void drop_inconclusive(TargetId target, Instant now);
   void on_reference_answer(const SentProbe& probe, Instant now);
-  /// The target lives and can be reached.
+  /// Marks the target as reachable.
   void clear(TargetId target, Instant now);
   void on_target_answer(const SentProbe& probe, ProbeAnswer answer, Instant now);
   [[nodiscard]] std::optional<UnreachableReason> evaluate(TargetId target,
@@ -167,17 +169,18 @@
   ReachabilityFaults faults_;
   bool is_link_congested_ = false;
   std::uint64_t last_probe_ = 0;
-  /// Ordered, so that what is sent and concluded does not depend on the order of a hash map.
+  /// Ordered, so that the order of probes and results is deterministic.
   std::map<TargetId, Suspicion> suspicions_;
-  /// A target that cannot be reached.
+  /// A target that is unreachable.
   struct Unreachable {
     Instant probe_next_at;
-    /// Probes in a row that were accepted since.
+    /// Consecutive probes that were accepted.
     std::uint32_t accepted = 0;
   };
   std::map<TargetId, Unreachable> unreachable_;
   absl::flat_hash_set<TargetId> replaced_;
-  /// Until when nothing is suspected of a target that showed that it can be reached.
+  /// Targets that recently proved reachable or were inconclusive, with the end of the time during
+  /// which they are not suspected.
   absl::flat_hash_map<TargetId, Instant> cleared_until_;
   absl::flat_hash_map<std::uint64_t, SentProbe> sent_;
   std::vector<TargetId> restored_;
--- a/src/core/steering/target_refusals.cc
+++ b/src/core/steering/target_refusals.cc
@@ -8,15 +8,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Pause before a target that refused is probed again: shorter than what a refusal counts for, so
-/// that a target that has ended is avoided all the time.
+/// Interval until a refusing target is probed again: shorter than `kRefusalLifetime`, so that an
+/// ended target is avoided without a gap.
 constexpr Duration kProbeAgainAfter = milliseconds(250);
-/// Refusals in a row that a balancer finds out by itself; what lasts longer is told by the figures.
+/// Consecutive refusals after which probing stops; a longer outage is covered by the reported
+/// target health.
 constexpr std::uint32_t kMaxRefusals = 3;
-/// A probe without an answer for this long tells nothing: silence is judged elsewhere
-/// (target_reachability).
+/// A probe without an answer for this time proves nothing: target_reachability handles silent
+/// targets.
 constexpr Duration kAnswerTimeout = milliseconds(200);
-/// A target that took a probe is not probed again for this long, however slow its openings are.
+/// A target that accepted a probe is not probed again for this time, even if its handshakes are
+/// slow.
 constexpr Duration kAcceptedCooldown = seconds(1);
 
 }  // namespace
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -12,14 +12,16 @@
 using std::chrono::seconds;
 
 constexpr Duration kSuspicionTime = seconds(2);
-/// A target that refuses flows is down; one that goes up and down stays suspected over its ups.
+/// Longer than `kSuspicionTime`, so that a target that alternates between refusing and accepting
+/// flows stays suspected.
 constexpr Duration kRefusalSuspicionTime = seconds(5);
-/// Share of a new sample in the smoothed answer time.
+/// Weight of a new sample in the smoothed response time.
 constexpr double kSmoothing = 0.2;
-/// A sample is believed for this long.
+/// How long a response time sample is valid.
 constexpr Duration kAnswerLifetime = seconds(8);
 constexpr double kMaxPenalty = 8;
-/// Bounds of a pressure that decides: a new target is not filled up at once.
+/// Limits of the target's load, in percent of the pool's mean, that affect placement, so that a new
+/// target is not filled at once.
 constexpr double kMinLoadPercent = 80;
 constexpr double kMaxLoadPercent = 150;
 
@@ -48,7 +50,7 @@
     answered_.erase(target.id);
     to_report_.erase(target.id);
   }
-  // What is known already says nothing new of the warm-up: it went on meanwhile.
+  // A repeated announcement does not restart the warm-up.
   if (is_new || target.sequence > score.announcement_sequence) {
     score.warm_at = now + milliseconds(target.warm_up_ms);
     score.announcement_sequence = target.sequence;
@@ -108,8 +110,9 @@
   return result;
 }
 
-std::vector<TargetId> TargetScores::set_target_health(const std::vector<TargetHealth>& figures) {
-  has_target_health_ = !figures.empty();
+std::vector<TargetId> TargetScores::set_target_health(
+    const std::vector<TargetHealth>& reported_health) {
+  has_target_health_ = !reported_health.empty();
   absl::flat_hash_set<TargetId> unreachable_before;
   for (const TargetId id : std::exchange(targets_with_health_, {})) {
     const auto held = scores_.find(id);
@@ -122,7 +125,7 @@
     held->second.health = {};
   }
   std::vector<TargetId> newly_unreachable;
-  for (const auto& figure : figures) {
+  for (const auto& figure : reported_health) {
     const auto found = by_token_.find(figure.token);
     if (found == by_token_.end()) {
       continue;
@@ -175,8 +178,9 @@
 void TargetScores::on_answer(TargetId id, Duration took, Instant now) {
   TargetScore& score = at(id);
   const auto sample = static_cast<double>(took.count());
-  const bool fresh = score.answer_us > 0 && now - score.answer_at < kAnswerLifetime;
-  score.answer_us = fresh ? score.answer_us + kSmoothing * (sample - score.answer_us) : sample;
+  const bool has_recent_sample = score.answer_us > 0 && now - score.answer_at < kAnswerLifetime;
+  score.answer_us =
+      has_recent_sample ? score.answer_us + kSmoothing * (sample - score.answer_us) : sample;
   score.answer_at = now;
   answered_.insert(id);
 }
@@ -205,14 +209,15 @@
 }
 
 double TargetScores::preference(const RegisteredTarget& target) const {
-  const double nearness = !zone_.empty() && target.zone == zone_ ? policy_.near_preference : 1;
+  const double zone_weight = !zone_.empty() && target.zone == zone_ ? policy_.near_preference : 1;
   const TargetScore* score = find(target.id);
   if (score == nullptr) {
-    return nearness;
+    return zone_weight;
   }
   const double pressure =
       std::clamp<double>(score->health.load_percent, kMinLoadPercent, kMaxLoadPercent);
-  return nearness * std::pow(TargetHealth::kMeanLoadPercent / pressure, policy_.pressure_exponent);
+  return zone_weight *
+         std::pow(TargetHealth::kMeanLoadPercent / pressure, policy_.pressure_exponent);
 }
 
 void TargetScores::on_stalled_request(TargetId id) {
@@ -230,8 +235,8 @@
 
 double TargetScores::recent_answer_us(TargetId id, Instant now) const {
   const TargetScore* score = find(id);
-  const bool recent = score != nullptr && now - score->answer_at < kAnswerLifetime;
-  return recent ? score->answer_us : 0;
+  const bool is_recent = score != nullptr && now - score->answer_at < kAnswerLifetime;
+  return is_recent ? score->answer_us : 0;
 }
 
 double TargetScores::load(const RegisteredTarget& target, double typical_us, Instant now) const {
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -1,6 +1,7 @@
-/// What one balancer sees of the targets in the packets that pass it: open flows, requests under
-/// way, how long answers take, opening packets without an answer. Only packets from callers pass,
-/// so answers show in what callers acknowledge. Nothing here is needed for a flow's survival.
+/// Tracks the load and the health of targets as one balancer observes them in client packets: open
+/// flows, requests in flight, response times and unanswered opening packets (SYN). Only packets
+/// from clients pass through the balancer, so responses are inferred from the clients'
+/// acknowledgements. Flows survive without this state.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -20,75 +21,76 @@
 
 struct TargetScore {
   std::uint32_t open_flows = 0;
-  /// Flows with a request that is not answered yet.
+  /// Flows with a request that has no response yet.
   std::uint32_t busy_flows = 0;
-  /// Opening packets in a row that were not followed by anything.
+  /// Consecutive opening packets (SYN) that no other packet of the flow followed.
   std::uint32_t unanswered = 0;
-  /// No new flows before this instant, while there is another target.
+  /// No new flows before this instant unless there is no other target.
   Instant suspected_until;
-  /// Smoothed time from a request to the caller's first acknowledgement after it, in microseconds;
-  /// 0 without a sample.
+  /// Smoothed time from a request to the first client acknowledgement after it, in microseconds; 0
+  /// without a sample.
   double answer_us = 0;
   Instant answer_at;
-  /// Slow until then, as the target said.
+  /// End of the warm-up that the target announced.
   Instant warm_at;
-  /// Sequence of the announcement that said so.
+  /// Sequence number of the announcement that set `warm_at`.
   std::uint64_t announcement_sequence = 0;
-  /// The life that all of this was seen of.
+  /// The incarnation of the target that this entry describes.
   TargetStart started_at_ms = 0;
-  /// What was seen here since the last report.
+  /// Observations of this balancer since its last report.
   TargetObservation unreported;
-  /// What all balancers saw together.
+  /// Health aggregated over the reports of all balancers.
   TargetHealth health;
 };
 
 class TargetScores {
  public:
-  /// `zone` is the balancer's; without one, no target is near.
+  /// `zone` is the balancer's zone; if empty, no target counts as local.
   TargetScores(std::string zone, const SteeringPolicy& policy)
       : zone_(std::move(zone)), policy_(policy) {}
 
-  /// Drops what is known of targets that are gone, and notes the warm-up of new ones.
+  /// Removes entries of targets that are not in `targets` and records the warm-up of new targets.
   void adopt(const TargetMap& targets, Instant now);
   void on_target(const RegisteredTarget& target, Instant now);
-  /// True when what is known was seen of another life of the target.
+  /// True when the entry describes another incarnation of the target.
   [[nodiscard]] bool is_other_incarnation(const RegisteredTarget& target) const;
   void on_forgotten(TargetId id);
 
   [[nodiscard]] TargetScore& at(TargetId id) { return scores_[id]; }
   [[nodiscard]] const TargetScore* find(TargetId id) const;
 
-  /// A flow was placed at the target.
+  /// A new flow was placed at the target.
   void on_placed(TargetId id);
-  /// Something followed an opening packet.
+  /// Another packet of the client followed an opening packet (SYN).
   void on_established(TargetId id);
-  /// An opening packet had to be repeated.
+  /// A client retransmitted an opening packet (SYN).
   void on_unanswered_syn(TargetId id, Instant now);
-  /// The target told a caller that it takes no flow.
+  /// The target refused a flow of a client.
   void on_refused(TargetId id, Instant now);
   /// The target refused a probe.
   void on_refused_probe(TargetId id);
-  /// Probes showed that the target cannot be reached from here.
+  /// Probes showed that this balancer cannot reach the target.
   void on_unreachable(TargetId id, Instant now);
   void on_request(TargetId id);
-  /// A request got no answer in the time that answers take.
+  /// A request got no response within the expected response time.
   void on_stalled_request(TargetId id);
   void on_answer(TargetId id, Duration took, Instant now);
 
-  /// What was seen since the last call.
+  /// Observations since the last call, ordered by token.
   [[nodiscard]] std::vector<TargetObservation> take_observations();
   [[nodiscard]] bool has_failures() const { return has_failures_; }
   /// True when a target refused a probe since the last call of `take_observations`.
   [[nodiscard]] bool has_refused_probe() const { return has_refused_probe_; }
-  /// Takes figures in place of all earlier ones. Gives the targets that some balancer could not
-  /// reach by these figures, and by the earlier ones could.
-  std::vector<TargetId> set_target_health(const std::vector<TargetHealth>& figures);
+  /// Replaces the aggregated health of all targets. Returns the targets that some balancer newly
+  /// reports as unreachable.
+  std::vector<TargetId> set_target_health(const std::vector<TargetHealth>& reported_health);
   [[nodiscard]] bool has_target_health() const { return has_target_health_; }
 
-  /// Forgets when targets answered that has grown old; to be called about once a second.
+  /// Removes expired response times. Call it about once per second.
   void on_tick(Instant now);
-  /// Calls `visit` with each target that answered a request lately, in no order, and the smoothed
-  /// time that its answers take, in microseconds. Costs what passed here, not what the fleet holds.
+  /// Calls `visit` with each target that responded to a request recently, in no particular order,
+  /// and its smoothed response time in microseconds. The cost depends on the targets in use here,
+  /// not on the size of the fleet.
   template <typename Visitor>
   void visit_answered(Instant now, const Visitor& visit) const {
     for (const TargetId id : answered_) {
@@ -97,36 +99,36 @@
       }
     }
   }
-  /// Targets that answered requests lately and are in no trouble, those with the latest answers
-  /// first; `count` at most, never `except`.
+  /// Healthy targets that responded to requests recently, the latest first; at most `count`, never
+  /// `except`.
   [[nodiscard]] std::vector<TargetId> latest_answered(std::size_t count, TargetId except,
                                                       Instant now) const;
-  /// True when this balancer or all together saw it leave openings unanswered lately.
+  /// True when this balancer suspects the target or its aggregated health is bad.
   [[nodiscard]] bool is_suspected(TargetId id, Instant now) const;
-  /// Load for comparison within a pool, lower is better. `typical_us` is the pool's usual answer
-  /// time, 0 when unknown.
+  /// Load for comparison within a pool; lower is better. `typical_us` is the pool's usual response
+  /// time in microseconds, 0 when unknown.
   [[nodiscard]] double load(const RegisteredTarget& target, double typical_us, Instant now) const;
-  /// How often a target should win among those of the same load, compared with another one.
+  /// Relative weight of the target among targets of the same load.
   [[nodiscard]] double preference(const RegisteredTarget& target) const;
-  /// Answer time when it is recent enough to be believed, in microseconds; else 0.
+  /// Smoothed response time in microseconds, or 0 when there is no recent sample.
   [[nodiscard]] double recent_answer_us(TargetId id, Instant now) const;
 
  private:
-  /// What the target shows from now on is to be reported.
+  /// The observations of the target for the next report; marks the target as to be reported.
   TargetObservation& unreported(TargetId id);
 
   std::string zone_;
   SteeringPolicy policy_;
   absl::flat_hash_map<TargetId, TargetScore> scores_;
-  /// Targets that this balancer uses at a time, as far as memory is laid by for them, so that
-  /// packets allocate nothing: 9 octets each.
+  /// Expected number of targets in use at a time. Memory for them is reserved, so that processing
+  /// packets allocates nothing (9 bytes per target).
   static constexpr std::size_t kExpectedActive = 1024;
 
-  /// Targets that answered within about the time in which that is believed.
+  /// Targets whose latest response time has not expired, or expired after the last tick.
   absl::flat_hash_set<TargetId> answered_;
-  /// Targets that have something to report.
+  /// Targets with observations to report.
   absl::flat_hash_set<TargetId> to_report_;
-  /// Targets that have a figure.
+  /// Targets with aggregated health.
   std::vector<TargetId> targets_with_health_;
   absl::flat_hash_map<FlowToken, TargetId> by_token_;
   bool has_failures_ = false;
--- a/src/core/steering/warm_up_budget.cc
+++ b/src/core/steering/warm_up_budget.cc
@@ -13,28 +13,27 @@
 
 constexpr std::uint64_t kOffsetSalt = 0x7761726d00ULL;
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Part of an operator's bound that is given out in turns. The rest is for balancers that learn of
-/// the target, or of a new place, later than others do.
+/// Fraction of the operator's limit that is divided into time slots. The rest covers balancers that
+/// learn of the target, or of a new rank, later than others.
 constexpr double kUsedFraction = 0.8;
-/// A turn that no flow comes for lapses after this time: long enough for a balancer with 5 new
-/// flows a second to use nine of ten, short enough that turns which were saved up are half of a
-/// second's turns at most when a burst comes.
+/// Unused time slots expire after this time: long enough that a balancer with 5 new flows per
+/// second uses most of its slots, short enough to limit the burst after an idle time.
 constexpr Duration kTurnLifetime = milliseconds(500);
-/// A place that was not told again for this long says nothing any more: balancers that came since
-/// are not counted in it. Half of the time for which a lost balancer keeps its number.
+/// A rank that was not reported again for this time is not used, because its count misses balancers
+/// that started since. Half of the time for which a lost balancer keeps its rank.
 constexpr Duration kRankLifetime = seconds(30);
-/// A fall to less than half of the count is believed after this time only, when lost balancers have
-/// lost their numbers, too: a leader that has heard few would else let each of them take the turns
-/// of many.
+/// A count of less than half of the largest one is applied in full only after this time, when lost
+/// balancers have lost their ranks. Otherwise a new leader with few known balancers would let each
+/// of them use the time slots of many.
 constexpr Duration kMaxCountLifetime = seconds(60);
-/// More balancers than any deployment has: a count above it is no count.
+/// Larger counts are invalid.
 constexpr std::uint32_t kMaxBalancers = 100000;
 
 double seconds_between(Instant from, Instant to) {
   return static_cast<double>((to - from).count()) / kMicrosecondsPerSecond;
 }
 
-/// How long a turn is open, in seconds; rounds may be shorter than the usual lifetime.
+/// Duration of a time slot in seconds; shorter than `kTurnLifetime` for short rounds.
 double lifetime_s(double round_s) {
   constexpr double kLifetime = static_cast<double>(kTurnLifetime.count()) / kMicrosecondsPerSecond;
   return std::min(kLifetime, round_s / 2);
@@ -42,21 +41,21 @@
 
 }  // namespace
 
-void WarmUpBudget::set_rank(const BalancerRank& told, Instant now) {
-  if (told.count == 0) {
+void WarmUpBudget::set_rank(const BalancerRank& reported, Instant now) {
+  if (reported.count == 0) {
     return;
   }
-  if (told.index >= told.count || told.count > kMaxBalancers) {
+  if (reported.index >= reported.count || reported.count > kMaxBalancers) {
     ++counters_.implausible_ranks;
     return;
   }
-  if (told.count >= max_count_ || now - max_count_at_ > kMaxCountLifetime) {
-    max_count_ = told.count;
+  if (reported.count >= max_count_ || now - max_count_at_ > kMaxCountLifetime) {
+    max_count_ = reported.count;
     max_count_at_ = now;
   }
-  const std::uint32_t least = max_count_ / 2;
-  counters_.implausible_ranks += told.count < least ? 1 : 0;
-  rank_ = {told.index, std::max(told.count, least)};
+  const std::uint32_t min_count = max_count_ / 2;
+  counters_.implausible_ranks += reported.count < min_count ? 1 : 0;
+  rank_ = {reported.index, std::max(reported.count, min_count)};
   rank_received_at_ = now;
 }
 
@@ -65,10 +64,10 @@
   if (budget.warm_at == target.warm_at) {
     return false;
   }
-  constexpr double kScores = 18446744073709551616.0;
+  constexpr double kScoreRange = 18446744073709551616.0;
   budget.flows_per_s = target.flows_per_s;
   budget.offset =
-      static_cast<double>(rendezvous_score(target.id, target.token, kOffsetSalt)) / kScores;
+      static_cast<double>(rendezvous_score(target.id, target.token, kOffsetSalt)) / kScoreRange;
   budget.cold_since = now;
   budget.warm_at = target.warm_at;
   budget.is_age_known = target.is_age_known;
@@ -85,16 +84,17 @@
     return false;
   }
   const double round = round_s(budget);
-  const double part = static_cast<double>(rank_.index) / rank_.count + budget.offset;
-  const double first_turn = round * (part - std::floor(part));
+  const double slot_position = static_cast<double>(rank_.index) / rank_.count + budget.offset;
+  const double first_turn = round * (slot_position - std::floor(slot_position));
   const double since_first = seconds_between(budget.cold_since, now) - first_turn;
   if (since_first < 0) {
     return false;
   }
   const bool is_open = std::fmod(since_first, round) < lifetime_s(round);
-  // Keeps one flow a turn, and holds when the numbers change.
-  const bool has_rested = !budget.placed_at || seconds_between(*budget.placed_at, now) >= round / 2;
-  return is_open && has_rested;
+  // Limits a time slot to one flow, also when ranks change.
+  const bool is_pause_over =
+      !budget.placed_at || seconds_between(*budget.placed_at, now) >= round / 2;
+  return is_open && is_pause_over;
 }
 
 double WarmUpBudget::turn_weight(TargetId id) const {
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -1,10 +1,11 @@
-/// Decides when this balancer may place a flow at a cold target, so that all balancers together
-/// stay within what the operator says that a cold target takes. Balancers take turns: each has a
-/// number, and the turns of a target are spread evenly over all numbers from the moment in which it
-/// turned cold. Nobody is asked before a flow is placed. A state machine without clocks.
+/// Limits new flows at targets that are warming up, so that all balancers together stay within the
+/// rate that the operator allows for such a target. Each balancer has a rank and uses its own time
+/// slots ("turns"). From the moment in which a target becomes cold, its time slots are spread
+/// evenly over all ranks, so a flow is placed without any coordination. It is deterministic, does
+/// no I/O and reads no clock.
 ///
-/// The load that it answers: a zone's targets come back together at the busiest moment, and each of
-/// a hundred balancers sees an idle target.
+/// Without the limit, when the targets of a zone restart together under peak load, each of a
+/// hundred balancers would see idle targets and send them new flows.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -18,60 +19,61 @@
 
 namespace gorsevalve {
 
-/// What a budget says to one more flow at a target.
+/// Whether a new flow may be placed at a target.
 enum class WarmUpAdmission : std::uint8_t {
-  /// No budget holds the target.
+  /// The target has no warm-up budget.
   kUnrestricted = 0,
-  /// It is cold, and it is this balancer's turn.
+  /// The target is warming up, and it is this balancer's time slot.
   kOwnTurn = 1,
-  /// It was found in a whole state, which does not tell since when it runs: it may be cold. Better
-  /// than none, since most targets that a starting balancer finds are warm.
+  /// The target came with a snapshot, which does not say since when it runs, so it may be warming
+  /// up. Preferred to no target, since most targets that a starting balancer finds are warm.
   kUnknownAge = 2,
-  /// It is cold, and others have the turn.
+  /// The target is warming up, and it is the time slot of another balancer.
   kOtherTurn = 3,
 };
 
-/// A target that has just turned cold.
+/// A target that starts its warm-up.
 struct ColdTarget {
   TargetId id = 0;
   FlowToken token = 0;
-  /// New flows per second that it takes, from all balancers together.
+  /// Limit of new flows per second, for all balancers together.
   double flows_per_s = 0;
-  /// When it will be warm.
+  /// End of the warm-up.
   Instant warm_at;
-  /// True when it turned cold in this moment, as far as changes of the state arrive at once.
+  /// True when its warm-up began now, assuming that deltas arrive without delay.
   bool is_age_known = true;
 };
 
 /// A target whose warm-up ended.
 struct WarmedTarget {
   TargetId id = 0;
-  /// Flows that this balancer placed there meanwhile.
+  /// Flows that this balancer placed there during the warm-up.
   std::uint32_t flows = 0;
 };
 
 struct WarmUpCounters {
-  /// Flows placed at cold targets.
+  /// Flows placed at targets that are warming up.
   std::uint64_t placed = 0;
-  /// Flows for which a cold target was passed over.
+  /// Flows for which a target that is warming up was skipped.
   std::uint64_t passed_over = 0;
-  /// Flows that found no target since all that were left were cold without a turn.
+  /// Flows that were rejected because all remaining targets were warming up, outside of the time
+  /// slot.
   std::uint64_t refused = 0;
-  /// Places that could not be true, or fell too much to be believed whole.
+  /// Ranks that were rejected as invalid, or whose count dropped too far to be applied in full.
   std::uint64_t implausible_ranks = 0;
 };
 
 class WarmUpBudget {
  public:
-  /// Takes what the control replicas tell of this balancer's place; a count of 0 changes nothing.
-  void set_rank(const BalancerRank& told, Instant now);
+  /// Sets the rank of this balancer as reported by the control replicas; a count of 0 is ignored.
+  void set_rank(const BalancerRank& reported, Instant now);
 
-  /// Holds a target until it is warm. One that is held until the same moment keeps its turns; then
-  /// false.
+  /// Adds a target until its warm-up ends. Returns false, and keeps the time slots, for a target
+  /// that is present with the same end.
   bool add(const ColdTarget& target, Instant now);
   void forget(TargetId id) { cold_.erase(id); }
-  /// Takes the rates of changed settings; `rate_of` gives the flows per second of a target, 0 when
-  /// there is no bound.
+  /// Updates the limits after a change of settings. `rate_of` returns the flows per second of a
+  /// target, or 0 for no limit.
   template <typename RateOf>
   void update_rates(RateOf rate_of) {
     absl::erase_if(cold_, [&](auto& entry) {
@@ -80,34 +82,35 @@
     });
   }
 
-  /// True while no target is held: then every admission is kFree.
+  /// True while no target is warming up; every admission is then `kUnrestricted`.
   [[nodiscard]] bool is_empty() const { return cold_.empty(); }
   [[nodiscard]] bool contains(TargetId id) const { return cold_.contains(id); }
   [[nodiscard]] std::size_t size() const { return cold_.size(); }
   [[nodiscard]] WarmUpAdmission admission(TargetId id, Instant now) const;
-  /// How often a target should win during a turn, compared with one that may be chosen at any time:
-  /// its turn stands for a whole round, so that it gets its share of flows where that is within its
-  /// budget. 1 for a target that is not held.
+  /// Relative weight of a target during its time slot, compared with a target that may be chosen at
+  /// any time. The slot stands for a whole round, so the target gets its share of flows if the
+  /// budget allows it. 1 for a target without a budget.
   [[nodiscard]] double turn_weight(TargetId id) const;
-  /// A flow's first packet, or a copy that met another target before, goes to the target.
+  /// The first packet of a flow, or a retransmission that went to another target before, goes to
+  /// the target.
   void on_placed(TargetId id, Instant now);
   void on_passed_over() { ++counters_.passed_over; }
   void on_refused() { ++counters_.refused; }
 
-  /// Lets go of targets that are warm, in the order of their ids.
+  /// Removes and returns the targets whose warm-up ended, ordered by id.
   [[nodiscard]] std::vector<WarmedTarget> take_warmed(Instant now);
-  /// The place that turns are taken by; a count of 0 before the first one.
+  /// The rank in use; its count is 0 before the first report.
   [[nodiscard]] const BalancerRank& rank() const { return rank_; }
   [[nodiscard]] const WarmUpCounters& counters() const { return counters_; }
 
-  /// Deliberate fault, for the test that shows that its check can fail: each balancer takes all
-  /// turns.
+  /// Injected fault for a test that shows that its check can fail: each balancer uses all time
+  /// slots.
   void set_takes_all_turns(bool takes_all) { takes_all_turns_ = takes_all; }
 
  private:
   struct Budget {
     double flows_per_s = 0;
-    /// Where the first turn of number 0 lies within the round, 0 to 1; differs between targets.
+    /// Offset of the first time slot of rank 0 within the round, 0 to 1; differs between targets.
     double offset = 0;
     Instant cold_since;
     Instant warm_at;
@@ -117,14 +120,14 @@
     std::uint32_t placed = 0;
   };
 
-  /// Time in which each balancer has one turn, in seconds.
+  /// Time in which each balancer has one time slot, in seconds.
   [[nodiscard]] double round_s(const Budget& budget) const;
   [[nodiscard]] bool has_turn(const Budget& budget, Instant now) const;
 
   absl::flat_hash_map<TargetId, Budget> cold_;
   BalancerRank rank_;
   Instant rank_received_at_;
-  /// The most balancers that were told of lately.
+  /// Largest count of balancers that was reported recently.
   std::uint32_t max_count_ = 0;
   Instant max_count_at_;
   WarmUpCounters counters_;
