--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -125,14 +125,14 @@
     held->second.health = {};
   }
   std::vector<TargetId> newly_unreachable;
-  for (const auto& figure : reported_health) {
-    const auto found = by_token_.find(figure.token);
+  for (const auto& reported : reported_health) {
+    const auto found = by_token_.find(reported.token);
     if (found == by_token_.end()) {
       continue;
     }
-    at(found->second).health = figure;
+    at(found->second).health = reported;
     targets_with_health_.push_back(found->second);
-    if (figure.is_unreachable && !unreachable_before.contains(found->second)) {
+    if (reported.is_unreachable && !unreachable_before.contains(found->second)) {
       newly_unreachable.push_back(found->second);
     }
   }
--- a/src/core/steering/zone_path_check.cc
+++ b/src/core/steering/zone_path_check.cc
@@ -10,26 +10,27 @@
 
 using std::chrono::milliseconds;
 
-/// Targets that the first round probes: most looks end with its answers.
+/// Samples in the first round: most checks end with their answers.
 constexpr std::size_t kFirstRoundSamples = 3;
-/// References that the first round probes. Without an answer of it, the look goes no further: where
-/// the own link loses much, probes must not add to it.
+/// Reference targets in the first round. Without an answer from them the check stops, so that
+/// probes add no load to a local link that loses many packets.
 constexpr std::size_t kFirstRoundReferences = 1;
-/// Of this many probes of references ...
+/// Of this many probes of reference targets ...
 constexpr std::uint32_t kReferenceAnswersDenominator = 4;
-/// ... this many must be answered: a link that loses so much that all witnesses fall silent loses
-/// more of these than one in four.
+/// ... this many must be answered: if a lossy link made all samples silent, it would also lose more
+/// than one in four of these.
 constexpr std::uint32_t kReferenceAnswersNumerator = 3;
-/// The last probes are waited for at least this long, as those of a single target are, and for this
-/// multiple of what references took.
+/// Timeout of the last probes: at least this time, as for a single target, and at least this
+/// multiple of the reference round-trip time.
 constexpr Duration kMinAnswerTimeout = milliseconds(60);
 constexpr int kAnswerTimeoutFactor = 4;
-/// A look whose steps pause for longer begins again: the balancer stood still, and answers may wait
-/// to be read. Shorter than `kAnswerTime`, so that what has come is read before silence counts.
+/// A check restarts if the gap between two steps is longer, because the balancer was paused and
+/// answers may be unread. Shorter than `kMinAnswerTimeout`, so that received answers are read
+/// before silence counts.
 constexpr Duration kMaxStepGap = milliseconds(50);
-/// From the last probe; an answer that takes longer comes too late for callers to gain by it.
+/// Timeout after the last probe; a later decision would not help clients.
 constexpr Duration kInconclusiveTimeout = milliseconds(400);
-/// From the beginning: a balancer that stands still again and again learns nothing.
+/// Timeout of the whole check, for a balancer that is paused repeatedly.
 constexpr Duration kMaxCheckTime = milliseconds(1000);
 
 std::vector<TargetId> first_of(const std::vector<TargetId>& targets, std::size_t count) {
@@ -39,9 +40,9 @@
 
 }  // namespace
 
-ZonePathCheck::ZonePathCheck(std::vector<TargetId> witnesses, std::vector<TargetId> references,
+ZonePathCheck::ZonePathCheck(std::vector<TargetId> sampled, std::vector<TargetId> references,
                              Instant sent_at, Instant now)
-    : samples_(std::move(witnesses)),
+    : samples_(std::move(sampled)),
       references_(std::move(references)),
       sent_at_(sent_at),
       since_(now),
@@ -49,9 +50,9 @@
       stepped_at_(now) {}
 
 ZonePathCheck::ProbeRound ZonePathCheck::next_round(Instant now) {
-  const bool stood_still = now - stepped_at_ > kMaxStepGap;
+  const bool was_paused = now - stepped_at_ > kMaxStepGap;
   stepped_at_ = now;
-  if (stood_still) {
+  if (was_paused) {
     ++attempt_;
     rounds_ = 0;
     reference_probes_ = 0;
@@ -81,18 +82,19 @@
 }
 
 bool ZonePathCheck::is_silence_proven(Instant now) const {
-  const bool is_near_heard =
+  const bool has_reference_answers =
       reference_probes_ > 0 && reference_answers_ * kReferenceAnswersDenominator >=
                                    reference_probes_ * kReferenceAnswersNumerator;
   const Duration allowed = std::max(kMinAnswerTimeout, max_reference_rtt_ * kAnswerTimeoutFactor);
-  const bool is_waited_for = is_last_round() && now - probed_at_ >= allowed;
-  return is_waited_for && (is_near_heard || !needs_references_);
+  const bool is_answer_timeout_over = is_last_round() && now - probed_at_ >= allowed;
+  return is_answer_timeout_over && (has_reference_answers || !needs_references_);
 }
 
 bool ZonePathCheck::is_inconclusive(Instant now) const {
-  const bool is_over = is_last_round() && now - probed_at_ > kInconclusiveTimeout;
-  const bool is_stuck = rounds_ == 1 && !may_continue() && now - probed_at_ > kMinAnswerTimeout;
-  return is_over || is_stuck || now - since_ > kMaxCheckTime;
+  const bool is_timed_out = is_last_round() && now - probed_at_ > kInconclusiveTimeout;
+  const bool is_first_round_unanswered =
+      rounds_ == 1 && !may_continue() && now - probed_at_ > kMinAnswerTimeout;
+  return is_timed_out || is_first_round_unanswered || now - since_ > kMaxCheckTime;
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/zone_path_check.h
+++ b/src/core/steering/zone_path_check.h
@@ -1,5 +1,6 @@
-/// One look at a zone: rounds of probes of several of its targets, beside targets that are known to
-/// answer. Says what to probe, and whether silence of all of them proves anything.
+/// One check of the path to a zone: rounds of probes of several of its targets and, next to them,
+/// of reference targets that are known to answer. Decides what to probe and whether the silence of
+/// all sampled targets proves that the path is unreachable.
 #pragma once
 
 #include <cstdint>
@@ -12,43 +13,42 @@
 
 class ZonePathCheck {
  public:
-  /// Targets of a zone that are probed at most: where half of a zone's targets are dark, all of
-  /// these are once in 65,000 looks. With six, a quarter that went dark at once was taken for a cut
-  /// by one of 70 balancers.
+  /// Maximum number of sampled targets. If half of the targets of a zone are down, all samples are
+  /// down in only one of 65,000 checks.
   static constexpr std::size_t kMaxSamples = 16;
-  /// With fewer targets than this, single targets are judged, not their zone.
+  /// With fewer targets, only single targets are evaluated, not their zone.
   static constexpr std::size_t kMinSamples = 2;
-  /// Targets of the own zone that are probed beside.
+  /// Reference targets of the local zone.
   static constexpr std::size_t kReferences = 2;
 
-  /// What is to be probed now, in this order.
+  /// The targets to probe now, in this order.
   struct ProbeRound {
     std::vector<TargetId> samples;
     std::vector<TargetId> references;
   };
 
-  /// `samples` are those of the zone, the suspected one first. `sent_at`: when that was sent
-  /// which is not answered.
-  ZonePathCheck(std::vector<TargetId> witnesses, std::vector<TargetId> references, Instant sent_at,
+  /// `samples` are targets of the zone, the suspected one first. `sent_at` is the send time of the
+  /// unanswered packet.
+  ZonePathCheck(std::vector<TargetId> sampled, std::vector<TargetId> references, Instant sent_at,
                 Instant now);
-  /// A deliberate fault: silence counts whatever the references say.
+  /// Injected fault: silence counts regardless of the reference targets.
   void ignore_references() { needs_references_ = false; }
 
-  /// To be called each `TargetReachability::kStepInterval`.
+  /// Call it every `TargetReachability::kStepInterval`.
   [[nodiscard]] ProbeRound next_round(Instant now);
   void on_refusal() { ++refusals_; }
   void on_reference_answer(Duration took);
 
-  /// True when the silence of the zone is proven.
+  /// True when all samples were silent or refused and enough reference targets answered.
   [[nodiscard]] bool is_silence_proven(Instant now) const;
-  /// True when nothing can be learned from it any more.
+  /// True when the check can no longer lead to a decision.
   [[nodiscard]] bool is_inconclusive(Instant now) const;
-  /// True from the moment at which silence makes a cut likely.
+  /// True once the last round was sent, when an unreachable path is likely.
   [[nodiscard]] bool is_last_round() const { return rounds_ >= kRounds; }
 
   [[nodiscard]] Instant sent_at() const { return sent_at_; }
   [[nodiscard]] Instant since() const { return since_; }
-  /// Changes when the look begins again: answers to earlier probes do not count then.
+  /// Incremented when the check restarts; answers to earlier probes do not count then.
   [[nodiscard]] std::uint32_t attempt() const { return attempt_; }
   [[nodiscard]] const std::vector<TargetId>& samples() const { return samples_; }
   [[nodiscard]] std::uint32_t probes() const { return probes_; }
@@ -57,8 +57,8 @@
  private:
   [[nodiscard]] bool may_continue() const;
 
-  /// Where one packet in ten is lost each way, the 15 probes of six targets are lost once in 1e10
-  /// times, and the 6 of two targets once in 20,000, which costs idle flows there.
+  /// With 10% packet loss in each direction, all probes of six samples are lost once in 1e10 checks
+  /// and those of two samples once in 20,000.
   static constexpr std::uint32_t kRounds = 3;
 
   std::vector<TargetId> samples_;
@@ -74,7 +74,7 @@
   std::uint32_t refusals_ = 0;
   std::uint32_t reference_probes_ = 0;
   std::uint32_t reference_answers_ = 0;
-  /// How long the slowest reference took.
+  /// Round-trip time of the slowest reference target.
   Duration max_reference_rtt_{0};
 };
 
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -9,28 +9,28 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Pause after a look that was answered; doubled each time, since zones with long queues raise
-/// doubts all the time. A cut that begins in the longest one is found that much later.
+/// Backoff after a check that was answered; doubled each time, since zones with long queues are
+/// suspected often. It delays the detection of a cut by at most the maximum.
 constexpr Duration kInitialCheckBackoff = milliseconds(250);
 constexpr Duration kMaxCheckBackoff = seconds(1);
-/// Pause after a look that could not be decided, half of the time after which callers repeat;
-/// doubled each time, since probes would add to what makes an own link lose packets.
+/// Backoff after an inconclusive check; doubled each time, since probes would add to the congestion
+/// that loses packets. It starts at half of the retransmission timeout of clients.
 constexpr Duration kInitialInconclusiveBackoff = milliseconds(100);
 constexpr Duration kMaxInconclusiveBackoff = seconds(4);
-/// After so long without a look, pauses begin anew.
+/// After this time without a check, the backoff is reset.
 constexpr Duration kBackoffResetTime = seconds(8);
-/// Pause between two looks whether a path is back, and the targets that one probes.
+/// Interval of the recovery rounds, and targets probed in each.
 constexpr Duration kRecoveryProbeInterval = milliseconds(200);
 constexpr std::size_t kRecoveryProbes = 3;
-/// Different targets that must answer in two looks on end.
+/// Different targets that must answer in two consecutive rounds for a recovery.
 constexpr std::size_t kRecoveryResponders = 3;
-/// Or any target in this many rounds on end, 0.8 s: the others may have gone meanwhile, and a path
-/// that is held for cut resets flows of those that are there.
+/// Alternatively, consecutive rounds with any answer (0.8 s): the other targets may be gone, and
+/// flows at the remaining ones are reset as long as the path counts as cut.
 constexpr std::uint32_t kRecoveryRounds = 4;
-/// In this time the part of new flows that may go back there grows from none to all: as long as
-/// figures of all balancers need to show what came, with room for what was placed meanwhile.
+/// Time in which the share of new flows that may use the path grows from none to all: longer than
+/// the aggregated target health needs to include new flows.
 constexpr Duration kRampUpTime = seconds(2);
-/// Answers that come later than this tell nothing.
+/// Answers that arrive later than this are ignored.
 constexpr Duration kProbeLifetime = seconds(1);
 constexpr std::uint64_t kHashRange = 1U << 16U;
 
@@ -127,21 +127,20 @@
   }
 }
 
-void ZonePaths::add_samples(const Zone& zone, std::vector<TargetId>& witnesses) const {
+void ZonePaths::add_samples(const Zone& zone, std::vector<TargetId>& sampled) const {
   for (const TargetId target : answered_) {
-    if (witnesses.size() < ZonePathCheck::kMaxSamples && zone_of(target) == &zone) {
-      add_once(witnesses, target);
+    if (sampled.size() < ZonePathCheck::kMaxSamples && zone_of(target) == &zone) {
+      add_once(sampled, target);
     }
   }
-  // Those of which nothing was heard lately tell less, but an answer of them tells as much.
-  // The newest first, since of the oldest some may be gone; then spread over the others, since
-  // those that came together may go together.
+  // Targets without recent replies are added as well, the newest first because the oldest may be
+  // gone, and spread over the zone because targets that started together may fail together.
   const std::size_t members = zone.targets.size();
   const std::size_t stride = std::max<std::size_t>(members / ZonePathCheck::kMaxSamples, 1);
   for (std::size_t start = 0; start < stride; ++start) {
-    for (std::size_t i = start; i < members && witnesses.size() < ZonePathCheck::kMaxSamples;
+    for (std::size_t i = start; i < members && sampled.size() < ZonePathCheck::kMaxSamples;
          i += stride) {
-      add_once(witnesses, zone.targets[members - 1 - i]);
+      add_once(sampled, zone.targets[members - 1 - i]);
     }
   }
 }
@@ -158,20 +157,20 @@
   return references;
 }
 
-void ZonePaths::begin_check(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at,
+void ZonePaths::begin_check(Zone& zone, std::vector<TargetId> sampled, Instant sent_at,
                             Instant now) {
-  add_samples(zone, witnesses);
+  add_samples(zone, sampled);
   std::vector<TargetId> references = choose_references();
-  // Without anything near that is known to answer, silence would prove nothing.
+  // Without a local target that is known to answer, silence would prove nothing.
   const bool may_prove = !references.empty() || faults_.ignore_references;
-  if (witnesses.size() >= ZonePathCheck::kMinSamples && may_prove) {
-    zone.check.emplace(std::move(witnesses), std::move(references), sent_at, now);
+  if (sampled.size() >= ZonePathCheck::kMinSamples && may_prove) {
+    zone.check.emplace(std::move(sampled), std::move(references), sent_at, now);
     if (faults_.ignore_references) {
       zone.check->ignore_references();
     }
     ++active_checks_;
   } else {
-    // To look for targets that answered walks all of them: not for each late request.
+    // Selecting targets iterates over all of them, so it is not repeated for each late request.
     zone.next_check_at = now + kInitialInconclusiveBackoff;
   }
 }
@@ -187,8 +186,8 @@
   zone.next_check_at = now + zone.check_backoff;
 }
 
-bool ZonePaths::ends_check(const ZonePathCheck& look, TargetId target) const {
-  return !faults_.trust_one_target || target == look.samples().front();
+bool ZonePaths::ends_check(const ZonePathCheck& path_check, TargetId target) const {
+  return !faults_.trust_one_target || target == path_check.samples().front();
 }
 
 void ZonePaths::on_progress(TargetId target, Instant sent_at, Instant now) {
@@ -197,7 +196,7 @@
     return;
   }
   Zone& zone = zones_[found->second];
-  // An answer to what was sent before says nothing of the path since.
+  // A reply to an earlier packet says nothing about the path since then.
   if (zone.check && sent_at >= zone.check->sent_at() && ends_check(*zone.check, target)) {
     end_check(zone, true, now);
   }
@@ -210,14 +209,14 @@
 }
 
 void ZonePaths::step_check(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
-  ZonePathCheck& look = *zones_[index].check;
-  const ZonePathCheck::ProbeRound step = look.next_round(now);
-  for (const TargetId witness : step.samples) {
-    send({index, witness, false, now, look.attempt()}, out);
+  ZonePathCheck& path_check = *zones_[index].check;
+  const ZonePathCheck::ProbeRound step = path_check.next_round(now);
+  for (const TargetId sampled_target : step.samples) {
+    send({index, sampled_target, false, now, path_check.attempt()}, out);
   }
-  // Last: of what is sent at once, a short queue drops the end.
+  // Reference targets come last, because a short queue drops the end of a burst.
   for (const TargetId reference : step.references) {
-    send({index, reference, true, now, look.attempt()}, out);
+    send({index, reference, true, now, path_check.attempt()}, out);
   }
 }
 
@@ -233,7 +232,7 @@
 
 void ZonePaths::probe_recovery(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
   Zone& zone = zones_[index];
-  // What was heard is kept until it is concluded from.
+  // Answers are kept until the recovery is evaluated.
   if (now < zone.probe_next_at || zone.targets.empty() || is_recovered(zone)) {
     return;
   }
@@ -248,7 +247,7 @@
 
 std::vector<TargetId> ZonePaths::choose_recovery_probes(Zone& zone) const {
   std::vector<TargetId> chosen;
-  // One that answered is asked again: the others may be gone.
+  // Probes a target again that answered, because the others may be gone.
   if (!zone.previous_responders.empty() && zone_of(zone.previous_responders.front()) == &zone) {
     chosen.push_back(zone.previous_responders.front());
   }
@@ -268,7 +267,7 @@
     } else if (zones_[i].check) {
       step_check(i, now, probes);
       if (zones_[i].check->is_last_round()) {
-        // What cuts this zone off may cut this balancer off from others, too.
+        // The same failure may make other zones unreachable.
         check_other_zones(zones_[i].check->since(), now);
       }
     }
@@ -324,17 +323,17 @@
 
 void ZonePaths::conclude_check(Zone& zone, bool is_link_congested, Instant now,
                                std::vector<ZonePathChange>& out) {
-  const ZonePathCheck& look = *zone.check;
-  // What has ended meanwhile is silent for another reason.
-  const bool are_known = std::all_of(look.samples().begin(), look.samples().end(),
+  const ZonePathCheck& path_check = *zone.check;
+  // A target that was removed during the check is silent for another reason.
+  const bool are_known = std::all_of(path_check.samples().begin(), path_check.samples().end(),
                                      [&](TargetId target) { return by_target_.contains(target); });
   const bool may_conclude = !is_link_congested && are_known;
-  if (may_conclude && look.is_silence_proven(now)) {
-    out.push_back({zone.name, true, now - look.sent_at(),
-                   static_cast<std::uint32_t>(look.samples().size()), look.probes(),
-                   look.refusals(), look.samples().front()});
+  if (may_conclude && path_check.is_silence_proven(now)) {
+    out.push_back({zone.name, true, now - path_check.sent_at(),
+                   static_cast<std::uint32_t>(path_check.samples().size()), path_check.probes(),
+                   path_check.refusals(), path_check.samples().front()});
     begin_cut(zone, now);
-  } else if (!may_conclude || look.is_inconclusive(now)) {
+  } else if (!may_conclude || path_check.is_inconclusive(now)) {
     end_check(zone, false, now);
   }
 }
--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -1,13 +1,14 @@
-/// Finds out when the path from this balancer to a whole zone is cut, and when it is back. A state
-/// machine without sockets or clocks.
+/// Detects when the path from this balancer to a whole zone becomes unreachable ("cut") and when it
+/// recovers. It is deterministic, does no I/O and reads no clock.
 ///
-/// One target that says nothing leads to a look at its zone: several targets of it are probed at
-/// once, and targets of the own zone beside them. The path counts as cut when every one of these
-/// targets stays silent or refuses in each round, nothing else of the zone is heard, and the own
-/// zone answers nearly all of its probes meanwhile. So one rack, a busy zone or a slow link are not
-/// taken for a cut (one answer ends the look), nor is loss (the own zone would lose as much), nor a
-/// balancer that stood still (the look begins again) or whose own link is full (it is dropped).
-/// Each balancer decides by its own sight; what others report only makes it look.
+/// A silent target starts a path check of its zone: several targets of the zone and, as reference
+/// targets, targets of the local zone are probed. The path counts as cut when every sampled target
+/// is silent or refuses in each round, no other answer from the zone arrives, and the reference
+/// targets answer nearly all of their probes. Therefore a failed rack, a busy zone or a slow link
+/// is not mistaken for a cut (one answer ends the check), nor is packet loss (it would affect the
+/// local zone as well), nor a paused balancer (the check restarts) or a congested local link (the
+/// check is dropped). Each balancer decides by its own probes; reports of other balancers only
+/// start checks.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -26,78 +27,79 @@
 
 namespace gorsevalve {
 
-/// A path that was cut, or is back.
+/// A zone path that became unreachable or recovered.
 struct ZonePathChange {
   std::string zone;
   bool is_cut = false;
-  /// From the first unanswered packet to the conclusion, or for how long the path was cut.
+  /// Time from the first unanswered packet to the detection, or the time for which the path was
+  /// cut.
   Duration duration{0};
-  /// Targets that were silent, or that answered again.
+  /// Number of targets that were silent, or that answered again.
   std::uint32_t targets = 0;
-  /// Probes of these that were sent.
+  /// Number of probes sent to them.
   std::uint32_t probes = 0;
-  /// Probes that something on the way, or the machine, refused.
+  /// Number of probes refused by the host or by something on the path.
   std::uint32_t refusals = 0;
-  /// The target whose silence led to the look; 0 for a path that is back.
+  /// The silent target that started the check; 0 for a recovery.
   TargetId suspected = 0;
 };
 
-/// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
+/// Injected faults, used only by tests to show that their checks can fail.
 struct ZonePathFaults {
-  /// Concludes without any answer of the own zone.
+  /// Detects a cut without any answer from the local zone.
   bool ignore_references = false;
-  /// Concludes from the silence of the target that led to the look alone.
+  /// Detects a cut from the silence of the first suspected target alone.
   bool trust_one_target = false;
 };
 
 class ZonePaths {
  public:
-  /// A zone without a name is never judged: nothing else is known to be near.
+  /// If `own_zone` is empty, no path is checked, because no target is known to be local.
   explicit ZonePaths(std::string own_zone) : own_zone_(std::move(own_zone)) {}
 
-  /// Forgets targets; paths that are cut stay so.
+  /// Removes all targets; cut paths stay cut.
   void clear_targets();
   void on_target(const RegisteredTarget& target);
   void on_forgotten(TargetId target);
 
-  /// True when `doubt` would begin a look at the target's zone.
+  /// True when `suspect` would start a check of the zone of the target.
   [[nodiscard]] bool may_check(TargetId target, Instant now) const;
-  /// A packet that was sent to the target at `sent_at` is not answered in the time that answers
-  /// take. `answered` are targets of any zone that answered lately, the latest first.
+  /// A packet sent to the target at `sent_at` got no reply within the reply timeout. `answered` are
+  /// targets of any zone that replied recently, the latest first.
   void suspect(TargetId target, Instant sent_at, const std::vector<TargetId>& answered,
                Instant now);
-  /// The target answered something that was sent to it at `sent_at`.
+  /// The target replied to a packet that was sent to it at `sent_at`.
   void on_progress(TargetId target, Instant sent_at, Instant now);
 
-  /// Probes to send now. To be called each `TargetReachability::kStepInterval` while `is_checking`,
-  /// else now and then. Their numbers are above `kProbeNumberBase`.
+  /// Probes to send now. Call it every `TargetReachability::kStepInterval` while `is_checking`,
+  /// otherwise occasionally. Their numbers are above `kProbeNumberBase`.
   [[nodiscard]] std::vector<ProbeRequest> take_probes(Instant now);
   void on_answer(std::uint64_t probe, ProbeAnswer answer, Instant now);
-  /// A probe could not be sent: what it would have shown stays open.
+  /// A probe could not be sent; it proves nothing.
   void on_not_sent(std::uint64_t probe, Instant now);
-  /// What is newly concluded. Over an own link that is congested, silence says nothing.
+  /// Newly detected changes. On a congested local link, silence proves nothing.
   [[nodiscard]] std::vector<ZonePathChange> detect_changes(bool is_link_congested, Instant now);
 
   [[nodiscard]] bool is_cut(TargetId target) const {
-    // In the usual case there is nothing to look up: this is asked for each target of a choice.
+    // Fast path: this is called for each candidate target, and usually no path is cut.
     return cut_count_ > 0 && is_beyond_cut(target);
   }
   [[nodiscard]] bool is_cut(std::string_view zone) const;
-  /// False while a path is just back and the new flow with this hash is not among the growing part
-  /// that goes there.
+  /// False while the path is recovering and the new flow with this hash is not in the growing share
+  /// that may use it.
   [[nodiscard]] bool admits(TargetId target, std::uint64_t flow_hash, Instant now) const {
     return recovering_count_ == 0 || is_admitted(target, flow_hash, now);
   }
-  /// True while the path to some zone is just back.
+  /// True while the path to some zone is recovering.
   [[nodiscard]] bool is_recovering() const { return recovering_count_ > 0; }
-  /// True while a look is under way.
+  /// True while a check is in progress.
   [[nodiscard]] bool is_checking() const { return active_checks_ > 0; }
   [[nodiscard]] std::size_t cut_count() const { return cut_count_; }
   void set_faults(const ZonePathFaults& faults) { faults_ = faults; }
 
-  /// Numbers of probes are above this, so that they are told from those of single targets.
+  /// Probe numbers are above this value, which distinguishes them from those of single targets.
   static constexpr std::uint64_t kProbeNumberBase = std::uint64_t{1} << 63U;
-  /// Zones that are judged at most.
+  /// Maximum number of zones that are checked.
   static constexpr std::size_t kMaxZones = 64;
 
  private:
@@ -105,7 +107,8 @@
     std::string name;
     std::vector<TargetId> targets;
     std::optional<ZonePathCheck> check;
-    /// No look before this; each one that came to nothing doubles the pause, up to a bound.
+    /// Earliest start of the next check. `check_backoff` doubles after each check that detected no
+    /// cut, up to a limit.
     Instant next_check_at;
     Duration check_backoff{0};
     std::optional<Instant> cut_since;
@@ -115,9 +118,9 @@
     std::vector<TargetId> responders;
     std::vector<TargetId> previous_responders;
     std::uint32_t recovery_probes = 0;
-    /// Rounds on end in which something answered.
+    /// Consecutive rounds with an answer.
     std::uint32_t answered_rounds = 0;
-    /// When the path was back; nothing once load may return freely.
+    /// When the path recovered; empty once all new flows may use it.
     std::optional<Instant> restored_at;
   };
   struct SentProbe {
@@ -125,8 +128,7 @@
     TargetId target = 0;
     bool is_reference = false;
     Instant at;
-    /// The attempt of the look that it belongs to; nothing when it is to see whether the path is
-    /// back.
+    /// The attempt of the check that the probe belongs to; empty for a recovery probe.
     std::optional<std::uint32_t> attempt;
   };
 
@@ -135,21 +137,21 @@
   [[nodiscard]] const Zone* zone_of(TargetId target) const;
   [[nodiscard]] std::vector<TargetId> choose_recovery_probes(Zone& zone) const;
   std::size_t zone_index(const std::string& name);
-  void begin_check(Zone& zone, std::vector<TargetId> witnesses, Instant sent_at, Instant now);
-  void add_samples(const Zone& zone, std::vector<TargetId>& witnesses) const;
+  void begin_check(Zone& zone, std::vector<TargetId> sampled, Instant sent_at, Instant now);
+  void add_samples(const Zone& zone, std::vector<TargetId>& sampled) const;
   [[nodiscard]] std::vector<TargetId> choose_references() const;
   void end_check(Zone& zone, bool is_answered, Instant now);
   void step_check(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
   void check_other_zones(Instant sent_at, Instant now);
   void probe_recovery(std::size_t index, Instant now, std::vector<ProbeRequest>& out);
   void send(const SentProbe& probe, std::vector<ProbeRequest>& out);
-  /// True when an answer of the target ends the look: of any, unless a deliberate fault is on.
-  [[nodiscard]] bool ends_check(const ZonePathCheck& look, TargetId target) const;
+  /// True when an answer of the target ends the check: always, except with an injected fault.
+  [[nodiscard]] bool ends_check(const ZonePathCheck& path_check, TargetId target) const;
   void on_check_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer, Instant now);
   void conclude_check(Zone& zone, bool is_link_congested, Instant now,
                       std::vector<ZonePathChange>& out);
   void begin_cut(Zone& zone, Instant now);
-  /// Targets that answered in the last two looks whether the path is back.
+  /// Targets that answered in the last two recovery rounds.
   [[nodiscard]] static std::vector<TargetId> recent_responders(const Zone& zone);
   [[nodiscard]] static bool is_recovered(const Zone& zone);
   void conclude_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out);
@@ -157,7 +159,7 @@
   std::string own_zone_;
   ZonePathFaults faults_;
   std::vector<Zone> zones_;
-  /// What the latest doubt named as targets that answered lately, the latest first.
+  /// Targets that replied recently as of the latest call of `suspect`, the latest first.
   std::vector<TargetId> answered_;
   /// Index into `zones_`.
   absl::flat_hash_map<TargetId, std::size_t> by_target_;
@@ -165,7 +167,7 @@
   std::uint64_t last_probe_ = kProbeNumberBase;
   std::size_t active_checks_ = 0;
   std::size_t cut_count_ = 0;
-  /// Zones to which load returns.
+  /// Number of zones whose share of new flows is growing after a recovery.
   std::size_t recovering_count_ = 0;
 };
 
