--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -114,7 +114,7 @@
     std::optional<Instant> cut_since;
     Instant probe_next_at;
     std::size_t next_member = 0;
-    /// Targets that answered in this round and the one before, while the path is cut.
+    /// Targets that answered in the current and in the previous recovery round.
     std::vector<TargetId> responders;
     std::vector<TargetId> previous_responders;
     std::uint32_t recovery_probes = 0;
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -1,11 +1,12 @@
-/// A seeded workload over several balancers and targets that die, restart at their address, freeze
-/// for a while, get cut off from some balancers, or only answer slowly, while packets and probes
-/// are lost and balancers stand still. In one form the links of balancers get congested, too: what
-/// they send is then late or lost, packets, probes and all; and some targets refuse probes, since
-/// they are full, and serve their flows, or since they are gone. Checked after each conclusion: a
-/// balancer never takes a target for unreachable that lives and that it can reach, and has been
-/// able to for a while. Checked at the end of each death: callers with open flows were told within
-/// two seconds of their request.
+/// Seeded workload over several balancers and targets that die, restart at their address, freeze,
+/// lose the path to some balancers, or respond slowly, while packets and probes are lost and
+/// balancers are paused. In a second variant the links of balancers become congested, which delays
+/// or drops all that they send, and some targets refuse probes, either because they are full and
+/// still serve their flows or because they are gone.
+///
+/// Checks after each detection that a balancer never reports a live target as unreachable that it
+/// has been able to reach for a while, and that clients with open flows at a dead target are reset
+/// before they time out.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -30,11 +31,11 @@
 constexpr std::size_t kBalancers = 3;
 constexpr TargetId kTargets = 8;
 constexpr std::uint32_t kFlows = 60;
-/// A target that was in trouble so lately may be blamed for it.
+/// Grace period after a failure in which its target may still be reported.
 constexpr Duration kSettled = seconds(2);
-/// Packets that are lost without any trouble: one in a thousand.
+/// One in this many packets is lost without any failure.
 constexpr std::uint64_t kLostOf = 1000;
-/// When callers repeat data that was not acknowledged (the platform's page, "Flows").
+/// Times of retransmissions after the first transmission of unacknowledged data.
 constexpr std::array<Duration, 4> kRetransmissionTimes = {milliseconds(200), milliseconds(600),
                                                           milliseconds(1400), milliseconds(3000)};
 
@@ -43,7 +44,7 @@
 struct SimTarget {
   TargetState state = TargetState::kLives;
   Instant changed_at;
-  /// Balancers without a path to it.
+  /// Balancers that cannot reach it.
   std::set<std::size_t> cut_from;
 };
 
@@ -53,7 +54,7 @@
   std::size_t balancer = 0;
   std::uint32_t sequence = 1;
   std::uint32_t acknowledged = 1;
-  /// When the request under way was sent first.
+  /// Time of the first transmission of the request in flight.
   std::optional<Instant> sent_at;
   std::size_t repeats = 0;
   std::optional<Instant> answer_at;
@@ -98,7 +99,7 @@
     }
   }
 
-  /// Gives the first violation, or nothing.
+  /// Runs the workload and returns the first violation, or an empty string.
   std::string run() {
     while (now_ < kStart + seconds(25) && violation_.empty()) {
       now_ += kStep;
@@ -120,7 +121,7 @@
 
   int flows_reset = 0;
   int conclusions = 0;
-  /// From suspicions to conclusions, all together.
+  /// Sum of the times from suspicion to detection.
   Duration took{0};
 
  private:
@@ -131,7 +132,7 @@
            target.state == TargetState::kFull;
   }
 
-  /// It refuses probes, whether it lives or not.
+  /// True when the target refuses probes, whether it is alive or not.
   static bool refuses(const SimTarget& target) {
     return target.state == TargetState::kFull || target.state == TargetState::kGone;
   }
@@ -150,12 +151,12 @@
     return now_ < congested_until_[balancer];
   }
 
-  /// True when the balancer's own link drops what it sends: of bursts most is dropped.
+  /// True when the congested link of the balancer drops a packet.
   [[nodiscard]] bool is_dropped(std::size_t balancer) {
     return is_congested(balancer) && random_() % 3 != 0;
   }
 
-  /// How long what a balancer sends now waits for its link.
+  /// Queueing delay of a packet that the balancer sends now.
   [[nodiscard]] Duration link_delay(std::size_t balancer) {
     return is_congested(balancer) ? milliseconds(20 + random_() % 300) : milliseconds(0);
   }
@@ -167,7 +168,7 @@
     if (now_ - target.changed_at < seconds(6)) {
       return;
     }
-    // Where most are in trouble, no other target proves that a balancer can hear.
+    // If most targets fail, no reference target shows that a balancer receives answers.
     const auto is_well = [](const auto& one) {
       return one.second.state == TargetState::kLives && one.second.cut_from.empty();
     };
@@ -183,7 +184,7 @@
         target.state = TargetState::kDead;
         break;
       case 1:
-        // Something else listens at the address at once.
+        // Another process listens at the address at once.
         target.state = TargetState::kRestarted;
         break;
       case 2:
@@ -200,7 +201,7 @@
         isolated_until_[random_() % kBalancers] = now_ + milliseconds(500 + random_() % 2000);
         return;
       default:
-        // A balancer without processor time: it hears everything late.
+        // A balancer without CPU time receives all packets late.
         stalled_until_[random_() % kBalancers] = now_ + milliseconds(100 + random_() % 400);
         return;
     }
@@ -235,7 +236,7 @@
     }
   }
 
-  /// The caller gave a request up after four seconds: nobody told it.
+  /// Checks whether a client that timed out after four seconds should have been reset.
   void check_client_was_notified(const ClientFlow& flow) {
     const SimTarget& target = targets_[flow.target];
     const bool is_dead = target.state == TargetState::kDead || target.state == TargetState::kGone;
@@ -244,8 +245,8 @@
                             *flow.sent_at > congested_until_[flow.balancer] &&
                             *flow.sent_at > stalled_until_[flow.balancer];
     if (was_dead && could_tell) {
-      violation_ =
-          "a caller was not told that its target " + std::to_string(flow.target) + " is dead";
+      violation_ = "no reset was sent to a client of target " + std::to_string(flow.target) +
+                   ", which is dead";
     }
   }
 
@@ -335,11 +336,13 @@
     const SimTarget& target = targets_[concluded.target];
     const bool is_settled = now_ - target.changed_at > kSettled;
     if (is_settled && lives(target) && !target.cut_from.contains(i) && is_isolated(i)) {
-      violation_ = "balancer " + std::to_string(i) + " is cut off itself and blames target " +
+      violation_ = "balancer " + std::to_string(i) +
+                   " is cut off itself and reports as unreachable the live target " +
                    std::to_string(concluded.target);
     }
     if (is_settled && answers(concluded.target, i)) {
-      violation_ = "target " + std::to_string(concluded.target) + " lives, and balancer " +
+      violation_ = "target " + std::to_string(concluded.target) +
+                   " was reported as unreachable, but it is alive, and balancer " +
                    std::to_string(i) + " can reach it";
     }
   }
@@ -365,7 +368,7 @@
   std::string violation_;
 };
 
-/// The form in which links get congested and targets refuse probes.
+/// The variant in which links become congested and targets refuse probes.
 class CongestedWorkload : public Workload {
  public:
   CongestedWorkload(std::uint64_t seed, const SteeringFaults& faults)
@@ -375,7 +378,7 @@
 }  // namespace
 
 TEST_SUITE("reachability_workload") {
-  TEST_CASE("no reachable target is blamed, and callers of dead ones are told") {
+  TEST_CASE("no reachable target is reported, and clients of dead targets are reset") {
     int told = 0;
     int conclusions = 0;
     Duration took{0};
@@ -389,14 +392,14 @@
     }
     CHECK(told > 1000);
     REQUIRE(conclusions > 0);
-    // Callers wait for this on top of the 200 ms after which they repeat data.
-    MESSAGE("from suspicion to conclusion: " << (took / conclusions).count() << " us in mean of "
-                                             << conclusions);
+    // Clients wait for this in addition to their retransmission timeout of 200 ms.
+    MESSAGE("time from suspicion to detection: " << (took / conclusions).count()
+                                                 << " us on average of " << conclusions);
     CHECK(took / conclusions <= milliseconds(180));
   }
 
-  TEST_CASE("neither an own congested link nor a full target's refusals blame a living target") {
-    // Uploads filled links of 2 Mbit/s: flows whose targets served were reset.
+  TEST_CASE("a congested local link or refusals of a full target do not make it unreachable") {
+    // Guards against resetting flows that their targets still serve.
     int told = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
       CongestedWorkload workload(seed, {});
@@ -407,7 +410,7 @@
     CHECK(told > 500);
   }
 
-  TEST_CASE("each deliberate fault is caught") {
+  TEST_CASE("each injected fault is detected") {
     SteeringFaults trusting;
     trusting.reachability.trust_suspicions = true;
     CHECK(is_caught<Workload>(trusting));
--- a/tests/unit/test_target_reachability.cc
+++ b/tests/unit/test_target_reachability.cc
@@ -14,15 +14,15 @@
 constexpr TargetId kSuspected = 1;
 constexpr TargetId kReference = 2;
 
-/// What a target does with probes.
+/// How a target reacts to probes.
 enum class Behaviour { kAccepts, kRefuses, kSilent };
 
-/// Targets that answer probes after a while, and the steps of a balancer's loop.
+/// Targets that answer probes after a round trip, driven by the steps of a balancer's event loop.
 class ProbedTargets {
  public:
   explicit ProbedTargets(Duration round_trip = milliseconds(1)) : round_trip_(round_trip) {}
 
-  /// Runs the loop for some time; gives what was concluded.
+  /// Runs the event loop for `time` and returns the detected targets.
   std::vector<UnreachableTarget> run(Duration time) {
     std::vector<UnreachableTarget> all;
     for (const Instant end = now + time; now < end; now += milliseconds(5)) {
@@ -82,7 +82,7 @@
 }  // namespace
 
 TEST_SUITE("target_reachability") {
-  TEST_CASE("silence counts when another target answers meanwhile") {
+  TEST_CASE("silence counts if a reference target answers in the same time") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -91,13 +91,13 @@
     CHECK(concluded[0].target == kSuspected);
     CHECK(concluded[0].reason == UnreachableReason::kSilent);
     CHECK(concluded[0].probes == 3);
-    // Callers wait for this, on top of the 200 ms after which they repeat data.
+    // Clients wait for this in addition to their retransmission timeout of 200 ms.
     CHECK(concluded[0].detection_time <= milliseconds(150));
     CHECK(targets.reachability.is_unreachable(kSuspected));
     CHECK_FALSE(targets.reachability.is_unreachable(kReference));
   }
 
-  TEST_CASE("a balancer that is cut off itself concludes nothing") {
+  TEST_CASE("a balancer that is cut off itself reports no target as unreachable") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kSilent}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -105,17 +105,17 @@
     CHECK_FALSE(targets.reachability.is_probing());
   }
 
-  TEST_CASE("without another target that answered lately nothing is concluded") {
+  TEST_CASE("without a reference target no target is reported as unreachable") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}};
     targets.reachability.suspect(kSuspected, {}, targets.now);
     CHECK(targets.run(seconds(3)).empty());
   }
 
-  TEST_CASE("a target that accepts is cleared, and not probed again for a second") {
+  TEST_CASE("a target that accepts a probe is reachable and not probed again for a second") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kAccepts}, {kReference, Behaviour::kAccepts}};
-    for (int sign = 0; sign < 9; ++sign) {
+    for (int attempt = 0; attempt < 9; ++attempt) {
       targets.reachability.suspect(kSuspected, {kReference}, targets.now);
       CHECK(targets.run(milliseconds(100)).empty());
     }
@@ -126,20 +126,20 @@
     CHECK(targets.probes[kSuspected] == 2);
   }
 
-  TEST_CASE("where answers take long, silence takes longer") {
-    // A balancer with little processor time hears everything late, the reference's answer too.
+  TEST_CASE("the answer timeout grows with the round-trip time of reference targets") {
+    // A balancer with little CPU time receives all answers late, also those of reference targets.
     ProbedTargets targets(milliseconds(100));
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(400)).empty());
     CHECK(targets.run(milliseconds(300)).size() == 1);
-    // A target that answers as late as the reference is never blamed.
+    // A target that answers as late as the reference target is not reported.
     targets.behaviour[3] = Behaviour::kAccepts;
     targets.reachability.suspect(3, {kReference}, targets.now);
     CHECK(targets.run(seconds(2)).empty());
   }
 
-  TEST_CASE("two refusals count where a flow gets nothing back, one does not") {
+  TEST_CASE("two refusals count if a flow is unacknowledged, a single one does not") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -156,7 +156,7 @@
     CHECK(targets.run(milliseconds(500)).empty());
   }
 
-  TEST_CASE("progress of any flow ends a suspicion, and a conclusion") {
+  TEST_CASE("progress of any flow ends a suspicion and makes a target reachable again") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -172,9 +172,9 @@
     CHECK(targets.reachability.take_restored() == std::vector<TargetId>{kSuspected});
   }
 
-  TEST_CASE("an unreachable target is back when it accepts for some seconds") {
-    // Seen on a day with reused addresses: 2 s after a target died, another one listened at its
-    // address, announced itself 0.3 s later, and 63 balancers took the dead one for alive.
+  TEST_CASE("an unreachable target recovers after it accepted probes for some seconds") {
+    // Guards against taking a dead target for alive because a new target already listens at its
+    // address and announces itself slightly later.
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -186,7 +186,7 @@
     CHECK_FALSE(targets.reachability.is_unreachable(kSuspected));
   }
 
-  TEST_CASE("what listens at the address of a replaced target says nothing of it") {
+  TEST_CASE("accepted probes do not count for a target whose address another one took over") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kAccepts}, {kReference, Behaviour::kAccepts}};
     targets.reachability.on_replaced(kSuspected);
@@ -208,7 +208,7 @@
     CHECK(targets.run(seconds(2)).empty());
   }
 
-  TEST_CASE("few targets are under suspicion at once") {
+  TEST_CASE("the number of suspected targets is limited") {
     ProbedTargets targets;
     for (TargetId id = 10; id < 100; ++id) {
       targets.behaviour[id] = Behaviour::kSilent;
@@ -218,7 +218,7 @@
     CHECK(targets.probes.size() == TargetReachability::kMaxSuspicions);
   }
 
-  TEST_CASE("silence on a congested link proves nothing, and is looked at again on a free one") {
+  TEST_CASE("silence on a congested link proves nothing and is probed again on a free link") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -231,11 +231,11 @@
     REQUIRE(concluded.size() == 1);
     CHECK(concluded[0].reason == UnreachableReason::kSilent);
     CHECK(concluded[0].probes == 3);
-    // No later than with a suspicion that begins when the link is free.
+    // As fast as for a suspicion that starts when the link is free.
     CHECK(kStart + concluded[0].detection_time <= free_at + milliseconds(150));
   }
 
-  TEST_CASE("a suspicion that meets congestion in the middle counts none of its earlier probes") {
+  TEST_CASE("a suspicion that sees congestion does not count its earlier probes") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -244,14 +244,14 @@
     targets.reachability.set_link_congested(true, targets.now);
     CHECK(targets.run(milliseconds(20)).empty());
     targets.reachability.set_link_congested(false, targets.now);
-    // The reference is not heard in the time that counts.
+    // The reference target does not answer within the time that counts.
     targets.behaviour[kReference] = Behaviour::kSilent;
     CHECK(targets.run(seconds(1)).empty());
     CHECK(targets.probes[kSuspected] == 6);
     CHECK_FALSE(targets.reachability.is_probing());
   }
 
-  TEST_CASE("a reference that was probed on a congested link says nothing of a later time") {
+  TEST_CASE("a reference target probed on a congested link proves nothing for a later time") {
     ProbedTargets targets(milliseconds(100));
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -263,27 +263,27 @@
     CHECK_FALSE(targets.reachability.is_probing());
   }
 
-  TEST_CASE("refusals alone say nothing of the flows that a target holds") {
-    // A target with as many connections as it may have refused the probes of 14 balancers, which
-    // reset the flows that it served.
+  TEST_CASE("refusals alone do not make a target with open flows unreachable") {
+    // Guards against resetting flows of a target that refuses probes because its connection limit
+    // is reached.
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(350)).empty());
-    // The caller sends its data for the third time, 400 ms after the second one.
+    // The second retransmission of the client, 400 ms after the first one.
     REQUIRE(targets.reachability.is_probing());
     targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
     CHECK(targets.run(milliseconds(50)).size() == 1);
-    // Without such a flow the suspicion ends.
+    // Without an unacknowledged flow the suspicion ends.
     targets.behaviour[3] = Behaviour::kRefuses;
     targets.reachability.suspect(3, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(2000)).empty());
     CHECK_FALSE(targets.reachability.is_probing());
   }
 
-  TEST_CASE("data that went before the way to a target was seen to be open proves nothing") {
-    // Found by the seeded workload: a balancer that had been cut off took the silence of that time,
-    // with refusals of a full target afterwards, for a dead one.
+  TEST_CASE("unacknowledged data sent before the path was known to be open proves nothing") {
+    // Guards against counting silence from a time when the balancer was cut off, together with
+    // later refusals of a full target.
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -292,15 +292,15 @@
     CHECK(targets.run(milliseconds(1500)).empty());
   }
 
-  TEST_CASE("a reference that refuses shows that this balancer can hear") {
-    // Found by the seeded workload: where targets were full, no dead one was found out.
+  TEST_CASE("a refusal by a reference target shows that this balancer receives answers") {
+    // Guards against missing dead targets where the reference targets are full.
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kRefuses}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(200)).size() == 1);
   }
 
-  TEST_CASE("a refusal counts on a congested link, too") {
+  TEST_CASE("a refusal also counts on a congested link") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kRefuses}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -312,7 +312,7 @@
     CHECK(concluded[0].reason == UnreachableReason::kRefused);
   }
 
-  TEST_CASE("a target that answers late on a congested link is cleared") {
+  TEST_CASE("a target that answers late on a congested link is reachable") {
     ProbedTargets targets(milliseconds(300));
     targets.behaviour = {{kSuspected, Behaviour::kAccepts}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -322,7 +322,7 @@
     CHECK_FALSE(targets.reachability.may_suspect(kSuspected, targets.now));
   }
 
-  TEST_CASE("on a link that stays congested a suspicion makes room for others") {
+  TEST_CASE("a suspicion on a link that stays congested is dropped to make room for others") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -332,20 +332,20 @@
     CHECK(targets.probes[kSuspected] == 3);
   }
 
-  TEST_CASE("a link that is free and busy in turns costs few probes") {
+  TEST_CASE("a link that alternates between free and congested causes few probes") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
-    for (int turn = 0; turn < 40; ++turn) {
-      targets.reachability.set_link_congested(turn % 2 == 1, targets.now);
+    for (int interval = 0; interval < 40; ++interval) {
+      targets.reachability.set_link_congested(interval % 2 == 1, targets.now);
       CHECK(targets.run(milliseconds(30)).empty());
     }
     CHECK_FALSE(targets.reachability.is_probing());
-    // One each step for a second, and until the link is busy again.
+    // One probe per step for a second, plus those sent before the link is busy again.
     CHECK(targets.probes[kSuspected] <= 45);
   }
 
-  TEST_CASE("deliberate faults show") {
+  TEST_CASE("each injected fault makes the detection report a target") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kSilent}};
     ReachabilityFaults faults;
--- a/tests/unit/test_target_refusals.cc
+++ b/tests/unit/test_target_refusals.cc
@@ -12,7 +12,7 @@
 constexpr Instant kStart{seconds(1000)};
 constexpr TargetId kTarget = 7;
 
-/// Sends what is due and gives each probe the same answer.
+/// Takes all due probes, gives each the same answer, and returns their number.
 std::size_t answer_all(TargetRefusals& refusals, ProbeAnswer answer, Instant now) {
   const auto probes = refusals.take_probes(now);
   for (const auto& probe : probes) {
@@ -24,7 +24,7 @@
 }  // namespace
 
 TEST_SUITE("target_refusals") {
-  TEST_CASE("an overdue opening leads to one probe, and a refusal keeps new flows away at once") {
+  TEST_CASE("a late handshake causes one probe, and a refusal diverts new flows at once") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     refusals.on_overdue(kTarget, kStart);
@@ -40,7 +40,7 @@
     CHECK(refusals.take_refused().empty());
   }
 
-  TEST_CASE("a target that takes probes is not avoided, and not probed again for a while") {
+  TEST_CASE("a target that accepts a probe stays in use and is not probed again soon") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     CHECK(answer_all(refusals, ProbeAnswer::kAccepted, kStart) == 1);
@@ -52,7 +52,7 @@
     CHECK(answer_all(refusals, ProbeAnswer::kAccepted, kStart + milliseconds(1100)) == 1);
   }
 
-  TEST_CASE("silence tells nothing here") {
+  TEST_CASE("an unanswered probe does not mark a target as refusing") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     CHECK(refusals.take_probes(kStart).size() == 1);
@@ -61,7 +61,7 @@
     CHECK_FALSE(refusals.is_probing());
   }
 
-  TEST_CASE("a target that is gone is avoided without a gap until the figures tell of it") {
+  TEST_CASE("a target that is gone is avoided without a gap until target health covers it") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     std::size_t probes = 0;
@@ -73,7 +73,7 @@
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart + milliseconds(1100)));
   }
 
-  TEST_CASE("a full target that takes a probe again is used again at once") {
+  TEST_CASE("a full target that accepts a probe again is used again at once") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     answer_all(refusals, ProbeAnswer::kRefused, kStart);
@@ -81,7 +81,7 @@
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart + milliseconds(278)));
   }
 
-  TEST_CASE("what others tell ends by itself, and sooner when an opening is answered") {
+  TEST_CASE("a remote report expires, or ends earlier when an opening packet is answered") {
     TargetRefusals refusals;
     refusals.on_remote_refusal(kTarget, kStart);
     CHECK(refusals.is_refusing(kTarget, kStart + milliseconds(499)));
@@ -93,7 +93,7 @@
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart + milliseconds(6)));
   }
 
-  TEST_CASE("probes at once are bounded, and one that could not be sent leaves nothing behind") {
+  TEST_CASE("concurrent probes are limited, and a probe that is not sent leaves no state") {
     TargetRefusals refusals;
     for (TargetId id = 1; id <= 1000; ++id) {
       refusals.on_overdue(id, kStart);
@@ -108,7 +108,7 @@
     CHECK(refusals.take_probes(kStart).size() == 1);
   }
 
-  TEST_CASE("nothing stays of a target that is forgotten") {
+  TEST_CASE("no state remains of a removed target") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     const auto probes = refusals.take_probes(kStart);
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -24,7 +24,7 @@
   return {kCold, 1007, flows_per_s, kStart + warm_up};
 }
 
-/// Flows that a balancer places at the cold target when one comes each 10 ms.
+/// Times of the flows that a balancer places at the cold target, with one new flow every 10 ms.
 std::vector<Instant> placed(WarmUpBudget& budget, Instant from, Instant to) {
   std::vector<Instant> result;
   for (Instant now = from; now < to; now += milliseconds(10)) {
@@ -36,7 +36,7 @@
   return result;
 }
 
-/// Flows that all balancers of a fleet place in ten seconds.
+/// Number of flows that all balancers of a fleet received_rank in ten seconds.
 std::size_t placed_by_all(std::uint32_t count, double flows_per_s) {
   std::size_t sum = 0;
   for (std::uint32_t number = 0; number < count; ++number) {
@@ -93,7 +93,8 @@
     packet.opens = true;
     return steering.on_packet(packet, now);
   }
-  /// Flows at each target when one comes each 10 ms.
+  /// Number of flows at each target, with one new flow every 10 ms; rejected flows count as target
+  /// 0.
   std::map<TargetId, int> open_for(Duration time) {
     std::map<TargetId, int> flows;
     for (const Instant end = now + time; now < end; now += milliseconds(10)) {
@@ -107,10 +108,10 @@
 }  // namespace
 
 TEST_SUITE("warm_up_budget") {
-  TEST_CASE("the turns of all balancers together are four fifths of the rate") {
+  TEST_CASE("the time slots of all balancers together are four fifths of the rate") {
     CHECK(placed_by_all(1, 5) == 40);
     CHECK(placed_by_all(2, 5) == 40);
-    // The last turn may begin after the last flow.
+    // The last time slot may begin after the last flow.
     CHECK(placed_by_all(80, 5) >= 39);
     CHECK(placed_by_all(80, 5) <= 40);
     CHECK(placed_by_all(750, 5) >= 39);
@@ -119,14 +120,14 @@
     CHECK(placed_by_all(80, 0.5) <= 4);
   }
 
-  TEST_CASE("turns that nobody used are not saved up") {
+  TEST_CASE("unused time slots do not accumulate") {
     WarmUpBudget budget;
     budget.set_rank({0, 1}, kStart);
     budget.add(cold_target(1, seconds(20)), kStart);
     CHECK(placed(budget, kStart + seconds(10), kStart + seconds(11)).size() <= 2);
   }
 
-  TEST_CASE("without a place, or with an old one, a cold target takes nothing from here") {
+  TEST_CASE("without a recent rank a balancer places no flow at a cold target") {
     WarmUpBudget budget;
     budget.add(cold_target(100, seconds(100)), kStart);
     CHECK(placed(budget, kStart, kStart + seconds(5)).empty());
@@ -137,7 +138,7 @@
     CHECK(placed(budget, kStart + seconds(36), kStart + seconds(40)).empty());
   }
 
-  TEST_CASE("places that cannot be true change nothing or little, and are counted") {
+  TEST_CASE("implausible ranks are ignored or limited, and are counted") {
     WarmUpBudget budget;
     budget.add(cold_target(10, seconds(100)), kStart);
     budget.set_rank({3, 80}, kStart);
@@ -145,7 +146,8 @@
     budget.set_rank({0, 4000000000U}, kStart);
     CHECK(budget.rank() == BalancerRank{3, 80});
     CHECK(budget.counters().implausible_ranks == 2);
-    // A count that falls to less than half is believed by half until lost balancers are forgotten.
+    // A count that drops to less than half is applied only in part until lost balancers have
+    // expired.
     budget.set_rank({0, 1}, kStart + seconds(1));
     CHECK(budget.rank() == BalancerRank{0, 40});
     budget.set_rank({0, 1}, kStart + seconds(2));
@@ -155,7 +157,7 @@
     CHECK(budget.rank() == BalancerRank{0, 1});
   }
 
-  TEST_CASE("one flow a turn, also while numbers change without pause") {
+  TEST_CASE("at most one flow per time slot, also while ranks change continuously") {
     WarmUpBudget budget;
     budget.add(cold_target(5, seconds(100)), kStart);
     std::size_t flows = 0;
@@ -164,11 +166,11 @@
       budget.set_rank({static_cast<std::uint32_t>(step * 31 % 80), 80}, now);
       flows += placed(budget, now, now + milliseconds(10)).size();
     }
-    // A round of 80 takes 20 s, and half of one passes at least between two flows.
+    // A round of 80 balancers takes 20 s, and at least half a round passes between two flows.
     CHECK(flows <= 1);
   }
 
-  TEST_CASE("a target that is warm or forgotten costs nothing") {
+  TEST_CASE("a target that is warm or was removed is not restricted") {
     WarmUpBudget budget;
     budget.set_rank({0, 1}, kStart);
     budget.add(cold_target(100, seconds(2)), kStart);
@@ -187,7 +189,7 @@
     CHECK(budget.is_empty());
   }
 
-  TEST_CASE("a cold target takes its turns, and the rest goes to warm ones") {
+  TEST_CASE("a cold target gets flows in its time slots, and warm targets get the rest") {
     Fixture test(pool_of({target(1, 0), target(2, 0)}, 5000));
     test.steering.set_balancer_rank({0, 2}, test.now);
     test.steering.apply(upsert(target(3, 4000)), test.now);
@@ -205,14 +207,14 @@
     CHECK(flows[3] > 100);
   }
 
-  TEST_CASE("without a bound nothing changes") {
+  TEST_CASE("without a rate limit a cold target is not restricted") {
     Fixture test(pool_of({target(1, 0)}, 0));
     test.steering.apply(upsert(target(2, 4000)), test.now);
     CHECK(test.steering.warm_up().is_empty());
     CHECK(test.open_for(seconds(1))[2] > 20);
   }
 
-  TEST_CASE("where all are cold, flows beyond the budget are refused at once") {
+  TEST_CASE("if all targets are cold, flows beyond the budget are rejected at once") {
     Fixture test(pool_of({}, 10000));
     test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(1, 4000)), test.now);
@@ -221,13 +223,13 @@
     CHECK(flows[1] <= 16);
     CHECK(test.steering.warm_up().counters().refused == static_cast<std::uint64_t>(flows[0]));
     CHECK(test.open().action == SteeringAction::kReset);
-    // A target that cannot be reached is no better.
+    // After the warm-up no flow is rejected.
     test.now += seconds(3);
     flows = test.open_for(milliseconds(100));
     CHECK(flows[0] == 0);
   }
 
-  TEST_CASE("the other pools of a frontend take what a cold pool may not") {
+  TEST_CASE("other pools of a frontend get the flows that a cold pool may not take") {
     SteeringState state = pool_of({}, 1000);
     state.settings.pools.push_back({"beta", 9});
     state.settings.frontends[0].pools = {{"alpha", 9}, {"beta", 1}};
@@ -244,19 +246,19 @@
     CHECK(test.steering.warm_up().counters().refused == 0);
   }
 
-  TEST_CASE("a starting balancer serves from targets whose age it does not know, warm ones first") {
+  TEST_CASE("a starting balancer prefers warm targets to targets of unknown age") {
     Fixture all_found(pool_of({target(1, 4000), target(2, 4000)}, 1000));
     CHECK(all_found.open_for(seconds(1))[0] == 0);
     Fixture some_warm(pool_of({target(1, 4000), target(2, 0)}, 1000));
     CHECK(some_warm.open_for(seconds(1))[2] == 100);
-    // A silent target is worse than one that may be cold.
+    // A target whose heartbeats timed out is worse than one that may be warming up.
     RegisteredTarget silent = target(2, 0);
     silent.phase = TargetPhase::kSilent;
     Fixture some_silent(pool_of({target(1, 4000), silent}, 1000));
     CHECK(some_silent.open_for(seconds(1))[1] == 100);
   }
 
-  TEST_CASE("a copy that meets another target counts there") {
+  TEST_CASE("a retransmission that is placed at another target counts there") {
     Fixture test(pool_of({target(1, 0)}, 1000));
     test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(2, 9000)), test.now);
@@ -278,7 +280,7 @@
     CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kOtherTurn);
   }
 
-  TEST_CASE("new settings change the rate of targets that are cold, or lift the bound") {
+  TEST_CASE("new settings change or remove the rate limit of cold targets") {
     const SteeringState state = pool_of({target(1, 0)}, 1000);
     Fixture test(state);
     test.steering.apply(upsert(target(2, 60000)), test.now);
@@ -292,7 +294,7 @@
     CHECK(test.steering.warm_up().is_empty());
   }
 
-  TEST_CASE("placing at warm targets allocates nothing for a budget") {
+  TEST_CASE("placing flows at warm targets allocates no memory for a budget") {
     WarmUpBudget budget;
     budget.set_rank({0, 1}, kStart);
     budget.add(cold_target(5, seconds(20)), kStart);
@@ -306,7 +308,7 @@
     CHECK(allocation_count() == before);
   }
 
-  TEST_CASE("the leader numbers all balancers, those of its followers too") {
+  TEST_CASE("the leader ranks all balancers, including those of its followers") {
     BalancerRanking leader;
     BalancerRanking follower;
     follower.on_heartbeat({1, 1}, kStart);
@@ -314,30 +316,31 @@
     leader.on_elected(kStart);
     leader.on_heartbeat({3, 1}, kStart);
     leader.on_reported(follower.local_balancers(kStart), kStart);
-    // At first a new leader has not heard all.
+    // A new leader has not received reports of all balancers at first.
     leader.assign_ranks(kStart + seconds(1));
     CHECK(leader.rank_of({3, 1}, kStart + seconds(1)).count == 0);
     const Instant later = kStart + seconds(4);
     leader.assign_ranks(later);
     follower.on_ranks_received(leader.ranks_of(follower.local_balancers(kStart), later), later);
     std::vector<std::uint32_t> numbers;
-    for (const auto& place : {leader.rank_of({3, 1}, later), follower.rank_of({1, 1}, later),
-                              follower.rank_of({2, 1}, later)}) {
-      CHECK(place.count == 3);
-      numbers.push_back(place.index);
+    for (const auto& received_rank :
+         {leader.rank_of({3, 1}, later), follower.rank_of({1, 1}, later),
+          follower.rank_of({2, 1}, later)}) {
+      CHECK(received_rank.count == 3);
+      numbers.push_back(received_rank.index);
     }
     std::sort(numbers.begin(), numbers.end());
     CHECK(numbers == std::vector<std::uint32_t>{0, 1, 2});
-    // A follower that hears of no leader tells nothing after a while.
+    // A replica without reports from a leader drops its ranks after a while.
     CHECK(follower.rank_of({1, 1}, later + seconds(11)).count == 0);
   }
 
-  TEST_CASE("answers to heartbeats tell the places, at the leader and at its followers") {
+  TEST_CASE("heartbeat replies carry the ranks, at the leader and at its followers") {
     control_cluster::Cluster cluster;
     cluster.run(seconds(3));
     REQUIRE(cluster.leader() != 0);
-    std::vector<BalancerRank> told(3);
-    for (int turn = 0; turn < 6; ++turn) {
+    std::vector<BalancerRank> reported_ranks(3);
+    for (int round = 0; round < 6; ++round) {
       for (std::uint32_t i = 1; i <= 3; ++i) {
         NodeHeartbeat heartbeat;
         heartbeat.member.address = {100 + i, 6000};
@@ -346,27 +349,27 @@
         for (const auto& [to, message] : cluster.output(i).to_nodes) {
           const auto* reply = std::get_if<HeartbeatReply>(&message);
           if (reply != nullptr && to == Endpoint{100 + i, 6000}) {
-            told[i - 1] = reply->rank;
+            reported_ranks[i - 1] = reply->rank;
           }
         }
       }
       cluster.run(seconds(1));
     }
     std::vector<std::uint32_t> numbers;
-    for (const auto& place : told) {
-      CHECK(place.count == 3);
-      numbers.push_back(place.index);
+    for (const auto& received_rank : reported_ranks) {
+      CHECK(received_rank.count == 3);
+      numbers.push_back(received_rank.index);
     }
     std::sort(numbers.begin(), numbers.end());
     CHECK(numbers == std::vector<std::uint32_t>{0, 1, 2});
-    // Twice a second, of the 3 KB/s that a balancer may take for control.
+    // Sent twice per second, within the 3 KB/s that a balancer may use for control traffic.
     HeartbeatReply without;
     HeartbeatReply with;
     with.rank = {749, 750};
     CHECK(encode_archive(with).size() - encode_archive(without).size() <= 8);
   }
 
-  TEST_CASE("lost balancers keep their numbers for a while, a new leader begins anew") {
+  TEST_CASE("lost balancers keep their ranks for a while, and a new leader starts over") {
     BalancerRanking leader;
     leader.on_elected(kStart);
     leader.on_reported({{1, 1}, {2, 1}}, kStart);
--- a/tests/unit/test_zone_paths.cc
+++ b/tests/unit/test_zone_paths.cc
@@ -17,7 +17,7 @@
 constexpr TargetId kTargetsOfZone = 8;
 const std::vector<std::string> kZones = {"near", "far", "farther"};
 
-/// Targets 1 to 8 are near, 9 to 16 far, 17 to 24 farther.
+/// Targets 1 to 8 are in zone near, 9 to 16 in far, 17 to 24 in farther.
 std::string zone_of(TargetId id) { return kZones[(id - 1) / kTargetsOfZone]; }
 
 RegisteredTarget make_target(TargetId id) {
@@ -31,10 +31,11 @@
   return target;
 }
 
-/// What a target does with probes.
+/// How a target reacts to probes.
 enum class Behaviour { kAccepts, kRefuses, kSilent };
 
-/// Targets in three zones that answer probes after a while, and the steps of a balancer's loop.
+/// Targets in three zones that answer probes after a round trip, driven by the steps of a
+/// balancer's event loop.
 class ProbedZones {
  public:
   ProbedZones() {
@@ -44,20 +45,20 @@
     }
   }
 
-  void set_zone(const std::string& zone, Behaviour what) {
+  void set_zone(const std::string& zone, Behaviour reaction) {
     for (const TargetId id : answered) {
-      behaviour[id] = zone_of(id) == zone ? what : behaviour[id];
+      behaviour[id] = zone_of(id) == zone ? reaction : behaviour[id];
     }
   }
 
-  /// Runs the loop for some time; gives what was concluded.
+  /// Runs the event loop for `time` and returns the detected changes.
   std::vector<ZonePathChange> run(Duration time) {
     std::vector<ZonePathChange> all;
     for (const Instant end = now + time; now < end; now += milliseconds(5)) {
       if (now < stands_still_until) {
         continue;
       }
-      // A loop that wakes up may run what is due before it reads what has come.
+      // An event loop that wakes up may run due timers before it reads received packets.
       if (now >= next_step_) {
         next_step_ = now + TargetReachability::kStepInterval;
         send_probes();
@@ -118,10 +119,10 @@
 }  // namespace
 
 TEST_SUITE("zone_paths") {
-  TEST_CASE("a zone half of which goes dark at once is not taken for cut off") {
+  TEST_CASE("a zone of which half of the targets fail at once does not count as cut") {
     std::mt19937_64 random(20261202);
     constexpr TargetId kMembers = 50;
-    for (int look = 0; look < 500; ++look) {
+    for (int check_number = 0; check_number < 500; ++check_number) {
       ProbedZones zones;
       for (TargetId id = 100; id < 100 + kMembers; ++id) {
         RegisteredTarget target = make_target(9);
@@ -138,7 +139,7 @@
     }
   }
 
-  TEST_CASE("a zone that falls silent is concluded cut within 150 ms of the first doubt") {
+  TEST_CASE("a zone that becomes silent is detected as cut within 150 ms of the suspicion") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     zones.suspect(9);
@@ -148,7 +149,7 @@
     CHECK(changes[0].zone == "far");
     CHECK(changes[0].is_cut);
     CHECK(changes[0].targets == kTargetsOfZone);
-    // Three in the first round, all in two more.
+    // Three in the first round, all of them in two more.
     CHECK(changes[0].probes == 3 + 2 * kTargetsOfZone);
     CHECK(changes[0].suspected == 9);
     CHECK(zones.paths.is_cut(TargetId{10}));
@@ -158,16 +159,16 @@
     CHECK(zones.paths.cut_count() == 1);
   }
 
-  TEST_CASE("refusals count like silence, and one that accepts ends the look") {
+  TEST_CASE("refusals count like silence, and one accepted probe ends the check") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kRefuses);
-    SUBCASE("all refuse") {
+    SUBCASE("all targets refuse") {
       zones.suspect(9);
       const auto changes = zones.run(milliseconds(150));
       REQUIRE(changes.size() == 1);
       CHECK(changes[0].refusals == 3 + 2 * kTargetsOfZone);
     }
-    SUBCASE("one accepts: it was a machine, or a rack") {
+    SUBCASE("one target accepts: a host or a rack failed, not the path") {
       zones.behaviour[12] = Behaviour::kAccepts;
       zones.suspect(9);
       CHECK(zones.run(milliseconds(500)).empty());
@@ -175,7 +176,7 @@
     }
   }
 
-  TEST_CASE("two zones that are cut at once are both concluded from one doubt") {
+  TEST_CASE("two zones that are cut at once are both detected from one suspicion") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     zones.set_zone("farther", Behaviour::kSilent);
@@ -187,19 +188,19 @@
     CHECK(zones.paths.cut_count() == 2);
   }
 
-  TEST_CASE("nothing is concluded where silence proves nothing") {
+  TEST_CASE("no change is detected where silence proves nothing") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
-    SUBCASE("the own zone is silent, too") {
+    SUBCASE("the local zone is silent as well") {
       zones.set_zone("near", Behaviour::kSilent);
       zones.set_zone("farther", Behaviour::kSilent);
     }
-    SUBCASE("one of two near targets does not answer: as much may be lost on the own link") {
+    SUBCASE("one of two local targets is silent: the local link may lose as much") {
       zones.behaviour[2] = Behaviour::kSilent;
     }
-    SUBCASE("the own link is full") { zones.is_link_congested = true; }
+    SUBCASE("the local link is congested") { zones.is_link_congested = true; }
     SUBCASE("probes cannot be sent") { zones.sends = false; }
-    SUBCASE("no near target answered lately") {
+    SUBCASE("no local target answered recently") {
       std::erase_if(zones.answered, [](TargetId id) { return id <= kTargetsOfZone; });
     }
     zones.suspect(9);
@@ -208,11 +209,11 @@
     CHECK(zones.paths.cut_count() == 0);
   }
 
-  TEST_CASE("a balancer that stands still between its probes blames no zone") {
+  TEST_CASE("a balancer that is paused between its probes detects no cut") {
     for (int pause_at = 0; pause_at < 200; pause_at += 5) {
       for (const int pause : {40, 70, 110, 2000}) {
         ProbedZones zones;
-        // Longer than the near ones take, as between regions.
+        // Longer than the round trip to local targets, as between regions.
         zones.round_trip = milliseconds(24);
         zones.suspect(9);
         auto changes = zones.run(milliseconds(pause_at));
@@ -224,7 +225,7 @@
     }
   }
 
-  TEST_CASE("an answer to what was sent since ends a look; one to what was sent before does not") {
+  TEST_CASE("a reply to a packet sent since the suspicion ends a check, an earlier one does not") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     const Instant sent_at = zones.now;
@@ -237,27 +238,27 @@
     CHECK(zones.run(milliseconds(150)).empty());
   }
 
-  TEST_CASE("the own zone and a zone of one target are not judged, nor without an own zone") {
+  TEST_CASE("no check for the local zone, for a zone of one target, or without a local zone") {
     ProbedZones zones;
     CHECK_FALSE(zones.paths.may_check(1, zones.now));
-    RegisteredTarget lonely = make_target(1);
-    lonely.id = 90;
-    lonely.zone = "island";
-    zones.paths.on_target(lonely);
+    RegisteredTarget single_target = make_target(1);
+    single_target.id = 90;
+    single_target.zone = "island";
+    zones.paths.on_target(single_target);
     zones.suspect(90);
     CHECK_FALSE(zones.paths.is_checking());
-    ZonePaths nowhere{""};
-    nowhere.on_target(make_target(9));
-    CHECK_FALSE(nowhere.may_check(9, kStart));
+    ZonePaths paths_without_zone{""};
+    paths_without_zone.on_target(make_target(9));
+    CHECK_FALSE(paths_without_zone.may_check(9, kStart));
   }
 
-  TEST_CASE("looks that are answered become rarer, and a cut is found again after a quiet while") {
+  TEST_CASE("answered checks become less frequent until a quiet time resets the backoff") {
     ProbedZones zones;
     for (int i = 0; i < 400; ++i) {
       zones.suspect(9);
       zones.run(milliseconds(25));
     }
-    // 10 s: pauses of 0.25, 0.5 and then 1 s, each look three probes.
+    // 10 s with backoffs of 0.25, 0.5 and then 1 s, and three probes per check.
     CHECK(zones.probes["far"] <= 12 * 3);
     zones.run(seconds(13));
     zones.suspect(9);
@@ -266,7 +267,7 @@
     CHECK(zones.paths.may_check(9, zones.now));
   }
 
-  TEST_CASE("where nothing near answers, looks stay small and become rarer") {
+  TEST_CASE("if no local target answers, checks stay small and become less frequent") {
     ProbedZones zones;
     for (const std::string& zone : kZones) {
       zones.set_zone(zone, Behaviour::kSilent);
@@ -275,19 +276,19 @@
       zones.suspect(9);
       CHECK(zones.run(milliseconds(25)).empty());
     }
-    // 10 s: pauses of 0.1 to 3.2 s, each look three probes there and one near.
+    // 10 s with backoffs of 0.1 to 3.2 s, and per check three probes there and one local probe.
     CHECK(zones.probes["far"] <= 8 * 3);
     CHECK(zones.probes["near"] <= 8);
     CHECK(zones.probes["farther"] == 0);
   }
 
-  TEST_CASE("a path is back when several targets answer twice on end, and load returns slowly") {
+  TEST_CASE("a path recovers when several targets answer in two rounds, and load ramps up") {
     ProbedZones zones;
     zones.set_zone("far", Behaviour::kSilent);
     zones.suspect(9);
     REQUIRE(zones.run(milliseconds(150)).size() == 1);
-    SUBCASE("one target that answers now and then does not bring it back") {
-      for (int look = 0; look < 10; ++look) {
+    SUBCASE("one target that answers intermittently is no recovery") {
+      for (int check_number = 0; check_number < 10; ++check_number) {
         zones.behaviour[11] = Behaviour::kAccepts;
         CHECK(zones.run(milliseconds(300)).empty());
         zones.behaviour[11] = Behaviour::kSilent;
@@ -295,14 +296,14 @@
       }
       CHECK(zones.paths.is_cut(TargetId{9}));
     }
-    SUBCASE("one target that goes on answering does: the others may be gone") {
+    SUBCASE("one target that answers continuously is a recovery: the others may be gone") {
       zones.behaviour[11] = Behaviour::kAccepts;
       const auto changes = zones.run(seconds(3));
       REQUIRE(changes.size() == 1);
       CHECK_FALSE(changes[0].is_cut);
       CHECK_FALSE(zones.paths.is_cut(TargetId{9}));
     }
-    SUBCASE("all answer again") {
+    SUBCASE("all targets answer again") {
       zones.run(seconds(2));
       zones.set_zone("far", Behaviour::kAccepts);
       const auto changes = zones.run(milliseconds(600));
@@ -326,7 +327,7 @@
       CHECK(half < 900);
       CHECK(admitted() == 1000);
     }
-    SUBCASE("a cut that begins again while load returns") {
+    SUBCASE("the path is cut again while load ramps up") {
       zones.set_zone("far", Behaviour::kAccepts);
       REQUIRE(zones.run(milliseconds(600)).size() == 1);
       zones.set_zone("far", Behaviour::kSilent);
@@ -337,7 +338,7 @@
     }
   }
 
-  TEST_CASE("zones are bounded in number, and targets that are gone are forgotten") {
+  TEST_CASE("the number of zones is limited, and ended targets are removed") {
     ZonePaths paths{"near"};
     for (TargetId id = 1; id <= 3 * ZonePaths::kMaxZones; ++id) {
       RegisteredTarget target = make_target(1);
