--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -169,17 +169,17 @@
       return;
     }
     // If most targets fail, no reference target shows that a balancer receives answers.
-    const auto is_well = [](const auto& one) {
+    const auto is_healthy = [](const auto& one) {
       return one.second.state == TargetState::kLives && one.second.cut_from.empty();
     };
-    const bool most_are_well =
-        std::count_if(targets_.begin(), targets_.end(), is_well) > static_cast<int>(kTargets / 2);
-    if (congests_links_ && most_are_well && random_() % 3 == 0) {
+    const bool most_are_healthy = std::count_if(targets_.begin(), targets_.end(), is_healthy) >
+                                  static_cast<int>(kTargets / 2);
+    if (congests_links_ && most_are_healthy && random_() % 3 == 0) {
       target.state = random_() % 2 == 0 ? TargetState::kFull : TargetState::kGone;
       target.changed_at = now_;
       return;
     }
-    switch (most_are_well ? random_() % 7 : 4) {
+    switch (most_are_healthy ? random_() % 7 : 4) {
       case 0:
         target.state = TargetState::kDead;
         break;
@@ -379,18 +379,18 @@
 
 TEST_SUITE("reachability_workload") {
   TEST_CASE("no reachable target is reported, and clients of dead targets are reset") {
-    int told = 0;
+    int resets = 0;
     int conclusions = 0;
     Duration took{0};
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
       Workload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
-      told += workload.flows_reset;
+      resets += workload.flows_reset;
       conclusions += workload.conclusions;
       took += workload.took;
     }
-    CHECK(told > 1000);
+    CHECK(resets > 1000);
     REQUIRE(conclusions > 0);
     // Clients wait for this in addition to their retransmission timeout of 200 ms.
     MESSAGE("time from suspicion to detection: " << (took / conclusions).count()
@@ -400,14 +400,14 @@
 
   TEST_CASE("a congested local link or refusals of a full target do not make it unreachable") {
     // Guards against resetting flows that their targets still serve.
-    int told = 0;
+    int resets = 0;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
       CongestedWorkload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
-      told += workload.flows_reset;
+      resets += workload.flows_reset;
     }
-    CHECK(told > 500);
+    CHECK(resets > 500);
   }
 
   TEST_CASE("each injected fault is detected") {
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -1,8 +1,9 @@
-/// The load that core/steering/target_refusals and core/control/refusal_relay answer: many targets
-/// end at one moment, or are full for a while, under callers that try three times, each time at
-/// another balancer. Balancers of three zones steer by the product's own code; a replica in each
-/// zone passes on what they tell, and a leader concludes figures, with the delays between zones.
-/// Checked is what callers get, with the mechanism and without it.
+/// Workload for core/steering/target_refusals and core/control/refusal_relay: many targets end at
+/// the same time, or are full for a while, under clients that try three times, each time at a
+/// random balancer. Balancers of three zones run the production steering code. A replica in each
+/// zone relays reports, and a leader aggregates target health, with the delays between the zones.
+///
+/// Checks the outcome of clients with refusal probes and without them.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,14 +32,14 @@
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kBalancersPerZone = 12;
 constexpr TargetId kTargets = 60;
-/// New callers in a millisecond, so that a target gets five a second, as on a heavy day.
+/// New clients per millisecond: five per second and target, a high load.
 constexpr double kClientsPerStep = 0.3;
 constexpr int kMaxAttempts = 3;
-/// What a caller waits before it tries again, and when it gives an opening up.
+/// Delay before a client retries, and its timeout for opening a connection.
 constexpr Duration kRetryDelay = milliseconds(3);
 constexpr Duration kConnectTimeout = milliseconds(1400);
 constexpr std::array<Duration, 2> kRetransmissionTimes = {milliseconds(200), milliseconds(600)};
-/// From a request to its answer.
+/// Time from a request to its response.
 constexpr Duration kWork = milliseconds(30);
 constexpr Duration kProbeStep = TargetReachability::kStepInterval;
 constexpr Duration kTick = milliseconds(250);
@@ -59,7 +60,7 @@
   std::size_t balancer = 0;
   int attempts = 0;
   Instant started_at;
-  /// When the present try began, and what happens to it next.
+  /// Start of the current attempt.
   Instant attempt_started_at;
   std::size_t retransmissions = 0;
   TargetId target = 0;
@@ -67,25 +68,25 @@
   std::optional<Instant> retry_at;
 };
 
-/// What callers got.
+/// Outcome of all clients.
 struct Outcome {
   int asked = 0;
   int served = 0;
-  /// Not served since each try was refused.
+  /// Clients whose attempts were all refused or timed out.
   int refused = 0;
-  /// The same, of those who asked later than the bound after the targets ended.
+  /// The same, of clients that started later than `kMaxDetectionTime` after the targets ended.
   int refused_late = 0;
-  /// Served, after more than 100 ms.
+  /// Clients that were served after more than 100 ms.
   int slow = 0;
   int placed_at_gone = 0;
-  /// From the end of the targets to the last flow that was placed at one of them.
+  /// Time from the end of the targets to the last flow that was placed at one of them.
   Duration last_placed_after{0};
   std::uint64_t probes = 0;
   std::uint64_t messages = 0;
   std::size_t flows_ended = 0;
 };
 
-/// The time within which all balancers should go round a target that has ended.
+/// Time after which no balancer should place flows at a target that ended.
 constexpr Duration kMaxDetectionTime = milliseconds(80);
 
 class Workload {
@@ -116,16 +117,16 @@
     }
   }
 
-  /// From `at` on, a third of all targets are in this state, until `until`.
-  void inject_failure(TargetState trouble, Duration at, Duration until) {
-    failure_ = trouble;
+  /// Puts a third of all targets into this state from `at` until `until`.
+  void inject_failure(TargetState failure, Duration at, Duration until) {
+    failure_ = failure;
     failure_starts_at_ = kStart + at;
     failure_ends_at_ = kStart + until;
   }
-  /// Something on the way from one zone to another refuses in place of targets there.
+  /// Something on the path between two zones refuses connections in place of the targets.
   void cut_with_refusals(std::size_t from, std::size_t to) { refused_paths_ = {{from, to}}; }
 
-  /// A deliberate fault: what one zone's balancers tell counts for all.
+  /// Injected fault: reports of the balancers of one zone apply to all zones.
   void apply_reports_to_all_zones() { applies_reports_to_all_zones_ = true; }
 
   Outcome run(Duration time) {
@@ -135,10 +136,10 @@
       if (std::uniform_real_distribution<double>(0, 1)(random_) < kClientsPerStep) {
         start_client();
       }
-      for (auto& caller : clients_) {
-        step(caller);
+      for (auto& client : clients_) {
+        step(client);
       }
-      std::erase_if(clients_, [](const Client& caller) { return caller.attempts > kMaxAttempts; });
+      std::erase_if(clients_, [](const Client& client) { return client.attempts > kMaxAttempts; });
       for (std::size_t i = 0; i < balancers_.size(); ++i) {
         step_balancer(i);
       }
@@ -148,7 +149,8 @@
   }
 
   void forget_placed() { placed_.clear(); }
-  /// Shares of the flows that a zone's balancers placed at targets of a zone since the last call.
+  /// Number of flows that the balancers of one zone placed at targets of another since the last
+  /// call.
   int take_placed(std::size_t from, std::size_t to) {
     return std::exchange(placed_[{from, to}], 0);
   }
@@ -192,90 +194,90 @@
   }
 
   void start_client() {
-    Client caller;
-    caller.zone = random_() % kZones;
-    caller.address = 0x64400000 + ++last_caller_;
-    caller.started_at = now_;
+    Client client;
+    client.zone = random_() % kZones;
+    client.address = 0x64400000 + ++last_caller_;
+    client.started_at = now_;
     ++outcome_.asked;
-    start_attempt(caller);
-    clients_.push_back(caller);
+    start_attempt(client);
+    clients_.push_back(client);
   }
 
-  void start_attempt(Client& caller) {
-    caller.retry_at.reset();
-    caller.established_at.reset();
-    if (++caller.attempts > kMaxAttempts) {
+  void start_attempt(Client& client) {
+    client.retry_at.reset();
+    client.established_at.reset();
+    if (++client.attempts > kMaxAttempts) {
       ++outcome_.refused;
-      outcome_.refused_late += caller.started_at > failure_starts_at_ + kMaxDetectionTime ? 1 : 0;
+      outcome_.refused_late += client.started_at > failure_starts_at_ + kMaxDetectionTime ? 1 : 0;
       return;
     }
-    caller.port = static_cast<std::uint16_t>(4000 + caller.attempts);
-    caller.balancer = caller.zone * kBalancersPerZone + random_() % kBalancersPerZone;
-    caller.attempt_started_at = now_;
-    caller.retransmissions = 0;
-    send_syn(caller);
+    client.port = static_cast<std::uint16_t>(4000 + client.attempts);
+    client.balancer = client.zone * kBalancersPerZone + random_() % kBalancersPerZone;
+    client.attempt_started_at = now_;
+    client.retransmissions = 0;
+    send_syn(client);
   }
 
-  void send_syn(Client& caller) {
+  void send_syn(Client& client) {
     ClientPacket packet;
-    packet.flow = {{caller.address, caller.port}, kFrontend};
+    packet.flow = {{client.address, client.port}, kFrontend};
     packet.opens = true;
-    packet.retransmissions = static_cast<std::uint32_t>(caller.retransmissions);
-    const SteeringDecision decision = balancers_[caller.balancer].on_packet(packet, now_);
+    packet.retransmissions = static_cast<std::uint32_t>(client.retransmissions);
+    const SteeringDecision decision = balancers_[client.balancer].on_packet(packet, now_);
     if (decision.action != SteeringAction::kForward) {
-      caller.retry_at = now_ + kRetryDelay;
+      client.retry_at = now_ + kRetryDelay;
       return;
     }
-    caller.target = decision.target->id;
-    const std::size_t zone = zone_of(caller.target);
-    ++placed_[{caller.zone, zone}];
-    const TargetState state = state_of(caller.target);
-    const Duration round_trip = milliseconds(2) + 2 * one_way(caller.zone, zone);
-    if (state == TargetState::kGone || is_path_refused(caller.balancer, caller.target)) {
+    client.target = decision.target->id;
+    const std::size_t zone = zone_of(client.target);
+    ++placed_[{client.zone, zone}];
+    const TargetState state = state_of(client.target);
+    const Duration round_trip = milliseconds(2) + 2 * one_way(client.zone, zone);
+    if (state == TargetState::kGone || is_path_refused(client.balancer, client.target)) {
       ++outcome_.placed_at_gone;
       outcome_.last_placed_after = now_ - failure_starts_at_;
-      caller.retry_at = now_ + kRetryDelay;
-    } else if (state == TargetState::kLives && !caller.established_at) {
-      caller.established_at = now_ + round_trip;
+      client.retry_at = now_ + kRetryDelay;
+    } else if (state == TargetState::kLives && !client.established_at) {
+      client.established_at = now_ + round_trip;
     }
   }
 
-  void step(Client& caller) {
-    if (caller.attempts > kMaxAttempts) {
+  void step(Client& client) {
+    if (client.attempts > kMaxAttempts) {
       return;
     }
-    const bool gives_up = now_ - caller.attempt_started_at >= kConnectTimeout;
-    const bool tries_again = caller.retry_at && now_ >= *caller.retry_at;
-    const bool copies =
-        !caller.retry_at && caller.retransmissions < kRetransmissionTimes.size() &&
-        now_ - caller.attempt_started_at >= kRetransmissionTimes[caller.retransmissions];
-    if (caller.established_at && now_ >= *caller.established_at) {
-      finish(caller);
-    } else if (tries_again || gives_up) {
-      start_attempt(caller);
-    } else if (copies) {
-      ++caller.retransmissions;
-      send_syn(caller);
+    const bool gives_up = now_ - client.attempt_started_at >= kConnectTimeout;
+    const bool retries = client.retry_at && now_ >= *client.retry_at;
+    const bool retransmits =
+        !client.retry_at && client.retransmissions < kRetransmissionTimes.size() &&
+        now_ - client.attempt_started_at >= kRetransmissionTimes[client.retransmissions];
+    if (client.established_at && now_ >= *client.established_at) {
+      finish(client);
+    } else if (retries || gives_up) {
+      start_attempt(client);
+    } else if (retransmits) {
+      ++client.retransmissions;
+      send_syn(client);
     }
   }
 
-  /// The flow is open; its caller is served, and closes it.
-  void finish(Client& caller) {
+  /// The flow is established; its client is served and closes it.
+  void finish(Client& client) {
     ClientPacket packet;
-    packet.flow = {{caller.address, caller.port}, kFrontend};
-    packet.token = static_cast<FlowToken>(100 + caller.target);
+    packet.flow = {{client.address, client.port}, kFrontend};
+    packet.token = static_cast<FlowToken>(100 + client.target);
     packet.acknowledged = 1;
     packet.data_size = 100;
-    balancers_[caller.balancer].on_packet(packet, now_);
+    balancers_[client.balancer].on_packet(packet, now_);
     packet.data_size = 0;
     packet.acknowledged = 501;
     packet.closes = true;
-    later(kWork, [this, balancer = caller.balancer, packet] {
+    later(kWork, [this, balancer = client.balancer, packet] {
       balancers_[balancer].on_packet(packet, now_);
     });
     ++outcome_.served;
-    outcome_.slow += now_ - caller.started_at > milliseconds(100) ? 1 : 0;
-    caller.attempts = kMaxAttempts + 1;
+    outcome_.slow += now_ - client.started_at > milliseconds(100) ? 1 : 0;
+    client.attempts = kMaxAttempts + 1;
   }
 
   void step_balancer(std::size_t i) {
@@ -387,12 +389,12 @@
   return policy;
 }
 
-/// What callers get over some seeds, together.
-Outcome run_seeds(const SteeringPolicy& policy, TargetState trouble, Duration until) {
+/// Sum of the outcomes over several seeds.
+Outcome run_seeds(const SteeringPolicy& policy, TargetState failure, Duration until) {
   Outcome sum;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     Workload workload(seed, policy);
-    workload.inject_failure(trouble, seconds(4), seconds(4) + until);
+    workload.inject_failure(failure, seconds(4), seconds(4) + until);
     const Outcome one = workload.run(seconds(8));
     sum.asked += one.asked;
     sum.served += one.served;
@@ -408,17 +410,17 @@
 }
 
 void print(const std::string& name, const Outcome& outcome) {
-  MESSAGE(name << ": asked " << outcome.asked << ", refused three times " << outcome.refused
-               << " (of these later than 80 ms " << outcome.refused_late << "), slow "
-               << outcome.slow << ", placed at ended targets " << outcome.placed_at_gone
-               << ", the last after " << outcome.last_placed_after / milliseconds(1)
+  MESSAGE(name << ": clients " << outcome.asked << ", refused at each attempt " << outcome.refused
+               << " (of these started later than 80 ms " << outcome.refused_late << "), slow "
+               << outcome.slow << ", flows placed at ended targets " << outcome.placed_at_gone
+               << ", last one after " << outcome.last_placed_after / milliseconds(1)
                << " ms, probes " << outcome.probes << ", messages " << outcome.messages);
 }
 
 }  // namespace
 
 TEST_SUITE("refusal_workload") {
-  TEST_CASE("when a third of all targets end at once, callers are soon refused no more") {
+  TEST_CASE("after a third of all targets end at once, client refusals stop quickly") {
     const Outcome before = run_seeds(without_refusal_probes(), TargetState::kGone, seconds(4));
     const Outcome after = run_seeds({}, TargetState::kGone, seconds(4));
     print("without probes of refusals", before);
@@ -428,7 +430,7 @@
     CHECK(after.refused * 3 <= before.refused);
   }
 
-  TEST_CASE("when a third of all targets are full for a second, nobody fares worse") {
+  TEST_CASE("if a third of all targets are full for a second, no clients are worse off") {
     const Outcome before = run_seeds(without_refusal_probes(), TargetState::kFull, seconds(1));
     const Outcome after = run_seeds({}, TargetState::kFull, seconds(1));
     print("without probes of refusals", before);
@@ -437,7 +439,7 @@
     CHECK(after.slow <= before.slow);
   }
 
-  TEST_CASE("refusals on the way to a zone keep no other zone's flows away from it") {
+  TEST_CASE("refusals on the path to a zone do not divert flows of other zones") {
     Workload before(3, without_refusal_probes());
     Workload after(3, {});
     for (Workload* workload : {&before, &after}) {
@@ -446,13 +448,14 @@
       workload->forget_placed();
       workload->run(seconds(6));
     }
-    // What figures of openings tell reaches all zones, with the mechanism and without it.
+    // Target health from unanswered opening packets (SYN) reaches all zones in both cases.
     CHECK(after.take_placed(1, 1) * 20 >= before.take_placed(1, 1) * 19);
     CHECK(after.take_placed(2, 1) * 20 >= before.take_placed(2, 1) * 19);
   }
 
-  TEST_CASE("a zone whose targets are believed to refuse by another zone's word is caught") {
-    // The deliberate fault: refusals on the way to a zone are told as if the zone itself said so.
+  TEST_CASE("an injected fault that applies refusal reports of another zone is detected") {
+    // Injected fault: refusals on the path to a zone are reported as if the zone itself had seen
+    // them.
     Workload faulty(3, {});
     faulty.apply_reports_to_all_zones();
     Workload sound(3, {});
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -1,8 +1,10 @@
-/// A seeded workload over 80 balancers: at the busiest moment a zone of 40 targets comes back cold,
-/// while some balancers have just started, places are told late or never, and the control replicas
-/// may get a new leader. Checked: no cold target takes more opening packets in any second than its
-/// bound; nobody is refused, since warm targets are left; what cold targets may take is used; no
-/// rush follows when they are warm.
+/// Seeded workload over 80 balancers: under peak load a zone of 40 targets restarts cold, while
+/// some balancers have just started, ranks arrive late or never, and the control replicas may elect
+/// a new leader.
+///
+/// Checks that no cold target takes more opening packets (SYN) in any second than its limit, that
+/// no flow is rejected while warm targets remain, that the allowed rate is used, and that no burst
+/// follows the warm-up.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -30,20 +32,20 @@
 constexpr std::uint32_t kBalancers = 80;
 constexpr TargetId kTargets = 120;
 constexpr TargetId kZoneTargets = 40;
-/// What operators tolerate of a cold target within any second.
+/// Limit of flows within any second at a cold target: this multiple of the rate plus `kSlack`.
 constexpr double kOverrun = 1.5;
 constexpr double kSlack = 5;
 constexpr double kBusyFlowsPerS = 1000;
 
 struct Measurements {
-  /// Part of what cold targets may take, by the operator's rate.
+  /// Flows placed at cold targets as a fraction of the allowed rate.
   double used_of_rate = 0;
-  /// The same, where a warm target's flows are the most that a cold one should get.
+  /// The same, with the allowed rate capped at the flow rate of a warm target.
   double used_of_share = 0;
-  /// Greatest part of its bound that a cold target took in any second.
+  /// Largest fraction of its limit that a cold target took in any second.
   double max_fraction_of_bound = 0;
-  /// Most flows that a target took within a second, of the two after the warm-up: targets that
-  /// were cold, and all others.
+  /// Maximum of flows at a target within a second, in the two seconds after the warm-up, for
+  /// targets that were cold and for all others.
   std::size_t most_after = 0;
   std::size_t most_of_others = 0;
   std::size_t refused = 0;
@@ -124,7 +126,7 @@
     SimulatedBalancer balancer;
     balancer.address = {0x0A000000 + i * 7919, 6000};
     balancer.weight = i % 3 == 0 ? 3 : 1;
-    // A third starts around the moment in which the zone comes back.
+    // A third of the balancers starts around the restart of the zone.
     const bool is_new = pick(3) == 0;
     balancer.starts_at = is_new ? kZoneRestart - seconds(3) + milliseconds(pick(4000)) : kStart;
     balancer.never_receives_rank = pick(20) == 0;
@@ -142,7 +144,7 @@
     at(starts + milliseconds(1 + pick(500)), [this, i] { heartbeat(i); });
   }
 
-  /// What balancers are told is up to 2 s old when it comes, and some of it is lost.
+  /// Ranks arrive up to 2 s late, and some are lost.
   void heartbeat(std::uint32_t i) {
     at(now_ + milliseconds(500), [this, i] { heartbeat(i); });
     at(now_ + milliseconds(250), [this, i] { (void)balancers_[i].steering->take_warmed(now_); });
@@ -193,7 +195,7 @@
   }
 
   void start_flow() {
-    // 600 new flows a second, and two thirds more at the busiest moment.
+    // 600 new flows per second, and two thirds more under peak load.
     const double per_s = now_ > kZoneRestart - seconds(1) ? kBusyFlowsPerS : 600;
     const double pause_s = std::exponential_distribution<>(per_s)(random_);
     at(now_ + Duration(static_cast<std::int64_t>(pause_s * 1e6) + 1), [this] { start_flow(); });
@@ -236,7 +238,7 @@
        [this, i, follows] { balancers_[i].steering->on_packet(follows, now_); });
   }
 
-  /// The most instants of an ascending list that lie within one second.
+  /// Maximum number of instants of an ascending list within one second.
   static std::size_t max_in_a_second(const std::vector<Instant>& instants) {
     std::size_t most = 0;
     std::size_t first = 0;
@@ -272,7 +274,7 @@
       }
     }
     if (measured_.refused > 0) {
-      violation_ = "a flow was refused while warm targets were left";
+      violation_ = "a flow was rejected although warm targets remained";
     }
   }
 
@@ -303,7 +305,7 @@
   std::vector<Endpoint> reported_;
   std::vector<SimulatedBalancer> balancers_;
   std::uint32_t last_caller_ = 0;
-  /// When each target took an opening packet.
+  /// Times of the opening packets (SYN) that each target took.
   std::map<TargetId, std::vector<Instant>> taken_;
   Measurements measured_;
   std::string violation_;
@@ -312,7 +314,7 @@
 }  // namespace
 
 TEST_SUITE("warm_up_workload") {
-  TEST_CASE("cold targets stay within their bounds, and nobody is refused") {
+  TEST_CASE("cold targets stay within their limits, and no flow is rejected") {
     constexpr std::uint64_t kSeeds = 60;
     double used = 0;
     double used_of_share = 0;
@@ -329,16 +331,16 @@
       most_after += static_cast<double>(workload.measured().most_after) / kSeeds;
       most_of_others += static_cast<double>(workload.measured().most_of_others) / kSeeds;
     }
-    MESSAGE("of what cold targets may take, used: "
-            << used << ", of their share of the flows: " << used_of_share
-            << "; greatest part of a bound: " << of_bound
-            << "; most flows in a second after warm-up: " << most_after
-            << ", of others: " << most_of_others);
+    MESSAGE("fraction of the allowed rate used: "
+            << used << ", of the share of the flows: " << used_of_share
+            << "; largest fraction of a limit: " << of_bound
+            << "; most flows in a second after the warm-up: " << most_after
+            << ", at other targets: " << most_of_others);
     CHECK(used_of_share >= 0.5);
     CHECK(most_after <= 1.5 * most_of_others);
   }
 
-  TEST_CASE("a balancer that takes the whole budget is caught") {
+  TEST_CASE("an injected fault in which each balancer uses the whole budget is detected") {
     SteeringFaults whole_budget;
     whole_budget.take_whole_budget = true;
     CHECK(is_caught<Workload>(whole_budget));
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -1,9 +1,11 @@
-/// A seeded workload over balancers and targets in three zones whose paths are cut (silently, with
-/// refusals, one way, two at once, while a zone is evacuated), beside what looks like a cut: slow
-/// and busy zones, a dark rack, balancers that stand still or whose own link is full, and loss of
-/// one packet in ten. Checked: no balancer takes a path for cut that is open, no flow of a target
-/// that can be reached is reset for it, a cut is concluded and its end is noticed in bounded time,
-/// new flows stay on this side, and requests that run at most once are not broken off.
+/// Seeded workload over balancers and targets in three zones whose paths are cut (silently, with
+/// refusals, in one direction, two at once, or while a zone is evacuated), and over conditions that
+/// resemble a cut: slow and busy zones, a failed rack, paused balancers, congested local links, and
+/// 10% packet loss.
+///
+/// Checks that no balancer reports an open path as cut or resets a flow of a reachable target, that
+/// a cut and its recovery are detected in bounded time, that new flows avoid cut paths, and that
+/// non-idempotent requests in flight are not interrupted.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -27,10 +29,10 @@
 constexpr std::size_t kZones = 3;
 constexpr TargetId kTargetsOfZone = 6;
 constexpr std::uint32_t kFlowsOfZone = 40;
-/// A cut is concluded within this time: 60 ms until something is sent there, 100 ms until that is
-/// late, 110 ms of probes, and what loss and a look that was answered just before add.
+/// Limit for the detection of a cut: 60 ms until a request is sent, 100 ms until its reply is late,
+/// 110 ms of probes, and delays by packet loss and by the backoff after an answered check.
 constexpr Duration kMaxDetectionTime = milliseconds(1000);
-/// The end of a cut is noticed within this time: two looks, and a tick.
+/// Limit for the detection of a recovery: two recovery rounds and a tick.
 constexpr Duration kMaxRecoveryTime = milliseconds(1200);
 constexpr Duration kTick = milliseconds(250);
 
@@ -76,7 +78,7 @@
     if (scenario_ == Scenario::kEvacuatedAndCut) {
       state.evacuated_zones.push_back({zone_name((zone_ + 1) % kZones), 1});
     }
-    // A copy of a balancer would look into the state of the first.
+    // Reserved to avoid reallocation: a copied balancer would refer to the state of the original.
     balancers_.reserve(kZones);
     for (std::size_t i = 0; i < kZones; ++i) {
       balancers_.emplace_back(seed + i, zone_name(i));
@@ -94,7 +96,7 @@
     }
   }
 
-  /// Gives the first violation, or nothing.
+  /// Runs the workload and returns the first violation, or an empty string.
   std::string run() {
     while (now_ < kStart + seconds(14) && violation_.empty()) {
       now_ += kStep;
@@ -137,14 +139,14 @@
   [[nodiscard]] bool is_failure_active() const {
     return now_ >= kFailureStart && now_ < kFailureEnd;
   }
-  [[nodiscard]] bool is_active(Scenario trouble) const {
-    return is_failure_active() && scenario_ == trouble;
+  [[nodiscard]] bool is_active(Scenario scenario) const {
+    return is_failure_active() && scenario_ == scenario;
   }
   [[nodiscard]] bool is_cutting() const {
     return scenario_ >= Scenario::kSilentCut && scenario_ <= Scenario::kEvacuatedAndCut;
   }
 
-  /// True when a packet gets from one zone to the other.
+  /// True when packets from one zone reach the other.
   [[nodiscard]] bool is_open(std::size_t from, std::size_t to) const {
     if (!is_failure_active() || !is_cutting() || from == to) {
       return true;
@@ -207,12 +209,13 @@
     packet.opens = true;
     const SteeringDecision decision = balancers_[flow.balancer].on_packet(packet, now_);
     if (decision.target == nullptr) {
-      violation_ = "a flow was refused, though the own zone has targets";
+      violation_ = "a flow was rejected although the local zone has targets";
       return;
     }
     flow.target = decision.target->id;
     if (balancers_[flow.balancer].zone_paths().is_cut(flow.target)) {
-      violation_ = "a new flow went to target " + std::to_string(flow.target) + " behind a cut";
+      violation_ =
+          "a new flow went to target " + std::to_string(flow.target) + " behind a cut path";
     }
   }
 
@@ -236,7 +239,7 @@
       open(flow);
       return;
     }
-    // The answer goes to the caller itself, past the balancer.
+    // The response goes directly to the client, not through the balancer.
     const bool arrives = data > 0 && is_open(balancer, zone_of(flow.target)) &&
                          !is_dark(flow.target) && !is_lost(balancer);
     if (arrives && !flow.answer_at) {
@@ -278,7 +281,7 @@
                             now_ + milliseconds(is_busy ? 30 : 1 + random_() % 3)});
       }
     }
-    // Half of the balancers do not know the rate of their link.
+    // In half of the runs the balancer does not know the rate of its link.
     const bool is_congested = is_active(Scenario::kFullLink) && i == zone_ && knows_link_;
     for (const auto& change : balancers_[i].evaluate_zone_paths(is_congested, now_)) {
       check_change(i, change);
@@ -307,21 +310,22 @@
     const std::size_t zone = static_cast<std::size_t>(change.zone[0] - 'a');
     const bool is_reached = is_open(i, zone) && is_open(zone, i);
     if (change.is_cut && is_reached) {
-      violation_ = "balancer " + std::to_string(i) + " takes the open path to zone " + change.zone +
-                   " for cut";
+      violation_ = "balancer " + std::to_string(i) + " reports the open path to zone " +
+                   change.zone + " as cut";
     }
     if (change.is_cut && is_failure_active()) {
       detection_times.push_back(now_ - kFailureStart);
     }
     if (!change.is_cut && !is_reached) {
-      violation_ = "balancer " + std::to_string(i) + " takes the cut path for open";
+      violation_ = "balancer " + std::to_string(i) + " reports a cut path as open";
     }
   }
 
   void check_reset(const ClientFlow& flow) {
     const bool just_back = now_ >= kFailureEnd && now_ < kFailureEnd + kMaxRecoveryTime;
     if (is_reachable(flow.balancer, flow.target) && !just_back) {
-      violation_ = "a flow of target " + std::to_string(flow.target) + " that lives was reset";
+      violation_ = "a flow of target " + std::to_string(flow.target) +
+                   " was reset although the target is reachable";
     }
   }
 
@@ -332,10 +336,10 @@
       }
       ++flows_ended;
       check_reset(flow);
-      // What the balancer saw of it; a request may begin at the same moment.
+      // Only requests that the balancer has seen; a request may begin at the same moment.
       const bool is_under_way = flow.sent_at && *flow.sent_at < now_;
       if (flow.flow.frontend == kNonIdempotentFrontend && is_under_way) {
-        violation_ = "a request that runs at most once was broken off";
+        violation_ = "a non-idempotent request in flight was interrupted";
       }
       open(flow);
     }
@@ -349,7 +353,7 @@
     }
   }
 
-  /// Cuts are concluded and their ends noticed in time, by all.
+  /// Checks that all balancers detect cuts and recoveries in time.
   void check_detection_times() {
     const bool is_late = is_failure_active() && now_ > kFailureStart + kMaxDetectionTime;
     const bool is_over = now_ > kFailureEnd + kMaxRecoveryTime;
@@ -358,11 +362,11 @@
         const bool is_cut = balancers_[i].zone_paths().is_cut(zone_name(zone));
         const bool goes_there = is_open(i, zone);
         if (is_late && !goes_there && !is_cut) {
-          violation_ = "balancer " + std::to_string(i) + " has not noticed the cut to zone " +
+          violation_ = "balancer " + std::to_string(i) + " did not detect the cut path to zone " +
                        zone_name(zone);
         }
         if (is_over && is_cut) {
-          violation_ = "balancer " + std::to_string(i) + " has not noticed the end of the cut";
+          violation_ = "balancer " + std::to_string(i) + " did not detect the recovery of a path";
         }
       }
     }
@@ -381,7 +385,7 @@
   std::mt19937_64 random_;
   Scenario scenario_;
   bool knows_link_ = random_() % 2 == 0;
-  /// The zone, or the balancer, that is in trouble.
+  /// The zone, or the balancer, that the scenario affects.
   std::size_t zone_;
   Instant now_ = kStart;
   std::vector<FlowSteering> balancers_;
@@ -392,25 +396,25 @@
   std::string violation_;
 };
 
-/// The workload with one trouble at all seeds.
-template <Scenario trouble>
+/// The workload with the same scenario for all seeds.
+template <Scenario scenario>
 class ScenarioWorkload : public ZoneWorkload {
  public:
   ScenarioWorkload(std::uint64_t seed, const SteeringFaults& faults)
-      : ZoneWorkload(seed * kScenarios + static_cast<std::uint64_t>(trouble), faults) {}
+      : ZoneWorkload(seed * kScenarios + static_cast<std::uint64_t>(scenario), faults) {}
 };
 
 }  // namespace
 
 TEST_SUITE("zone_path_workload") {
-  TEST_CASE("paths that are cut are concluded in time, and no other") {
+  TEST_CASE("cut paths, and no others, are detected in time") {
     std::vector<Duration> times;
     int flows_ended = 0;
     for (std::uint64_t seed = 1; seed <= 240; ++seed) {
       ZoneWorkload workload(seed, {});
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(),
-                    "seed " << seed << ", trouble " << seed % kScenarios << ": " << violation);
+                    "seed " << seed << ", scenario " << seed % kScenarios << ": " << violation);
       times.insert(times.end(), workload.detection_times.begin(), workload.detection_times.end());
       flows_ended += workload.flows_ended;
     }
@@ -418,12 +422,12 @@
     REQUIRE(times.size() > 300);
     CHECK(times[times.size() / 2] < milliseconds(400));
     CHECK(flows_ended > 1000);
-    MESSAGE("cuts concluded after " << times[times.size() / 2] / milliseconds(1) << " ms (half), "
-                                    << times.back() / milliseconds(1) << " ms (all), "
-                                    << times.size() << " times; flows ended: " << flows_ended);
+    MESSAGE("cuts detected after " << times[times.size() / 2] / milliseconds(1) << " ms (median), "
+                                   << times.back() / milliseconds(1) << " ms (maximum), "
+                                   << times.size() << " detections; flows ended: " << flows_ended);
   }
 
-  TEST_CASE("each deliberate fault is caught") {
+  TEST_CASE("each injected fault is detected") {
     SteeringFaults without_reference;
     without_reference.zone_paths.ignore_references = true;
     CHECK(is_caught<ScenarioWorkload<Scenario::kFullLink>>(without_reference));
