--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -6,7 +6,7 @@
 ///
 /// A target counts as unreachable when its probes timed out or were refused while a probe of a
 /// reference target, sent between them, was answered. A slow balancer, or one that is cut off
-/// itself, therefore blames no target. While the local link is congested, silence proves nothing,
+/// itself, therefore reports no target. While the local link is congested, silence proves nothing,
 /// because probes and answers may have been lost on it. Only refusals count then, and a suspicion
 /// that saw congestion is probed again once the link is free. Each balancer decides by its own path
 /// to the target; reports of other balancers only start probes.
@@ -112,7 +112,7 @@
   [[nodiscard]] std::size_t unreachable_count() const { return unreachable_.size(); }
 
   /// Interval between two probes of a suspected target: a round trip between two regions (12 ms
-  /// each way). It bounds how long clients wait beyond their retransmission timeout of 200 ms.
+  /// each way). It determines how long clients wait beyond their retransmission timeout of 200 ms.
   static constexpr Duration kStepInterval = std::chrono::milliseconds(25);
   /// Upper bound of targets that are suspected at the same time; others wait for their next
   /// suspicion.
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -25,8 +25,9 @@
   kUnrestricted = 0,
   /// The target is warming up, and it is this balancer's time slot.
   kOwnTurn = 1,
-  /// The target came with a snapshot, which does not say since when it runs, so it may be warming
-  /// up. Preferred to no target, since most targets that a starting balancer finds are warm.
+  /// The target came with a snapshot, which does not say when its warm-up began, so it may be
+  /// warming up. It is still used if no warm target is left, because most targets that a starting
+  /// balancer finds are warm.
   kUnknownAge = 2,
   /// The target is warming up, and it is the time slot of another balancer.
   kOtherTurn = 3,
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -247,7 +247,7 @@
 
 std::vector<TargetId> ZonePaths::choose_recovery_probes(Zone& zone) const {
   std::vector<TargetId> chosen;
-  // Probes a target again that answered, because the others may be gone.
+  // Includes a target that answered before, because the others may be gone.
   if (!zone.previous_responders.empty() && zone_of(zone.previous_responders.front()) == &zone) {
     chosen.push_back(zone.previous_responders.front());
   }
