--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -36,7 +36,7 @@
   return result;
 }
 
-/// Number of flows that all balancers of a fleet received_rank in ten seconds.
+/// Number of flows that all balancers of a fleet place in ten seconds.
 std::size_t placed_by_all(std::uint32_t count, double flows_per_s) {
   std::size_t sum = 0;
   for (std::uint32_t number = 0; number < count; ++number) {
