--- a/src/core/steering/zone_path_check.cc
+++ b/src/core/steering/zone_path_check.cc
@@ -15,10 +15,10 @@
 /// Reference targets in the first round. Without an answer from them the check stops, so that
 /// probes add no load to a local link that loses many packets.
 constexpr std::size_t kFirstRoundReferences = 1;
-/// Of this many probes of reference targets ...
+/// Denominator of the share of reference probes that must be answered.
 constexpr std::uint32_t kReferenceAnswersDenominator = 4;
-/// ... this many must be answered: if a lossy link made all samples silent, it would also lose more
-/// than one in four of these.
+/// Numerator of that share. A link so lossy that it silences all samples would also lose more than
+/// one in four reference probes.
 constexpr std::uint32_t kReferenceAnswersNumerator = 3;
 /// Timeout of the last probes: at least this time, as for a single target, and at least this
 /// multiple of the reference round-trip time.
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -149,8 +149,8 @@
   std::vector<TargetId> references;
   for (const TargetId target : answered_) {
     const Zone* zone = zone_of(target);
-    const bool is_near = zone != nullptr && zone->name == own_zone_;
-    if (is_near && references.size() < ZonePathCheck::kReferences) {
+    const bool is_local = zone != nullptr && zone->name == own_zone_;
+    if (is_local && references.size() < ZonePathCheck::kReferences) {
       references.push_back(target);
     }
   }
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -303,9 +303,9 @@
         answers_.push_back({i, probe.number, answer, now_ + link_delay(i) + round_trip});
       }
     }
-    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
-      check_conclusion(i, concluded);
-      for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
+    for (const auto& detected : balancers_[i].evaluate_reachability(now_)) {
+      check_conclusion(i, detected);
+      for (const auto& reset : balancers_[i].reset_flows_to(detected.target)) {
         on_flow_reset(reset);
       }
     }
@@ -330,18 +330,18 @@
     }
   }
 
-  void check_conclusion(std::size_t i, const UnreachableTarget& concluded) {
+  void check_conclusion(std::size_t i, const UnreachableTarget& detected) {
     ++conclusions;
-    took += concluded.detection_time;
-    const SimTarget& target = targets_[concluded.target];
+    took += detected.detection_time;
+    const SimTarget& target = targets_[detected.target];
     const bool is_settled = now_ - target.changed_at > kSettled;
     if (is_settled && lives(target) && !target.cut_from.contains(i) && is_isolated(i)) {
       violation_ = "balancer " + std::to_string(i) +
                    " is cut off itself and reports as unreachable the live target " +
-                   std::to_string(concluded.target);
+                   std::to_string(detected.target);
     }
-    if (is_settled && answers(concluded.target, i)) {
-      violation_ = "target " + std::to_string(concluded.target) +
+    if (is_settled && answers(detected.target, i)) {
+      violation_ = "target " + std::to_string(detected.target) +
                    " was reported as unreachable, but it is alive, and balancer " +
                    std::to_string(i) + " can reach it";
     }
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -289,8 +289,8 @@
     for (const auto& reset : balancers_[i].reset_flows_to_unreachable_zones(now_)) {
       on_zone_path_reset(reset);
     }
-    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
-      for (const auto& reset : balancers_[i].reset_flows_to(concluded.target)) {
+    for (const auto& detected : balancers_[i].evaluate_reachability(now_)) {
+      for (const auto& reset : balancers_[i].reset_flows_to(detected.target)) {
         on_target_reset(reset);
       }
     }
--- a/tests/unit/test_target_reachability.cc
+++ b/tests/unit/test_target_reachability.cc
@@ -30,8 +30,8 @@
       if (now >= next_step_) {
         next_step_ = now + TargetReachability::kStepInterval;
         send_probes();
-        const auto concluded = reachability.detect_unreachable(now);
-        all.insert(all.end(), concluded.begin(), concluded.end());
+        const auto detected = reachability.detect_unreachable(now);
+        all.insert(all.end(), detected.begin(), detected.end());
       }
     }
     return all;
@@ -86,13 +86,13 @@
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
-    const auto concluded = targets.run(milliseconds(300));
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].target == kSuspected);
-    CHECK(concluded[0].reason == UnreachableReason::kSilent);
-    CHECK(concluded[0].probes == 3);
+    const auto detected = targets.run(milliseconds(300));
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].target == kSuspected);
+    CHECK(detected[0].reason == UnreachableReason::kSilent);
+    CHECK(detected[0].probes == 3);
     // Clients wait for this in addition to their retransmission timeout of 200 ms.
-    CHECK(concluded[0].detection_time <= milliseconds(150));
+    CHECK(detected[0].detection_time <= milliseconds(150));
     CHECK(targets.reachability.is_unreachable(kSuspected));
     CHECK_FALSE(targets.reachability.is_unreachable(kReference));
   }
@@ -145,9 +145,9 @@
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(150)).empty());
     targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
-    const auto concluded = targets.run(milliseconds(50));
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kRefused);
+    const auto detected = targets.run(milliseconds(50));
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kRefused);
     targets.behaviour[3] = Behaviour::kRefuses;
     targets.reachability.suspect(3, {kReference}, targets.now);
     targets.run(milliseconds(10));
@@ -191,9 +191,9 @@
     targets.behaviour = {{kSuspected, Behaviour::kAccepts}, {kReference, Behaviour::kAccepts}};
     targets.reachability.on_replaced(kSuspected);
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
-    const auto concluded = targets.run(milliseconds(100));
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kReplaced);
+    const auto detected = targets.run(milliseconds(100));
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kReplaced);
     targets.run(seconds(9));
     CHECK(targets.reachability.is_unreachable(kSuspected));
     targets.reachability.forget(kSuspected);
@@ -227,12 +227,12 @@
     REQUIRE(targets.reachability.is_probing());
     targets.reachability.set_link_congested(false, targets.now);
     const Instant free_at = targets.now;
-    const auto concluded = targets.run(milliseconds(150));
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kSilent);
-    CHECK(concluded[0].probes == 3);
+    const auto detected = targets.run(milliseconds(150));
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kSilent);
+    CHECK(detected[0].probes == 3);
     // As fast as for a suspicion that starts when the link is free.
-    CHECK(kStart + concluded[0].detection_time <= free_at + milliseconds(150));
+    CHECK(kStart + detected[0].detection_time <= free_at + milliseconds(150));
   }
 
   TEST_CASE("a suspicion that sees congestion does not count its earlier probes") {
@@ -307,9 +307,9 @@
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
     CHECK(targets.run(milliseconds(150)).empty());
     targets.reachability.on_unacknowledged_flow(kSuspected, kStart);
-    const auto concluded = targets.run(milliseconds(50));
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kRefused);
+    const auto detected = targets.run(milliseconds(50));
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kRefused);
   }
 
   TEST_CASE("a target that answers late on a congested link is reachable") {
