--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -47,7 +47,7 @@
     path.write_text(text)
 
 
-def play(bench: str, tree: pathlib.Path, site: str, day: str, seed: int, name: str):
+def run_day(bench: str, tree: pathlib.Path, site: str, day: str, seed: int, name: str):
     """Worth and share served of one day; nothing when it could not be played."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--report", report.name, "--why",
@@ -78,22 +78,22 @@
     print("| Site | Without | Change of worth: mean, least, greatest | Change of share served | Broken |")
     print("|---|---|---|---|---|")
     for site in arguments.sites:
-        usual = {}
+        baseline = {}
         for name in names:
             set_policy(arguments.work, MECHANISMS[name])
             with concurrent.futures.ThreadPoolExecutor(max_workers=min(arguments.jobs, 4)) as pool:
                 rows = dict(zip(pairs, pool.map(
-                    lambda pair, name=name: play(arguments.bench, arguments.work, site, *pair, name), pairs)))
+                    lambda pair, name=name: run_day(arguments.bench, arguments.work, site, *pair, name), pairs)))
             rows = {pair: row for pair, row in rows.items() if row is not None}
             if name == "all on":
-                usual = rows
-            both = [pair for pair in rows if pair in usual]
-            worth = [rows[pair][0] - usual[pair][0] for pair in both]
-            served = [rows[pair][1] - usual[pair][1] for pair in both]
-            broken = sum(rows[pair][2] for pair in both)
-            if both:
+                baseline = rows
+            common = [pair for pair in rows if pair in baseline]
+            worth = [rows[pair][0] - baseline[pair][0] for pair in common]
+            served = [rows[pair][1] - baseline[pair][1] for pair in common]
+            failed = sum(rows[pair][2] for pair in common)
+            if common:
                 print(f"| {pathlib.Path(site).stem} | {name} | {statistics.mean(worth):+.4f}, {min(worth):+.4f}, "
-                      f"{max(worth):+.4f} | {statistics.mean(served):+.4f} | {broken} of {len(both)} |", flush=True)
+                      f"{max(worth):+.4f} | {statistics.mean(served):+.4f} | {failed} of {len(common)} |", flush=True)
     set_policy(arguments.work, "")
 
 
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -21,19 +21,19 @@
 def run_load(fleet, first, second, drained, seconds):
     """Gives the callers' results, the targets' records and the time to drain."""
     load = {"seconds": seconds, "pause_ms": 100}
-    mixed = fleet.start_callers("mixed", first, 21000, feeds=60, updates=40, lookups=40, **load)
-    bulk = fleet.start_callers("bulk", second, 22000, downloads=20, **load)
+    mixed = fleet.start_clients("mixed", first, 21000, feeds=60, updates=40, lookups=40, **load)
+    bulk = fleet.start_clients("bulk", second, 22000, downloads=20, **load)
     time.sleep(seconds * 0.25)
     code, output = fleet.apply(EXAMPLES / f"{fleet.settings['deployment']}-drain.toml")
     if code != 0:
         raise fleets.FleetError(f"drain: exit {code}: {output}")
     drained_at = time.monotonic()
     fleet.restart_balancer(2)
-    results = [fleet.caller_result(process, seconds + 30) for process in (mixed, bulk)]
+    results = [fleet.client_result(process, seconds + 30) for process in (mixed, bulk)]
     since_drain = time.monotonic() - drained_at
     records = fleet.target_records()
-    late_work = since_drain - records[drained]["last_new_work_ms_ago"] / 1000
-    return results, records, late_work
+    drain_delay = since_drain - records[drained]["last_new_work_ms_ago"] / 1000
+    return results, records, drain_delay
 
 
 def print_table(name, rows):
@@ -43,11 +43,11 @@
         print(f"  {label:<42}{value:>12}{mark}")
 
 
-def demo(name, build, folder, seconds):
+def demo(name, build, directory, seconds):
     network, first, second, drained = DEPLOYMENTS[name]
-    shutil.rmtree(folder, ignore_errors=True)
-    fleet = fleets.Fleet(EXAMPLES / f"{name}.toml", folder, build, network)
-    results, records, late_work = fleets.run_with_fleet(
+    shutil.rmtree(directory, ignore_errors=True)
+    fleet = fleets.Fleet(EXAMPLES / f"{name}.toml", directory, build, network)
+    results, records, drain_delay = fleets.run_with_fleet(
         fleet, lambda: run_load(fleet, first, second, drained, seconds))
     total = {key: sum(r[key] for r in results) for key in results[0]
              if isinstance(results[0][key], int)}
@@ -69,7 +69,7 @@
         ("verdicts: may have run", total["verdicts_may_have_run"], False),
         ("verdicts without a time to come back", total["verdicts_without_time"], True),
         ("requests without any answer", total["timeouts"], True),
-        ("new work at the drained target after 3 s", int(late_work > 3), True),
+        ("new work at the drained target after 3 s", int(drain_delay > 3), True),
         (f"imbalance of requests, {first}",
          f"{fleets.imbalance(services[first], records, {drained}, 'requests'):.2f}", False),
         (f"imbalance of requests, {second}",
@@ -88,10 +88,10 @@
     parser.add_argument("--seconds", type=int, default=10)
     parser.add_argument("deployments", nargs="*", default=sorted(DEPLOYMENTS))
     arguments = parser.parse_args()
-    good = [demo(name, arguments.build, pathlib.Path(arguments.folder) / name, arguments.seconds)
+    passed = [demo(name, arguments.build, pathlib.Path(arguments.folder) / name, arguments.seconds)
             for name in arguments.deployments]
-    print("\nall zeros hold" if all(good) else "\nNOT ALL ZEROS HOLD")
-    return 0 if all(good) else 1
+    print("\nall zeros hold" if all(passed) else "\nNOT ALL ZEROS HOLD")
+    return 0 if all(passed) else 1
 
 
 if __name__ == "__main__":
--- a/scripts/endurance.py
+++ b/scripts/endurance.py
@@ -19,10 +19,10 @@
 from demo import DEPLOYMENTS, EXAMPLES, print_table
 from fault_proxy import FaultProxy
 
-PAUSE = 6
+ACTION_PAUSE = 6
 
 
-class Endurance:
+class EnduranceRun:
     """Drives one fleet and notes what was done and seen."""
 
     def __init__(self, fleet, proxy, seed):
@@ -32,13 +32,13 @@
         self.started = time.monotonic()
         self.events = []
         self.samples = []
-        self.force_times = []
+        self.apply_times = []
         self.drained = False
 
     def now(self):
         return time.monotonic() - self.started
 
-    def note(self, text):
+    def log_event(self, text):
         self.events.append((self.now(), text))
         print(f"{self.now():7.1f} s  {text}", flush=True)
 
@@ -47,36 +47,36 @@
 
     def restart_balancer(self):
         i = self.any_balancer()
-        self.note(f"planned restart of balancer-{i}")
+        self.log_event(f"planned restart of balancer-{i}")
         self.fleet.restart_balancer(i, 60)
 
     def apply_settings(self):
         name = self.fleet.settings["deployment"] + ("" if self.drained else "-drain") + ".toml"
         self.drained = not self.drained
-        begun = time.monotonic()
+        started_at = time.monotonic()
         code, output = self.fleet.apply(EXAMPLES / name)
-        self.note(f"apply {name}: exit {code}")
+        self.log_event(f"apply {name}: exit {code}")
         if code == 0:
-            self.force_times.append((self.now(), time.monotonic() - begun))
+            self.apply_times.append((self.now(), time.monotonic() - started_at))
         elif code not in (4, 5):
             raise fleets.FleetError(output)
 
     def restart_control(self):
         i = self.random.choice(self.fleet.control_numbers)
-        self.note(f"planned restart of control-{i}")
+        self.log_event(f"planned restart of control-{i}")
         self.fleet.processes[f"control-{i}"].stop()
         self.fleet.start_control(i)
 
     def kill_control(self):
         i = self.random.choice(self.fleet.control_numbers)
-        self.note(f"SIGKILL control-{i}")
+        self.log_event(f"SIGKILL control-{i}")
         self.fleet.processes[f"control-{i}"].kill()
         time.sleep(1)
         self.fleet.start_control(i)
 
     def kill_balancer(self):
         i = self.any_balancer()
-        self.note(f"SIGKILL balancer-{i}")
+        self.log_event(f"SIGKILL balancer-{i}")
         self.fleet.processes[f"balancer-{i}"].kill()
         self.fleet.announce(i, "gone")
         time.sleep(2)
@@ -85,7 +85,7 @@
 
     def freeze_balancer(self):
         i = self.any_balancer()
-        self.note(f"SIGSTOP balancer-{i} for 5 s")
+        self.log_event(f"SIGSTOP balancer-{i} for 5 s")
         process = self.fleet.processes[f"balancer-{i}"]
         process.signal(signal.SIGSTOP)
         time.sleep(5)
@@ -93,7 +93,7 @@
 
     def cut_zone(self):
         zone = self.random.choice(self.fleet.zones)
-        self.note(f"zone {zone} cut off for 5 s")
+        self.log_event(f"zone {zone} cut off for 5 s")
         inside, outside = [], []
         for i in self.fleet.control_numbers:
             side = inside if self.fleet.zones[i - 1] == zone else outside
@@ -118,7 +118,7 @@
             self.fleet.wait_until("a leader", lambda: self.fleet.leader_number() is not None, 60)
             self.fleet.wait_until("all joined", self.fleet.all_joined, 60)
             self.sample()
-            time.sleep(PAUSE)
+            time.sleep(ACTION_PAUSE)
 
 
 def imbalance_over_time(samples, service):
@@ -132,25 +132,25 @@
     return rows
 
 
-def plot(folder, name, title, label, rows):
+def plot(directory, name, title, label, rows):
     """Writes name.svg through gnuplot."""
-    data = folder / f"{name}.dat"
+    data = directory / f"{name}.dat"
     data.write_text("".join(f"{x:.2f} {y:.4f}\n" for x, y in rows))
-    script = (f'set terminal svg size 800,300; set output "{folder}/{name}.svg"; set title "{title}"; '
+    script = (f'set terminal svg size 800,300; set output "{directory}/{name}.svg"; set title "{title}"; '
               f'set xlabel "seconds"; set ylabel "{label}"; set yrange [0:*]; '
               f'plot "{data}" using 1:2 with linespoints notitle')
     subprocess.run(["gnuplot", "-e", script], check=True, timeout=60)
 
 
-def report(folder, name, rows, run):
+def report(directory, name, rows, run):
     lines = [f"# Endurance run of {name}", "", "| Measure | Value |", "|---|---|"]
-    lines += [f"| {label} | {value}{' (must be 0)' if zero else ''} |" for label, value, zero in rows]
+    lines += [f"| {label} | {value}{' (must be 0)' if must_be_zero else ''} |" for label, value, must_be_zero in rows]
     lines += ["", "![imbalance](imbalance.svg)", "", "![time to force](force.svg)", "", "## Events", ""]
     lines += [f"- {at:.1f} s: {text}" for at, text in run.events]
-    (folder / "report.md").write_text("\n".join(lines) + "\n")
+    (directory / "report.md").write_text("\n".join(lines) + "\n")
 
 
-def forward(fleet, proxy):
+def start_proxy(fleet, proxy):
     for i in fleet.control_numbers:
         proxy.forward_tcp(fleet.control_address(i), fleet.control_listen(i))
     for i in fleet.balancer_numbers:
@@ -158,21 +158,21 @@
     proxy.start()
 
 
-def endure(name, arguments):
+def run_endurance(name, arguments):
     network, first, second, _ = DEPLOYMENTS[name]
-    folder = pathlib.Path(arguments.folder) / name
-    shutil.rmtree(folder, ignore_errors=True)
-    fleet = fleets.Fleet(EXAMPLES / f"{name}.toml", folder, arguments.build, network, forwarded=True)
+    directory = pathlib.Path(arguments.folder) / name
+    shutil.rmtree(directory, ignore_errors=True)
+    fleet = fleets.Fleet(EXAMPLES / f"{name}.toml", directory, arguments.build, network, proxied=True)
     proxy = FaultProxy(arguments.seed)
-    forward(fleet, proxy)
+    start_proxy(fleet, proxy)
 
     def act():
         load = {"seconds": arguments.seconds, "pause_ms": 200}
-        callers = [fleet.start_callers("mixed", first, 21000, feeds=60, updates=30, lookups=30, **load),
-                   fleet.start_callers("bulk", second, 22000, downloads=20, **load)]
-        run = Endurance(fleet, proxy, arguments.seed)
+        clients = [fleet.start_clients("mixed", first, 21000, feeds=60, updates=30, lookups=30, **load),
+                   fleet.start_clients("bulk", second, 22000, downloads=20, **load)]
+        run = EnduranceRun(fleet, proxy, arguments.seed)
         run.run(arguments.seconds - 10, arguments.planned)
-        results = [fleet.caller_result(process, 200) for process in callers]
+        results = [fleet.client_result(process, 200) for process in clients]
         return run, results, fleet.target_records()
 
     try:
@@ -182,7 +182,7 @@
     total = {k: sum(r[k] for r in results) for k in results[0] if isinstance(results[0][k], int)}
     violations = fleets.check_updates(results, records)
     planned = arguments.planned
-    longest = max((t for _, t in run.force_times), default=0)
+    max_apply_time = max((t for _, t in run.apply_times), default=0)
     rows = [("requests", total["requests"], False), ("answers", total["answers"], False),
             ("feed notifications", total["notifications"], False),
             ("wrong answers", total["wrong_answers"], True),
@@ -194,16 +194,16 @@
             ("requests without any answer", total["timeouts"], planned),
             ("verdicts: may have run", total["verdicts_may_have_run"], planned),
             ("verdicts: not run", total["verdicts_not_run"], False),
-            ("settings applied", len(run.force_times), False),
-            ("longest apply --wait, s", f"{longest:.2f}", False)]
+            ("settings applied", len(run.apply_times), False),
+            ("longest apply --wait, s", f"{max_apply_time:.2f}", False)]
     print_table(f"{name}, {arguments.seconds} s, seed {arguments.seed}", rows)
     services = {s["name"]: s for s in fleet.settings["service"]}
-    plot(folder, "imbalance", f"Imbalance of requests, {first}", "maximum / mean",
+    plot(directory, "imbalance", f"Imbalance of requests, {first}", "maximum / mean",
          imbalance_over_time(run.samples, services[first]))
-    plot(folder, "force", "apply --wait", "seconds", run.force_times)
-    report(folder, name, rows, run)
-    (folder / "updates.json").write_text(json.dumps(violations))
-    return all(value == 0 for _, value, zero in rows if zero)
+    plot(directory, "force", "apply --wait", "seconds", run.apply_times)
+    report(directory, name, rows, run)
+    (directory / "updates.json").write_text(json.dumps(violations))
+    return all(value == 0 for _, value, must_be_zero in rows if must_be_zero)
 
 
 def main():
@@ -215,8 +215,8 @@
     parser.add_argument("--planned", action="store_true", help="planned changes only")
     parser.add_argument("deployments", nargs="*", default=sorted(DEPLOYMENTS))
     arguments = parser.parse_args()
-    good = [endure(name, arguments) for name in arguments.deployments]
-    return 0 if all(good) else 1
+    passed = [run_endurance(name, arguments) for name in arguments.deployments]
+    return 0 if all(passed) else 1
 
 
 if __name__ == "__main__":
--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -21,7 +21,7 @@
 SEND_TIMEOUT = 0.5
 
 
-def parse(address):
+def parse_address(address):
     host, port = address.rsplit(":", 1)
     return host, int(port)
 
@@ -44,8 +44,8 @@
         self.cuts = collections.Counter()
         self.delay = 0.0
         self.delayed = []
-        self.delay_order = itertools.count()
-        self.pairs = []
+        self.delay_sequence = itertools.count()
+        self.connections = []
         self.datagram_loss = 0.0
         self.datagram_duplication = 0.0
         self.dropped = 0
@@ -56,14 +56,14 @@
     def forward_tcp(self, public, private):
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(parse(public))
+        listener.bind(parse_address(public))
         listener.listen(64)
         listener.setblocking(False)
         self._watch(listener, lambda: self._accept(listener, public, private))
 
     def forward_udp(self, public, private):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.bind(parse(public))
+        sock.bind(parse_address(public))
         sock.setblocking(False)
         self._watch(sock, lambda: self._datagram(sock, public, private))
 
@@ -88,16 +88,16 @@
 
     def reset_connections(self, addresses):
         """Resets the TCP connections that processes with these public addresses have or serve."""
-        for pair in list(self.pairs):
-            if pair.public in addresses or pair.client_name in addresses:
-                pair.reset_wanted = True
+        for connection in list(self.connections):
+            if connection.public in addresses or connection.client_address in addresses:
+                connection.reset_requested = True
 
-    def silence_connections(self, share, way):
+    def silence_connections(self, share, direction):
         """From now on a share of the open connections carries nothing `up` (from the client), `down`, or `both`
         ways, for good; they stay open."""
-        for pair in list(self.pairs):
+        for connection in list(self.connections):
             if self.random.random() < share:
-                pair.silent_ways = {"up", "down"} if way == "both" else {way}
+                connection.silenced_directions = {"up", "down"} if direction == "both" else {direction}
 
     def heal(self, cut=None):
         """Ends one cut, while others last; without it, all of them."""
@@ -121,7 +121,7 @@
             return
         copies = 2 if self.random.random() < self.datagram_duplication else 1
         for _ in range(copies):
-            sock.sendto(data, parse(private))
+            sock.sendto(data, parse_address(private))
 
     def _accept(self, listener, public, private):
         try:
@@ -129,26 +129,26 @@
         except OSError:
             return
         try:
-            server = socket.create_connection(parse(private), timeout=1)
+            server = socket.create_connection(parse_address(private), timeout=1)
         except OSError:
             client.close()
             return
-        pair = Pair(self, client, server, public)
-        self.pairs.append(pair)
+        connection = ProxiedConnection(self, client, server, public)
+        self.connections.append(connection)
         for sock in (client, server):
             sock.setblocking(False)
-            self._watch(sock, lambda sock=sock, pair=pair: pair.on_readable(sock))
+            self._watch(sock, lambda sock=sock, connection=connection: connection.on_readable(sock))
 
-    def forget(self, sock):
+    def close_socket(self, sock):
         try:
             self.selector.unregister(sock)
         except (KeyError, ValueError):
             pass
         sock.close()
 
-    def later(self, action):
+    def schedule(self, action):
         """Runs an action after the present delay, in order."""
-        heapq.heappush(self.delayed, (time.monotonic() + self.delay, next(self.delay_order), action))
+        heapq.heappush(self.delayed, (time.monotonic() + self.delay, next(self.delay_sequence), action))
 
     def _run_delayed(self):
         while self.delayed and self.delayed[0][0] <= time.monotonic():
@@ -160,19 +160,19 @@
             for key, _ in self.selector.select(wait):
                 key.data()
             self._run_delayed()
-            for pair in [pair for pair in self.pairs if pair.reset_wanted]:
-                pair.reset()
+            for connection in [connection for connection in self.connections if connection.reset_requested]:
+                connection.reset()
 
 
-class Pair:
+class ProxiedConnection:
     """A connection from a client to one process, frame by frame."""
 
     def __init__(self, proxy, client, server, public):
         self.proxy = proxy
         self.public = public
-        self.client_name = None
-        self.reset_wanted = False
-        self.silent_ways = set()
+        self.client_address = None
+        self.reset_requested = False
+        self.silenced_directions = set()
         self.closed = False
         self.peer = {client: server, server: client}
         self.client = client
@@ -201,15 +201,15 @@
             return False
         frame, self.buffers[sock] = buffer[:size], buffer[size:]
         if sock is self.client:
-            self.client_name = sender_of(frame[FRAME_LENGTH:])
-        ends = (self.client_name, self.public)
-        sender, receiver = ends if sock is self.client else reversed(ends)
-        way = "up" if sock is self.client else "down"
-        if way in self.silent_ways or self.proxy._is_cut(sender, receiver):
+            self.client_address = sender_of(frame[FRAME_LENGTH:])
+        endpoints = (self.client_address, self.public)
+        sender, receiver = endpoints if sock is self.client else reversed(endpoints)
+        direction = "up" if sock is self.client else "down"
+        if direction in self.silenced_directions or self.proxy._is_cut(sender, receiver):
             self.proxy.dropped += 1
             return True
         if self.proxy.delay > 0 or self.proxy.delayed:
-            self.proxy.later(lambda: self._send(sock, frame))
+            self.proxy.schedule(lambda: self._send(sock, frame))
             return True
         return self._send(sock, frame)
 
@@ -234,7 +234,7 @@
 
     def close(self):
         self.closed = True
-        if self in self.proxy.pairs:
-            self.proxy.pairs.remove(self)
+        if self in self.proxy.connections:
+            self.proxy.connections.remove(self)
         for sock in self.peer:
-            self.proxy.forget(sock)
+            self.proxy.close_socket(sock)
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -26,11 +26,11 @@
 class Process:
     """One running program with its log files."""
 
-    def __init__(self, name, command, folder):
+    def __init__(self, name, command, directory):
         self.name = name
         self.command = command
-        self.output = folder / f"{name}.out"
-        self.log = folder / f"{name}.log"
+        self.output = directory / f"{name}.out"
+        self.log = directory / f"{name}.log"
         with open(self.output, "ab") as out, open(self.log, "ab") as log:
             # The system's own programs log to their standard output, stand-ins print results there.
             logs = "gorsevalve-" in str(command[0])
@@ -62,25 +62,25 @@
 class Fleet:
     """A deployment: control replicas, balancers, targets, fabric and platform."""
 
-    def __init__(self, settings, folder, build, network, balancers_per_zone=2, fabric_flags=(),
-                 target_flags=(), key="demo-cluster-key-0123456789", forwarded=False):
+    def __init__(self, settings, directory, build, network, balancers_per_zone=2, fabric_flags=(),
+                 target_flags=(), key="demo-cluster-key-0123456789", proxied=False):
         self.settings_path = pathlib.Path(settings)
         self.settings = tomllib.loads(self.settings_path.read_text())
-        self.folder = pathlib.Path(folder)
-        self.folder.mkdir(parents=True, exist_ok=True)
+        self.directory = pathlib.Path(directory)
+        self.directory.mkdir(parents=True, exist_ok=True)
         self.build = pathlib.Path(build)
         self.network = network
         self.per_zone = balancers_per_zone
         self.fabric_flags = list(fabric_flags)
         self.target_flags = list(target_flags)
-        self.forwarded = forwarded
+        self.proxied = proxied
         self.processes = {}
         self.zones = sorted({t["zone"] for s in self.settings["service"] for t in s["target"]})
         self.key_file = self._secret("keys", key)
         self.token_file = self._secret("tokens", TOKEN)
 
     def _secret(self, name, text):
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(text + "\n")
         path.chmod(0o600)
         return path
@@ -92,7 +92,7 @@
         return str(self.build / name)
 
     def spawn(self, name, command):
-        self.processes[name] = Process(name, command, self.folder)
+        self.processes[name] = Process(name, command, self.directory)
         return self.processes[name]
 
     # Addresses. Groups 200 and up are the system's own; lower ones are services and targets.
@@ -146,9 +146,9 @@
             "--replicas=" + ",".join(self.control_address(n) for n in self.control_numbers),
             f"--cluster={self.settings['deployment']}", f"--key_file={self.key_file}",
             f"--token_file={self.token_file}",
-            f"--data_folder={self.folder}/control-{i}.data",
+            f"--data_folder={self.directory}/control-{i}.data",
         ]
-        if self.forwarded:
+        if self.proxied:
             command.append(f"--listen={self.control_listen(i)}")
         return command + (["--initialize"] if initialize else [])
 
@@ -165,8 +165,8 @@
             f"--egress={self.egress}", f"--admin={self.balancer_admin(i)}",
             "--control=" + ",".join(self.control_address(n) for n in self.control_numbers),
             f"--cluster={self.settings['deployment']}", f"--key_file={self.key_file}",
-            f"--data_folder={self.folder}/balancer-{i}.data",
-            *([f"--listen={self.balancer_listen(i)}"] if self.forwarded else []),
+            f"--data_folder={self.directory}/balancer-{i}.data",
+            *([f"--listen={self.balancer_listen(i)}"] if self.proxied else []),
         ])
 
     def announce(self, i, state):
@@ -204,14 +204,14 @@
         code, output = self.apply(self.settings_path)
         if code != 0:
             raise FleetError(f"first settings: exit {code}: {output}")
-        self.wait_until("handovers settled", self.settled)
+        self.wait_until("handovers settled", self.handovers_complete)
         time.sleep(1.5)  # the fabric's list lags
 
     def all_joined(self):
         status = self.status()
         return status and status["members"] == len(self.balancer_numbers)
 
-    def settled(self):
+    def handovers_complete(self):
         status = self.status()
         if not status:
             return False
@@ -258,25 +258,25 @@
             time.sleep(0.1)
         raise FleetError(f"not in time: {what}")
 
-    def operator(self, *words):
+    def run_cli(self, *arguments):
         """Runs the operator's command; gives exit code and output."""
         servers = ",".join(self.control_admin(i) for i in self.control_numbers)
-        done = subprocess.run([self.program("gorsevalve"), *words, f"--server={servers}",
+        done = subprocess.run([self.program("gorsevalve"), *arguments, f"--server={servers}",
                                f"--token_file={self.token_file}"],
                               capture_output=True, text=True, timeout=90, check=False)
         return done.returncode, done.stdout + done.stderr
 
     def apply(self, path, *flags):
-        return self.operator("apply", str(path), "--wait", *flags)
+        return self.run_cli("apply", str(path), "--wait", *flags)
 
-    def start_callers(self, name, service, port, **counts):
+    def start_clients(self, name, service, port, **counts):
         flags = [f"--{key}={value}" for key, value in counts.items()]
         address = next(s["address"] for s in self.settings["service"] if s["name"] == service)
         return self.spawn(f"callers-{name}", [
             self.program("standin-caller"), f"--service={address}", f"--name={name}-",
             f"--source={self.ip(210, 1)}", f"--port={port}", *flags])
 
-    def caller_result(self, process, timeout):
+    def client_result(self, process, timeout):
         process.wait(timeout)
         return json.loads(process.output.read_text().strip().splitlines()[-1])
 
@@ -314,11 +314,11 @@
             executions[key] = executions.get(key, 0) + count
     violations = [f"{key} ran {count} times" for key, count in executions.items() if count > 1]
     for result in results:
-        for key, fate in result["updates"].items():
+        for key, reported in result["updates"].items():
             count = executions.get(key, 0)
-            if fate == done and count != 1:
+            if reported == done and count != 1:
                 violations.append(f"{key} was said to be done and ran {count} times")
-            if fate == not_run and count != 0:
+            if reported == not_run and count != 0:
                 violations.append(f"{key} was said not to have run and ran {count} times")
     del may_have_run
     return violations
--- a/scripts/make_examples.py
+++ b/scripts/make_examples.py
@@ -3,7 +3,7 @@
 
 import pathlib
 
-FOLDER = pathlib.Path(__file__).resolve().parent.parent / "examples"
+DIRECTORY = pathlib.Path(__file__).resolve().parent.parent / "examples"
 
 
 def service_lines(name, address, targets):
@@ -44,11 +44,11 @@
             for i in range(1, count + 1)
         ]
         lines += service_lines(name, f"127.{network}.0.{number}:5683", targets)
-    (FOLDER / file_name).write_text("\n".join(lines))
+    (DIRECTORY / file_name).write_text("\n".join(lines))
 
 
 def main():
-    FOLDER.mkdir(exist_ok=True)
+    DIRECTORY.mkdir(exist_ok=True)
     mu_north = ("mu-north", 20, ["plv-a", "plv-b", "pam-c"],
                 [("track-core", 15), ("proof-store", 4)])
     pnw_cascade = ("pnw-cascade", 30, ["tacoma-hall", "salem-hall", "spokane-hall"],
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -13,7 +13,7 @@
 import tempfile
 
 
-def altered(text: str, seed: int) -> str:
+def vary_site(text: str, seed: int) -> str:
     """The site with other shares of processor, delays and numbers of targets."""
     rng = random.Random(seed)
     text = re.sub(r"cpu_share = ([0-9.]+)",
@@ -29,16 +29,16 @@
                   text)
 
 
-def play(bench: str, site: pathlib.Path, day: pathlib.Path, why: str) -> str:
+def run_day(bench: str, site: pathlib.Path, day: pathlib.Path, why: str) -> str:
     """One line: site, day, and what the bench printed of it."""
     done = subprocess.run([bench, "run", str(site), str(day), "--why", f"{why}: {day.stem}"],
                           capture_output=True, text=True, timeout=600, check=False)
     out = done.stdout + done.stderr
     row = next((line for line in out.splitlines() if line.startswith(day.stem)), "no result")
-    wrong = [line for line in out.splitlines() if "the first that is wrong" in line]
+    errors = [line for line in out.splitlines() if "the first that is wrong" in line]
     if row == "no result":
-        wrong = out.splitlines()[-3:]
-    return " | ".join([site.stem, row.strip()] + wrong)
+        errors = out.splitlines()[-3:]
+    return " | ".join([site.stem, row.strip()] + errors)
 
 
 def main() -> None:
@@ -51,19 +51,19 @@
     parser.add_argument("sites", nargs="+")
     arguments = parser.parse_args()
     days = sorted(pathlib.Path(arguments.days).glob("*.toml"))
-    with tempfile.TemporaryDirectory() as folder:
+    with tempfile.TemporaryDirectory() as directory:
         sites = [pathlib.Path(site) for site in arguments.sites]
         for site in list(sites):
             for seed in range(arguments.vary):
-                copy = pathlib.Path(folder) / f"{site.stem}-altered{seed}.toml"
-                copy.write_text(altered(site.read_text(), seed))
+                copy = pathlib.Path(directory) / f"{site.stem}-altered{seed}.toml"
+                copy.write_text(vary_site(site.read_text(), seed))
                 wire = site.parent / "wire.json"
                 if wire.exists():
-                    (pathlib.Path(folder) / "wire.json").write_bytes(wire.read_bytes())
+                    (pathlib.Path(directory) / "wire.json").write_bytes(wire.read_bytes())
                 sites.append(copy)
         jobs = [(site, day) for site in sites for day in days]
         with concurrent.futures.ThreadPoolExecutor(max_workers=min(arguments.jobs, 4)) as pool:
-            for line in pool.map(lambda job: play(arguments.bench, *job, arguments.why), jobs):
+            for line in pool.map(lambda job: run_day(arguments.bench, *job, arguments.why), jobs):
                 print(line, flush=True)
 
 
--- a/scripts/recovery.py
+++ b/scripts/recovery.py
@@ -22,11 +22,11 @@
 def events_of(text: str):
     """Time, node and fields of each line of the log."""
     for line in text.splitlines():
-        found = LINE.match(line)
-        if not found:
+        line_match = LINE.match(line)
+        if not line_match:
             continue
         try:
-            yield float(found[1]), found[2], json.loads(found[3])
+            yield float(line_match[1]), line_match[2], json.loads(line_match[3])
         except json.JSONDecodeError:
             continue
 
@@ -40,8 +40,8 @@
 def recoveries(text: str):
     """One line for each loss of all machines in what the bench printed."""
     events = list(events_of(text))
-    for found in LOSS.finditer(text):
-        loss = float(found[1])
+    for line_match in LOSS.finditer(text):
+        loss = float(line_match[1])
         steps: dict[str, list[float]] = {}
         for at, node, fields in events:
             if loss < at < loss + WINDOW_S:
@@ -54,7 +54,7 @@
                f"confirmed {describe(steps.get('revision_confirmed', []))}")
 
 
-def play(arguments: argparse.Namespace, seed: int) -> list[str]:
+def run_day(arguments: argparse.Namespace, seed: int) -> list[str]:
     done = subprocess.run(
         [arguments.bench, "run", arguments.site, arguments.day, "--seed", str(seed), "--no-cpu", "--log", "all",
          "--why", "timeline of the recovery after a loss of all"],
@@ -74,7 +74,7 @@
     parser.add_argument("day")
     arguments = parser.parse_args()
     with concurrent.futures.ThreadPoolExecutor(max_workers=min(arguments.jobs, 4)) as pool:
-        for lines in pool.map(lambda seed: play(arguments, seed), range(1, arguments.seeds + 1)):
+        for lines in pool.map(lambda seed: run_day(arguments, seed), range(1, arguments.seeds + 1)):
             print("\n".join(lines), flush=True)
 
 
--- a/scripts/recovery_bound.py
+++ b/scripts/recovery_bound.py
@@ -10,24 +10,24 @@
 import argparse
 
 # When a caller sends a packet, after its first, in seconds (docs/PLATFORM.md).
-COPIES_S = (0.0, 0.2, 0.6, 1.4)
+SEND_TIMES_S = (0.0, 0.2, 0.6, 1.4)
 STEP_S = 0.001
 
 
-def credit(sent: float, arguments: argparse.Namespace, kind: list[float]) -> float:
+def credit(first_sent: float, arguments: argparse.Namespace, request_class: list[float]) -> float:
     """What a request earns at most that its caller first sent at `sent`, in seconds after the loss."""
-    _, aim, deadline, worth, worth_late = kind
+    _, aim, deadline, worth, worth_late = request_class
     best = 0.0
-    for copy in COPIES_S:
-        at = sent + copy
-        answered = at + arguments.answer
-        if answered > 0:
-            if at < arguments.listens:
+    for delay in SEND_TIMES_S:
+        sent_at = first_sent + delay
+        replied_at = sent_at + arguments.answer
+        if replied_at > 0:
+            if sent_at < arguments.listens:
                 continue
-            answered = max(arguments.decides, at) + arguments.answer
-        if answered <= sent + aim:
+            replied_at = max(arguments.decides, sent_at) + arguments.answer
+        if replied_at <= first_sent + aim:
             best = max(best, worth)
-        elif answered <= sent + deadline:
+        elif replied_at <= first_sent + deadline:
             best = max(best, worth_late)
     return best
 
@@ -41,9 +41,9 @@
     arguments = parser.parse_args()
     lost = 0.0
     for text in arguments.classes:
-        kind = [float(part) for part in text.split(":")]
+        request_class = [float(part) for part in text.split(":")]
         steps = int((arguments.decides + 2 * arguments.answer) / STEP_S)
-        lost += sum((kind[3] - credit(step * STEP_S - arguments.answer, arguments, kind)) * STEP_S * kind[0]
+        lost += sum((request_class[3] - credit(step * STEP_S - arguments.answer, arguments, request_class)) * STEP_S * request_class[0]
                     for step in range(steps))
     print(f"credit lost at least: {lost:.0f}")
 
--- a/tests/integration/support.py
+++ b/tests/integration/support.py
@@ -35,18 +35,18 @@
 
     network = None
     balancers_per_zone = 1
-    forwarded = False
+    proxied = False
     fabric_flags = ()
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.directory = pathlib.Path(directory.name)
         self.settings_path = self.write_settings("settings.toml")
-        self.fleet = fleets.Fleet(self.settings_path, self.folder, BUILD, self.network,
+        self.fleet = fleets.Fleet(self.settings_path, self.directory, BUILD, self.network,
                                   balancers_per_zone=self.balancers_per_zone,
-                                  forwarded=self.forwarded, fabric_flags=self.fabric_flags)
-        if self.forwarded:
+                                  proxied=self.proxied, fabric_flags=self.fabric_flags)
+        if self.proxied:
             self.proxy = FaultProxy()
             self.addCleanup(self.proxy.stop)
             for i in self.fleet.control_numbers:
@@ -59,16 +59,16 @@
         self.fleet.start()
 
     def write_settings(self, name, **options):
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(settings_text(self.network, **options))
         return path
 
     def start_load(self, seconds, name="load", service="main", **counts):
         port = {"main": 21000, "archive": 22000}[service]
         counts = counts or {"feeds": 10, "updates": 10, "lookups": 10}
-        return self.fleet.start_callers(name, service, port, seconds=seconds, pause_ms=100, **counts)
+        return self.fleet.start_clients(name, service, port, seconds=seconds, pause_ms=100, **counts)
 
-    def check_promises(self, results):
+    def check_invariants(self, results):
         """What must hold whatever fails."""
         records = self.fleet.target_records()
         self.assertEqual(fleets.check_updates(results, records), [])
@@ -78,7 +78,7 @@
             self.assertEqual(result["verdicts_without_time"], 0)
             self.assertGreater(result["answers"], 0)
 
-    def check_nothing_cut(self, results):
+    def check_no_disruption(self, results):
         """What must hold besides when a change was planned."""
         for result in results:
             self.assertEqual(result["broken_flows"], 0)
--- a/tests/integration/test_failures.py
+++ b/tests/integration/test_failures.py
@@ -10,11 +10,11 @@
 
 class BalancerFailureTest(FleetTest):
     network = 43
-    forwarded = True
+    proxied = True
 
     def test_kill_and_freeze(self):
         """A balancer is killed, another one frozen until it was replaced; both come back."""
-        callers = self.start_load(14)
+        clients = self.start_load(14)
         time.sleep(1)
         self.fleet.processes["balancer-1"].kill()
         self.fleet.announce(1, "gone")
@@ -25,24 +25,24 @@
         frozen.signal(signal.SIGSTOP)
         time.sleep(5)
         frozen.signal(signal.SIGCONT)
-        result = self.fleet.caller_result(callers, 150)
-        self.check_promises([result])
+        result = self.fleet.client_result(clients, 150)
+        self.check_invariants([result])
         self.fleet.wait_until("all joined", self.fleet.all_joined)
-        self.fleet.wait_until("settled", self.fleet.settled)
+        self.fleet.wait_until("settled", self.fleet.handovers_complete)
 
     def test_lossy_peers(self):
         """Messages and relayed datagrams between balancers are lost and doubled."""
         self.proxy.datagram_loss = 0.05
         self.proxy.datagram_duplication = 0.05
-        callers = self.start_load(6)
-        result = self.fleet.caller_result(callers, 150)
-        self.check_promises([result])
+        clients = self.start_load(6)
+        result = self.fleet.client_result(clients, 150)
+        self.check_invariants([result])
         self.assertGreater(self.proxy.dropped, 0)
 
 
 class ControlFailureTest(FleetTest):
     network = 44
-    forwarded = True
+    proxied = True
 
     def apply_drain(self, name):
         return self.fleet.apply(self.write_settings(f"drain-{name}.toml", draining=(name,)))
@@ -76,7 +76,7 @@
         leader = self.fleet.leader_number()
         wiped, killed = [i for i in self.fleet.control_numbers if i != leader]
         self.fleet.processes[f"control-{wiped}"].kill()
-        shutil.rmtree(self.folder / f"control-{wiped}.data")
+        shutil.rmtree(self.directory / f"control-{wiped}.data")
         self.fleet.start_control(wiped)
         self.fleet.wait_until("replaced replica caught up",
                               lambda: self.revision_at(wiped) >= revision)
@@ -90,7 +90,7 @@
 
     def test_all_restarted(self):
         """All control replicas are killed at once; flows go on meanwhile, nothing is lost."""
-        callers = self.start_load(8)
+        clients = self.start_load(8)
         code, _ = self.apply_drain("main-3")
         self.assertEqual(code, 0)
         before = self.status()
@@ -101,9 +101,9 @@
             self.fleet.start_control(i)
         self.fleet.wait_until("a leader again", lambda: self.fleet.leader_number() is not None)
         self.assertEqual(self.status()["settings_revision"], before["settings_revision"])
-        result = self.fleet.caller_result(callers, 60)
-        self.check_promises([result])
-        self.check_nothing_cut([result])
+        result = self.fleet.client_result(clients, 60)
+        self.check_invariants([result])
+        self.check_no_disruption([result])
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -11,8 +11,8 @@
     network = 41
     fabric_flags = ("--delay_ms=20", "--duplication=0.05", "--loss=0.02")
 
-    def client(self, *words):
-        done = subprocess.run(["coap-client-notls", "-B", "30", *words], capture_output=True,
+    def client(self, *arguments):
+        done = subprocess.run(["coap-client-notls", "-B", "30", *arguments], capture_output=True,
                               text=True, timeout=40, check=False)
         return done.stdout.strip()
 
@@ -31,15 +31,15 @@
     def test_crossed_late_and_doubled(self):
         """With loss, delay, reordering and duplication every caller gets its own answers, and the
         services do not mix."""
-        callers = [self.start_load(5, "a", "main", feeds=10, updates=20, lookups=20),
+        clients = [self.start_load(5, "a", "main", feeds=10, updates=20, lookups=20),
                    self.start_load(5, "b", "archive", downloads=10)]
         noise = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         for payload in (b"", b"\x40", b"\xff" * 1500, b"\x45\x01\x00\x01", bytes(9000)):
             noise.sendto(payload, (f"127.{self.network}.0.1", 5683))
             noise.sendto(payload, (f"127.{self.network}.201.1", 6000))
         noise.close()
-        results = [self.fleet.caller_result(process, 60) for process in callers]
-        self.check_promises(results)
+        results = [self.fleet.client_result(process, 60) for process in clients]
+        self.check_invariants(results)
         self.assertEqual(sum(r["broken_flows"] for r in results), 0)
 
 
--- a/tests/platform/replicated.py
+++ b/tests/platform/replicated.py
@@ -12,29 +12,29 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 BUILD = pathlib.Path(os.environ.get("GORSEVALVE_BUILD", ROOT / "build" / "release"))
-PATIENCE = 60
+TIMEOUT = 60
 CONTROL_PORT = 8166
 READINESS_PORT = 8167
 
 
-class KeepsRedirects(urllib.request.HTTPRedirectHandler):
+class NoRedirectHandler(urllib.request.HTTPRedirectHandler):
     """A redirect is an answer like any other here."""
 
     def redirect_request(self, *_):
         return None
 
 
-OPENER = urllib.request.build_opener(KeepsRedirects)
+OPENER = urllib.request.build_opener(NoRedirectHandler)
 
 
 def call(method, url, body=None):
     """Status, body and location of the answer; status 0 when there was none."""
     try:
-        with OPENER.open(urllib.request.Request(url, data=body, method=method), timeout=3) as answer:
-            return answer.status, answer.read().decode(), ""
-    except urllib.error.HTTPError as refusal:
-        with refusal:
-            return refusal.code, refusal.read().decode(), refusal.headers.get("Location", "")
+        with OPENER.open(urllib.request.Request(url, data=body, method=method), timeout=3) as response:
+            return response.status, response.read().decode(), ""
+    except urllib.error.HTTPError as http_error:
+        with http_error:
+            return http_error.code, http_error.read().decode(), http_error.headers.get("Location", "")
     except OSError:
         return 0, "", ""
 
@@ -48,9 +48,9 @@
         self.replicas = tuple(f"{self.network}.1.{number}" for number in (1, 2, 3))
         self.balancer = f"{self.network}.2.1"
         self.machines = (*self.replicas, self.balancer)
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.directory = pathlib.Path(directory.name)
         self.processes = {}
         self.addCleanup(self.kill_all)
         for ip in self.machines:
@@ -70,31 +70,31 @@
         return "".join(f"{name} = {value}\n" for name, value in fields.items())
 
     def data(self, ip):
-        return self.folder / ip / "data"
+        return self.directory / ip / "data"
 
     def start(self, ip, first_start=False):
         self.data(ip).mkdir(parents=True, exist_ok=True)
-        path = self.folder / ip / "node.toml"
+        path = self.directory / ip / "node.toml"
         path.write_text(self.settings(ip, first_start))
         program = "gorsevalve-platform-" + ("control" if ip in self.replicas else "balancer")
-        with open(self.folder / ip / "log", "ab") as log:
+        with open(self.directory / ip / "log", "ab") as log:
             self.processes[ip] = subprocess.Popen(
                 [str(BUILD / program)], stdout=log, stderr=log,
                 env=dict(os.environ, GORSEVALVE_NODE_FILE=str(path)))
 
     def kill(self, ip):
         self.processes[ip].kill()
-        self.processes[ip].wait(PATIENCE)
+        self.processes[ip].wait(TIMEOUT)
 
     def kill_all(self):
         for ip in self.processes:
             self.kill(ip)
 
     def log(self, ip):
-        return [json.loads(line) for line in (self.folder / ip / "log").read_text().splitlines()]
+        return [json.loads(line) for line in (self.directory / ip / "log").read_text().splitlines()]
 
     def wait_until(self, what, condition):
-        deadline = time.monotonic() + PATIENCE
+        deadline = time.monotonic() + TIMEOUT
         while not condition():
             self.assertLess(time.monotonic(), deadline, f"not in time: {what}")
             time.sleep(0.1)
--- a/tests/platform/soak/caller.py
+++ b/tests/platform/soak/caller.py
@@ -10,13 +10,13 @@
 from promises import now
 from streams import Receiver, Sender
 
-OPENING_COPIES = (0.0, 0.2, 0.6)
-OPENING_TIME = 1.4
+OPENING_SEND_TIMES = (0.0, 0.2, 0.6)
+OPENING_TIMEOUT = 1.4
 MAX_TRIES = 3
 
 
 @dataclasses.dataclass(frozen=True)
-class Kind:
+class RequestKind:
     """What one kind of caller asks for."""
 
     name: str
@@ -25,7 +25,7 @@
     priority: int
     aim: float
     deadline: float
-    once: bool
+    at_most_once: bool
     keeps_flow: bool
     # Octets of the request's body, at least and at most, and of the answer's.
     upload: tuple
@@ -34,51 +34,51 @@
     pause: float
 
 
-FEED = Kind("feed", "idempotent", 1, 0.4, 2.0, False, True, (0, 0), 2000, 0.02, 0.4)
-UPDATE = Kind("update", "non_idempotent", 0, 0.4, 2.5, True, True, (900, 900), 600, 0.03, 0.4)
-DOWNLOAD = Kind("download", "download", 2, 1.2, 8.0, False, False, (0, 0), 40000, 0.005, 0.6)
-UPLOAD = Kind("upload", "upload", 2, 2.0, 10.0, True, False, (5000, 60000), 100, 0.005, 1.0)
-KINDS = (FEED, UPDATE, DOWNLOAD, UPLOAD)
+FEED = RequestKind("feed", "idempotent", 1, 0.4, 2.0, False, True, (0, 0), 2000, 0.02, 0.4)
+UPDATE = RequestKind("update", "non_idempotent", 0, 0.4, 2.5, True, True, (900, 900), 600, 0.03, 0.4)
+DOWNLOAD = RequestKind("download", "download", 2, 1.2, 8.0, False, False, (0, 0), 40000, 0.005, 0.6)
+UPLOAD = RequestKind("upload", "upload", 2, 2.0, 10.0, True, False, (5000, 60000), 100, 0.005, 1.0)
+REQUEST_KINDS = (FEED, UPDATE, DOWNLOAD, UPLOAD)
 
 
-class CallerFlow:
+class ClientFlow:
     """The caller's end of one flow."""
 
-    def __init__(self, caller, frontend):
-        self.caller = caller
+    def __init__(self, client, frontend):
+        self.client = client
         self.frontend = frontend
-        self.source = (caller.ip, caller.next_port())
+        self.source = (client.ip, client.next_port())
         self.key = (self.source, frontend)
         self.receiver = None
         self.opening_seq = None
-        self.sender = Sender(caller.world.random.randrange(1 << 30), lambda data, seq: self.write(ACK, data, seq))
+        self.sender = Sender(client.world.random.randrange(1 << 30), lambda data, seq: self.write(ACK, data, seq))
         self.echo = 0
         self.opened = asyncio.get_running_loop().create_future()
         self.ended = asyncio.get_running_loop().create_future()
         self.arrived = asyncio.Event()
 
     def write(self, flags, data=b"", seq=None, ack=None):
-        seq = self.sender.sent if seq is None else seq
-        ack = self.receiver.received if ack is None else ack
-        self.caller.send(Packet(self.source, self.frontend, flags, seq & 0xFFFFFFFF, ack & 0xFFFFFFFF,
+        seq = self.sender.send_next if seq is None else seq
+        ack = self.receiver.receive_next if ack is None else ack
+        self.client.send(Packet(self.source, self.frontend, flags, seq & 0xFFFFFFFF, ack & 0xFFFFFFFF,
                                 self.echo, data))
 
     async def open(self):
         """True when a target answered; sends copies of the opening packet meanwhile."""
-        begun = now()
-        self.caller.world.opened_at[self.key] = begun
-        for number, at in enumerate(OPENING_COPIES):
-            wait = begun + at - now()
+        started_at = now()
+        self.client.world.opened_at[self.key] = started_at
+        for number, at in enumerate(OPENING_SEND_TIMES):
+            wait = started_at + at - now()
             if wait > 0:
                 await asyncio.wait({self.opened, self.ended}, timeout=wait,
                                    return_when=asyncio.FIRST_COMPLETED)
             if self.opened.done() or self.ended.done():
                 break
             self.write(SYN, ack=number)
-        await asyncio.wait({self.opened, self.ended}, timeout=max(0.0, begun + OPENING_TIME - now()),
+        await asyncio.wait({self.opened, self.ended}, timeout=max(0.0, started_at + OPENING_TIMEOUT - now()),
                            return_when=asyncio.FIRST_COMPLETED)
         if self.ended.done() and not self.opened.done() and self.ended.result() == "system":
-            self.caller.world.promises.on_refused_route(self.frontend, begun)
+            self.client.world.checker.on_refused_route(self.frontend, started_at)
         return self.opened.done() and not self.ended.done()
 
     def on_packet(self, packet, sender):
@@ -86,7 +86,7 @@
             self.on_reset(packet, sender)
             return
         if packet.has(SYN):
-            self.on_opening_answer(packet)
+            self.on_opening_reply(packet)
         elif self.receiver is not None:
             self.echo = packet.echo
             self.sender.on_acknowledged(packet.ack)
@@ -94,7 +94,7 @@
                 self.write(ACK)
             self.arrived.set()
 
-    def on_opening_answer(self, packet):
+    def on_opening_reply(self, packet):
         """The flow opens at the target that answers first."""
         if not self.opened.done():
             self.receiver = Receiver(packet.seq)
@@ -105,25 +105,25 @@
             self.write(ACK)
 
     def on_reset(self, packet, sender):
-        by_system = packet.is_reset_of_the_system()
+        by_system = packet.is_balancer_reset()
         if by_system and self.opened.done() and not self.ended.done():
-            world = self.caller.world
+            world = self.client.world
             holder = world.holder_of(self.key)
             if holder is None or world.paths.is_undisturbed(world.zone_of(sender), holder.zone):
-                world.promises.on_caller_reset(self.key, self.frontend, holder)
+                world.checker.on_client_reset(self.key, self.frontend, holder)
         if not self.ended.done():
             self.ended.set_result("system" if by_system else "target")
         self.sender.stop()
         self.arrived.set()
 
-    async def ask(self, request, body, deadline):
+    async def send_request(self, request, body, deadline):
         """The head of the answer and its body; None when it did not come in time."""
         self.sender.put(messages.encode(request, body))
         while now() < deadline and not self.ended.done():
-            answer = messages.take(self.receiver)
-            if answer is not None:
+            response = messages.take(self.receiver)
+            if response is not None:
                 self.write(ACK)
-                return answer
+                return response
             self.arrived.clear()
             try:
                 await asyncio.wait_for(self.arrived.wait(), max(0.001, deadline - now()))
@@ -135,10 +135,10 @@
         if self.opened.done() and not self.ended.done():
             self.write(FIN | ACK)
         self.sender.stop()
-        self.caller.flows.pop(self.source[1], None)
+        self.client.flows.pop(self.source[1], None)
 
 
-class Caller(asyncio.DatagramProtocol):
+class Client(asyncio.DatagramProtocol):
     """One machine of callers: an address with many ports."""
 
     _requests = itertools.count(1)
@@ -161,29 +161,29 @@
 
     def send(self, packet):
         node = self.world.router.choose(self.zone, packet.source, packet.destination)
-        if node is not None and not self.world.is_lost() and self.is_path_open(node):
+        if node is not None and not self.world.drops_packet() and self.is_path_open(node):
             self.transport.sendto(packets.encode(packet), (node, self.world.datagram_port))
 
     def is_path_open(self, ip):
         return self.world.paths.is_open(self.zone, self.world.zone_of(ip))
 
-    def datagram_received(self, octets, address):
+    def datagram_received(self, datagram, address):
         sender = address[0]
-        if self.world.is_lost() or not self.is_path_open(sender):
+        if self.world.drops_packet() or not self.is_path_open(sender):
             return
-        packet = packets.decode(octets)
+        packet = packets.decode(datagram)
         if packet is None:
-            self.world.promises.on_changed_packet(self.ip, packet)
+            self.world.checker.on_corrupted_packet(self.ip, packet)
             return
-        if not packet.is_reset_of_the_system() and not packets.is_as_written(packet):
-            self.world.promises.on_changed_packet(self.ip, packet)
+        if not packet.is_balancer_reset() and not packets.has_valid_checksum(packet):
+            self.world.checker.on_corrupted_packet(self.ip, packet)
             return
         flow = self.flows.get(packet.destination[1])
         if flow is not None and packet.source == flow.frontend:
             flow.on_packet(packet, sender)
 
     async def open(self, frontend):
-        flow = CallerFlow(self, frontend)
+        flow = ClientFlow(self, frontend)
         self.flows[flow.source[1]] = flow
         if await flow.open():
             return flow
@@ -191,7 +191,7 @@
         return None
 
     # Users.
-    async def use_forever(self, kind, frontend):
+    async def run_user(self, kind, frontend):
         """One user of a kind: request after request, with pauses."""
         flow = None
         await asyncio.sleep(self.world.random.random() * kind.pause)
@@ -204,7 +204,7 @@
 
     async def request(self, kind, frontend, flow):
         """One request with its further tries; gives the flow back when it can be used again."""
-        begun = now()
+        started_at = now()
         flows = []
         for _ in range(MAX_TRIES):
             if flow is None or flow.ended.done():
@@ -213,39 +213,39 @@
                 flow = await self.open(frontend)
             if flow is not None:
                 flows.append(flow.key)
-                done, flow = await self.attempt(kind, flow, begun)
-                if done or kind.once:
-                    self.note(kind, done, begun, flows)
+                done, flow = await self.attempt(kind, flow, started_at)
+                if done or kind.at_most_once:
+                    self.record_result(kind, done, started_at, flows)
                     return flow
-            if now() - begun > kind.deadline:
+            if now() - started_at > kind.deadline:
                 break
-        self.note(kind, False, begun, flows)
+        self.record_result(kind, False, started_at, flows)
         return flow
 
-    async def attempt(self, kind, flow, begun):
-        identity = f"{kind.name}-{next(self._requests)}"
-        body = messages.body_of(identity, self.world.random.randint(*kind.upload))
-        request = {"id": identity, "once": kind.once, "work": kind.work, "size": kind.size}
-        answer = await flow.ask(request, body, begun + kind.deadline)
-        if answer is None:
+    async def attempt(self, kind, flow, started_at):
+        request_id = f"{kind.name}-{next(self._requests)}"
+        body = messages.body_of(request_id, self.world.random.randint(*kind.upload))
+        request = {"id": request_id, "once": kind.at_most_once, "work": kind.work, "size": kind.size}
+        response = await flow.send_request(request, body, started_at + kind.deadline)
+        if response is None:
             flow.close()
             return False, None
-        head, answer_body = answer
-        if head["id"] != identity or answer_body != messages.body_of(identity, kind.size):
-            self.world.promises.violate("MIXED", f"{identity} got the answer of {head['id']}")
+        head, response_body = response
+        if head["id"] != request_id or response_body != messages.body_of(request_id, kind.size):
+            self.world.checker.report("MIXED", f"{request_id} got the answer of {head['id']}")
         if (head["got"], head["digest"]) != (len(body), messages.digest(body)):
-            self.world.promises.violate("MIXED", f"{identity} sent {len(body)} octets, its answer is to {head['got']}")
+            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} octets, its answer is to {head['got']}")
         if head["closes"]:
             flow.close()
             flow = None
         return True, flow
 
-    def note(self, kind, done, begun, flows):
+    def record_result(self, kind, done, started_at, flows):
         """What became of a request on these flows; of those that failed it is told when the narrow links dropped packets."""
-        self.world.promises.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
+        self.world.checker.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
         if done:
             self.world.paths.on_served(self.zone)
             return
-        drops = {flow[0]: [f"{at - begun:.2f}" for at in self.world.link_drops.get(flow, ()) if at >= begun]
+        drops = {flow[0]: [f"{at - started_at:.2f}" for at in self.world.link_drops.get(flow, ()) if at >= started_at]
                  for flow in flows}
-        self.world.failures.append((begun, f"{now() - begun:.2f} s", kind.name, "dropped by links after (s)", drops))
+        self.world.failures.append((started_at, f"{now() - started_at:.2f} s", kind.name, "dropped by links after (s)", drops))
--- a/tests/platform/soak/contact.py
+++ b/tests/platform/soak/contact.py
@@ -5,42 +5,42 @@
 to another balancer does not matter.
 """
 
-from promises import CONTACT, now
+from promises import SETTLE_TIME, now
 
 # A turn of this program's own loop that takes longer says that the whole machine was too busy to judge times.
-STALL = 0.4
+MAX_LOOP_STALL = 0.4
 
 
-class Contact:
+class Disturbances:
     """Remembers disturbances by the name of a machine; CORE and ALL stand for groups."""
 
     CORE = "the core"
     ALL = "all machines"
 
     def __init__(self):
-        self.lasting = {}
+        self.active = {}
         self.ended_at = {}
 
-    def begin(self, name):
+    def begin(self, scope):
         """Something begins that lasts until `end`."""
-        self.lasting[name] = self.lasting.get(name, 0) + 1
+        self.active[scope] = self.active.get(scope, 0) + 1
 
-    def end(self, name):
-        self.lasting[name] = max(0, self.lasting.get(name, 0) - 1)
-        self.note(name)
+    def end(self, scope):
+        self.active[scope] = max(0, self.active.get(scope, 0) - 1)
+        self.record(scope)
 
-    def note(self, name):
+    def record(self, scope):
         """Something happened in this moment."""
-        self.ended_at[name] = now()
+        self.ended_at[scope] = now()
 
-    def since(self, name, with_core=True):
+    def since(self, scope, with_core=True):
         """Since when a machine has been undisturbed, and the core if that counts; None while one is disturbed."""
-        names = (name, self.ALL, self.CORE) if with_core else (name, self.ALL)
-        if any(self.lasting.get(one, 0) for one in names):
+        scopes = (scope, self.ALL, self.CORE) if with_core else (scope, self.ALL)
+        if any(self.active.get(each, 0) for each in scopes):
             return None
-        return max(self.ended_at.get(one, 0.0) for one in names)
+        return max(self.ended_at.get(each, 0.0) for each in scopes)
 
-    def is_in_touch(self, name, moment):
+    def was_undisturbed(self, scope, moment):
         """True when a machine was in touch from CONTACT seconds before a moment until now."""
-        since = self.since(name)
-        return since is not None and since <= moment - CONTACT
+        since = self.since(scope)
+        return since is not None and since <= moment - SETTLE_TIME
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -8,8 +8,8 @@
 from machine import STOP_TIME
 from promises import now
 
-REUSE_AFTER = 2.0
-CATCH_UP = 4.0
+ADDRESS_REUSE_DELAY = 2.0
+CATCH_UP_TIME = 4.0
 
 
 class Faults(LinkFaults):
@@ -28,14 +28,14 @@
                 self.silence_connections, self.lose_packets, self.fill_disk, self.crash_target,
                 self.reuse_address, self.slow_target]
 
-    def about_zones(self):
+    def zone_actions(self):
         """What meets evacuations, cut zones and uploads; one stream has only zones that are cut off."""
         return [[self.cut_zone],
                 [self.narrow_link, self.kill_balancer, self.freeze_balancer, self.kill_control, self.freeze_control,
                  self.kill_all_controls, self.kill_everything, self.cut_control, self.cut_balancer_one_way,
                  self.reset_connections, self.crash_target, self.slow_target]]
 
-    def beside_storm(self):
+    def storm_faults(self):
         """What comes one after the other beside changes without pause."""
         return [self.kill_control, self.kill_control, self.freeze_control, self.kill_balancer,
                 self.cut_balancer, self.cut_balancer_one_way, self.reset_connections,
@@ -43,16 +43,16 @@
 
     # Machines.
     @contextlib.asynccontextmanager
-    async def held(self, machine):
+    async def locked(self, machine):
         """No other action handles the machine meanwhile; False when it was replaced before."""
         async with machine.lock:
             yield machine in self.world.machines
 
-    async def restart(self, machine, dark):
-        async with self.held(machine) as is_there:
-            if is_there:
+    async def restart(self, machine, downtime):
+        async with self.locked(machine) as is_current:
+            if is_current:
                 machine.kill()
-                await asyncio.sleep(dark)
+                await asyncio.sleep(downtime)
                 machine.start()
 
     async def kill_balancer(self):
@@ -68,7 +68,7 @@
         await asyncio.gather(*(self.restart(m, self.random.uniform(0.1, 0.8)) for m in self.world.machines))
 
     async def freeze(self, machine):
-        async with self.held(machine):
+        async with self.locked(machine):
             machine.freeze()
             await asyncio.sleep(self.random.uniform(0.5, 5))
             machine.thaw()
@@ -81,15 +81,15 @@
 
     async def stop(self, machine):
         """A planned stop and a start."""
-        async with self.held(machine) as is_there:
-            if not is_there:
+        async with self.locked(machine) as is_current:
+            if not is_current:
                 return
             machine.terminate()
-            begun = now()
-            while machine.is_running and now() - begun < STOP_TIME:
+            started_at = now()
+            while machine.is_running and now() - started_at < STOP_TIME:
                 await asyncio.sleep(0.05)
             if machine.is_running:
-                self.world.promises.violate("FAULT", f"{machine.name} did not stop in {STOP_TIME} s")
+                self.world.checker.report("FAULT", f"{machine.name} did not stop in {STOP_TIME} s")
             machine.kill()
             machine.start()
 
@@ -106,13 +106,13 @@
         async with self.control_lock:
             if await self.world.wait_control(10):
                 machine = self.random.choice(self.world.controls)
-                async with self.held(machine):
+                async with self.locked(machine):
                     machine.kill()
                     machine.lose_disk()
                     await asyncio.sleep(self.random.uniform(0.1, 2))
                     machine.start()
                 await self.world.wait_control(20)
-                await asyncio.sleep(CATCH_UP)
+                await asyncio.sleep(CATCH_UP_TIME)
 
     async def replace_control(self):
         """A machine is gone for good; an empty one comes at another address, and seeds change."""
@@ -121,14 +121,14 @@
                 return
             old = self.random.choice(self.world.controls)
             new = self.world.make_control(old.zone)
-            async with self.held(old), self.held(new):
+            async with self.locked(old), self.locked(new):
                 old.kill()
                 self.world.controls[self.world.controls.index(old)] = new
                 await asyncio.sleep(self.random.uniform(0.5, 2))
                 new.start()
             await self.new_settings()
             await self.world.wait_control(20)
-            await asyncio.sleep(CATCH_UP)
+            await asyncio.sleep(CATCH_UP_TIME)
 
     async def lose_all_disks(self):
         """More than any page allows: for the check that the rules can be seen to break."""
@@ -141,12 +141,12 @@
 
     async def new_settings(self):
         for machine in self.world.machines:
-            machine.hang_up()
+            machine.reload_settings()
             await asyncio.sleep(0.02)
 
     async def fill_disk(self):
         machine = self.random.choice(self.world.controls)
-        async with self.held(machine):
+        async with self.locked(machine):
             machine.fill_disk()
             await asyncio.sleep(self.random.uniform(1, 5))
             machine.free_disk()
@@ -175,37 +175,37 @@
         await asyncio.gather(first, operator.submit())
 
     async def lost_answers(self):
-        self.world.operator.loses_answers = 0.7
+        self.world.operator.response_loss = 0.7
         await self.change_configuration()
         await self.change_configuration()
-        self.world.operator.loses_answers = 0.0
+        self.world.operator.response_loss = 0.0
 
     async def invalid_configuration(self):
         await self.world.operator.submit_invalid()
 
     # Targets.
-    def some_target(self):
-        ready = [t for t in self.world.targets if t.state == "ready" and self.has_peers(t)]
+    def pick_target(self):
+        ready = [t for t in self.world.targets if t.state == "ready" and self.has_alternatives(t)]
         return self.random.choice(ready) if ready else None
 
-    def has_peers(self, target):
-        emptied = self.world.evacuations.perhaps
-        return sum(t.service == target.service and t.state == "ready" and t.zone not in emptied
+    def has_alternatives(self, target):
+        evacuated = self.world.evacuations.maybe_evacuated
+        return sum(t.service == target.service and t.state == "ready" and t.zone not in evacuated
                    for t in self.world.targets) > 2
 
-    async def release(self, says_draining=True):
+    async def release(self, announce_draining=True):
         """The new one starts first, then the old one leaves."""
-        old = self.some_target()
+        old = self.pick_target()
         if old is not None:
             self.world.start_target(old.service, old.zone)
             await asyncio.sleep(0.5)
-            await old.leave(says_draining)
+            await old.leave(announce_draining)
 
     async def leave_without_notice(self):
-        await self.release(says_draining=False)
+        await self.release(announce_draining=False)
 
     async def crash_target(self):
-        old = self.some_target()
+        old = self.pick_target()
         if old is not None:
             old.end()
             await asyncio.sleep(1)
@@ -213,7 +213,7 @@
 
     async def reuse_address(self):
         """A target ends, and a target of the other service gets its address."""
-        old = self.some_target()
+        old = self.pick_target()
         if old is None:
             return
         self.world.start_target(old.service, old.zone)
@@ -221,13 +221,13 @@
             await old.leave()
         else:
             old.end()
-        await asyncio.sleep(REUSE_AFTER)
+        await asyncio.sleep(ADDRESS_REUSE_DELAY)
         other = "archive" if old.service == "main" else "main"
         self.world.start_target(other, old.zone, old.address)
 
     async def slow_target(self):
-        target = self.some_target()
+        target = self.pick_target()
         if target is not None:
             target.slowness = 5
-            await self.for_a_while()
+            await self.wait_random_time()
             target.slowness = 1
--- a/tests/platform/soak/http_call.py
+++ b/tests/platform/soak/http_call.py
@@ -6,15 +6,15 @@
 MAX_REDIRECTS = 2
 
 
-async def once(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
+async def request(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
     """Status, location and body of one call; None without a clear answer."""
     try:
-        return await asyncio.wait_for(_call(address, method, path, body, answer_is_lost), timeout)
+        return await asyncio.wait_for(_call(address, method, path, body, discard_response), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
         return None
 
 
-async def _call(address, method, path, body, answer_is_lost):
+async def _call(address, method, path, body, discard_response):
     host, port = address.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -23,10 +23,10 @@
                 f"Content-Length: {len(raw)}\r\nConnection: close\r\n\r\n")
         writer.write(head.encode() + raw)
         await writer.drain()
-        answer = await reader.read()
-        if answer_is_lost:
+        response = await reader.read()
+        if discard_response:
             return None
-        head, _, rest = answer.partition(b"\r\n\r\n")
+        head, _, rest = response.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:])}
         return int(lines[0].split()[1]), fields.get("location"), rest.decode()
@@ -34,12 +34,12 @@
         writer.close()
 
 
-async def following(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
+async def request_with_redirects(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
     """The same, following redirects."""
     for _ in range(MAX_REDIRECTS + 1):
-        answer = await once(address, method, path, body, timeout, answer_is_lost)
-        if answer is None or answer[0] != 307 or not answer[1]:
-            return answer
-        address, _, rest = answer[1].removeprefix("http://").partition("/")
+        response = await request(address, method, path, body, timeout, discard_response)
+        if response is None or response[0] != 307 or not response[1]:
+            return response
+        address, _, rest = response[1].removeprefix("http://").partition("/")
         path = "/" + rest
     return None
--- a/tests/platform/soak/kept_connection.py
+++ b/tests/platform/soak/kept_connection.py
@@ -5,7 +5,7 @@
 import http_call
 
 
-class KeptConnection:
+class PersistentConnection:
     """Opened by the next call whenever it is closed, as it is after a call without a clear answer."""
 
     def __init__(self, address):
@@ -15,17 +15,17 @@
 
     async def call(self, method, path, body, timeout=http_call.TIMEOUT):
         """Status and location; None without a clear answer."""
-        answer = None
+        response = None
         try:
-            answer = await asyncio.wait_for(self._call(method, path, body.encode()), timeout)
+            response = await asyncio.wait_for(self._call(method, path, body.encode()), timeout)
         except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError,
                 IndexError):
             pass
         finally:
             # Also when the call was cancelled: the rest of its answer must not meet the next call.
-            if answer is None:
+            if response is None:
                 self.close()
-        return answer
+        return response
 
     async def _call(self, method, path, raw):
         if self.writer is None:
@@ -46,7 +46,7 @@
         self.writer = None
 
 
-class KeptCaller:
+class ControlClient:
     """Calls over the connection that answered last, as long as it does; else asks node after node."""
 
     def __init__(self, addresses, random, is_reachable):
@@ -68,29 +68,29 @@
         self.close()
         addresses = self.addresses()
         for address in self.random.sample(addresses, len(addresses)):
-            if await self._call_at(address, method, path, body):
+            if await self._call_with_redirects(address, method, path, body):
                 return True
         return False
 
-    async def _call_at(self, address, method, path, body):
+    async def _call_with_redirects(self, address, method, path, body):
         """Asks one node and those that it names."""
         for _ in range(http_call.MAX_REDIRECTS + 1):
-            self.connection = KeptConnection(address)
-            answer = await self._answer(self.connection, method, path, body)
-            if answer is not None and 200 <= answer[0] < 300:
+            self.connection = PersistentConnection(address)
+            response = await self._request(self.connection, method, path, body)
+            if response is not None and 200 <= response[0] < 300:
                 return True
             self.close()
-            if answer is None or answer[0] != 307 or not answer[1]:
+            if response is None or response[0] != 307 or not response[1]:
                 return False
-            address, _, rest = answer[1].removeprefix("http://").partition("/")
+            address, _, rest = response[1].removeprefix("http://").partition("/")
             path = "/" + rest
         return False
 
     async def _is_acknowledged(self, connection, method, path, body):
-        answer = await self._answer(connection, method, path, body)
-        return answer is not None and 200 <= answer[0] < 300
+        response = await self._request(connection, method, path, body)
+        return response is not None and 200 <= response[0] < 300
 
-    async def _answer(self, connection, method, path, body):
+    async def _request(self, connection, method, path, body):
         if not self.is_reachable(connection.address):
             await asyncio.sleep(http_call.TIMEOUT)
             return None
--- a/tests/platform/soak/link_faults.py
+++ b/tests/platform/soak/link_faults.py
@@ -3,9 +3,9 @@
 import asyncio
 import contextlib
 
-from contact import Contact
+from contact import Disturbances
 
-NARROWED = 0.4
+RATE_REDUCTION = 0.4
 
 
 class LinkFaults:
@@ -20,13 +20,13 @@
     @contextlib.contextmanager
     def disturbed(self, name):
         """Meanwhile a machine, the core or all machines are out of touch."""
-        self.world.contact.begin(name)
+        self.world.disturbances.begin(name)
         try:
             yield
         finally:
-            self.world.contact.end(name)
+            self.world.disturbances.end(name)
 
-    async def for_a_while(self):
+    async def wait_random_time(self):
         await asyncio.sleep(self.random.uniform(1, 6))
 
     def split_off_control(self):
@@ -34,37 +34,37 @@
         return [one.internal_address], [m.internal_address for m in self.world.controls if m is not one]
 
     async def cut_control(self):
-        with self.disturbed(Contact.CORE):
+        with self.disturbed(Disturbances.CORE):
             cut = self.world.proxy.cut(*self.split_off_control())
-            await self.for_a_while()
+            await self.wait_random_time()
             self.world.proxy.heal(cut)
 
     async def cut_control_one_way(self):
         one, others = self.split_off_control()
-        ways = (one, others) if self.random.random() < 0.5 else (others, one)
-        with self.disturbed(Contact.CORE):
-            cut = self.world.proxy.cut_one_way(*ways)
-            await self.for_a_while()
+        directions = (one, others) if self.random.random() < 0.5 else (others, one)
+        with self.disturbed(Disturbances.CORE):
+            cut = self.world.proxy.cut_one_way(*directions)
+            await self.wait_random_time()
             self.world.proxy.heal(cut)
 
     async def cut_balancer(self):
         machine = self.random.choice(self.world.balancers)
         with self.disturbed(machine.name):
-            cut = self.world.proxy.cut([machine.peer_address], self.control_names())
-            await self.for_a_while()
+            cut = self.world.proxy.cut([machine.peer_address], self.control_peers())
+            await self.wait_random_time()
             self.world.proxy.heal(cut)
 
     async def cut_balancer_one_way(self):
         """Either what it says or what it is told gets lost; connections stay open."""
         machine = self.random.choice(self.world.balancers)
-        ways = [[machine.peer_address], self.control_names()]
-        self.random.shuffle(ways)
+        directions = [[machine.peer_address], self.control_peers()]
+        self.random.shuffle(directions)
         with self.disturbed(machine.name):
-            cut = self.world.proxy.cut_one_way(*ways)
-            await self.for_a_while()
+            cut = self.world.proxy.cut_one_way(*directions)
+            await self.wait_random_time()
             self.world.proxy.heal(cut)
 
-    def control_names(self):
+    def control_peers(self):
         return [machine.internal_address for machine in self.world.controls]
 
     async def cut_zone(self):
@@ -73,7 +73,7 @@
         zone = self.random.choice(self.world.zones)
         async with self.control_lock:
             with contextlib.ExitStack() as stack:
-                for name in [Contact.CORE] + [m.name for m in self.world.balancers if m.zone == zone]:
+                for name in [Disturbances.CORE] + [m.name for m in self.world.balancers if m.zone == zone]:
                     stack.enter_context(self.disturbed(name))
                 cut = self.world.begin_cut(zone)
                 await asyncio.sleep(self.random.uniform(2, 8))
@@ -84,30 +84,30 @@
         machine = self.random.choice(self.world.balancers)
         link = self.world.links[machine.ip]
         with self.disturbed(machine.name):
-            link.mbit_per_s *= NARROWED
-            await self.for_a_while()
-            link.mbit_per_s /= NARROWED
+            link.mbit_per_s *= RATE_REDUCTION
+            await self.wait_random_time()
+            link.mbit_per_s /= RATE_REDUCTION
 
     async def silence_connections(self):
         """Some of the open connections carry nothing any more, both ways or one way, and never end."""
-        self.world.contact.note(Contact.ALL)
+        self.world.disturbances.record(Disturbances.ALL)
         self.world.proxy.silence_connections(self.random.uniform(0.2, 1.0), self.random.choice(("both", "up", "down")))
 
     async def delay_messages(self):
-        with self.disturbed(Contact.ALL):
+        with self.disturbed(Disturbances.ALL):
             self.world.proxy.delay = self.random.uniform(0.02, 0.12)
-            await self.for_a_while()
+            await self.wait_random_time()
             self.world.proxy.delay = 0.0
 
     async def reset_connections(self):
         machine = self.random.choice(self.world.controls)
         for _ in range(3):
-            self.world.contact.note(Contact.ALL)
+            self.world.disturbances.record(Disturbances.ALL)
             self.world.proxy.reset_connections([machine.internal_address])
             await asyncio.sleep(0.3)
 
     async def lose_packets(self):
-        with self.disturbed(Contact.ALL):
+        with self.disturbed(Disturbances.ALL):
             self.world.loss = self.random.uniform(0.005, 0.04)
-            await self.for_a_while()
+            await self.wait_random_time()
             self.world.loss = 0.0
--- a/tests/platform/soak/machine.py
+++ b/tests/platform/soak/machine.py
@@ -7,13 +7,13 @@
 import signal
 import subprocess
 
-from contact import Contact
+from contact import Disturbances
 from promises import now
 
 ROLES = {"balancer": "gorsevalve-platform-balancer", "control": "gorsevalve-platform-control"}
 CONNECTION_SOURCE = "libsoak-connection-source.so"
 STOP_TIME = 6
-LOADING_TIME = 0.5
+STARTUP_TIME = 0.5
 INTERNAL_PORT = 7720
 
 
@@ -27,11 +27,11 @@
         self.zone = zone
         self.ip = ip
         self.listen_ip = listen_ip or ip
-        self.folder = world.folder / name
-        self.data = self.folder / "data"
-        self.data.mkdir(parents=True, exist_ok=True)
+        self.directory = world.directory / name
+        self.data_directory = self.directory / "data"
+        self.data_directory.mkdir(parents=True, exist_ok=True)
         self.popen = None
-        self.stop_wanted = True
+        self.stop_requested = True
         self.is_frozen = False
         self.started_at = 0.0
         self.is_disturbed = False
@@ -39,19 +39,19 @@
         self.lock = asyncio.Lock()
 
     @property
-    def contact_name(self):
+    def disturbance_scope(self):
         """What is done to a replica concerns the core."""
-        return Contact.CORE if self.role == "control" else self.name
+        return Disturbances.CORE if self.role == "control" else self.name
 
     def begin_disturbance(self):
         if not self.is_disturbed:
             self.is_disturbed = True
-            self.world.contact.begin(self.contact_name)
+            self.world.disturbances.begin(self.disturbance_scope)
 
     def end_disturbance(self):
         if self.is_disturbed:
             self.is_disturbed = False
-            self.world.contact.end(self.contact_name)
+            self.world.disturbances.end(self.disturbance_scope)
 
     @property
     def internal_address(self):
@@ -82,43 +82,43 @@
             "datagrams": f'"{self.ip}:{self.world.datagram_port}"' if is_balancer else '""',
             "readiness": f'"{self.ip}:{self.world.readiness_port}"' if is_balancer else '""',
             "control": '""' if is_balancer else f'"{self.control_address}"', "seeds": f"[{seeds}]",
-            "first_start": str(first_start).lower(), "data_folder": f'"{self.data}"',
+            "first_start": str(first_start).lower(), "data_folder": f'"{self.data_directory}"',
             "announce_interval_ms": 1200, "stop_time_s": STOP_TIME, "forwarding": '"echo"',
             "link_mbit_per_s": f'"{self.world.link_rate}"', "zones": f"[{zones}]"}
         return "".join(f"{name} = {value}\n" for name, value in fields.items())
 
     def write_settings(self, first_start=False):
-        (self.folder / "node.toml").write_text(self.settings(first_start))
+        (self.directory / "node.toml").write_text(self.settings(first_start))
 
     def start(self, first_start=False):
         if self.is_running:
             raise AssertionError(f"{self.name} runs already")
         self.write_settings(first_start)
-        environment = dict(os.environ, GORSEVALVE_NODE_FILE=str(self.folder / "node.toml"))
+        environment = dict(os.environ, GORSEVALVE_NODE_FILE=str(self.directory / "node.toml"))
         if self.role == "balancer":
             # Sanitizers would refuse a library before their own.
             environment.update(LD_PRELOAD=str(self.world.build / CONNECTION_SOURCE), SOAK_CONNECTION_SOURCE=self.ip,
                                ASAN_OPTIONS="verify_asan_link_order=0")
-        with open(self.folder / "log", "ab") as log:
+        with open(self.directory / "log", "ab") as log:
             # Signals that Python ignores stay ignored: a refused write is an error, not an end.
             self.popen = subprocess.Popen([str(self.world.build / ROLES[self.role])], stdout=log, stderr=log,
                                           env=environment, restore_signals=False)
-        self.stop_wanted = False
+        self.stop_requested = False
         self.started_at = now()
-        self.world.contact.note(self.contact_name)
+        self.world.disturbances.record(self.disturbance_scope)
         self.end_disturbance()
 
     @property
     def is_running(self):
         return self.popen is not None and self.popen.poll() is None
 
-    def ended_by_itself(self):
-        return not self.stop_wanted and not self.is_running
+    def exited_unexpectedly(self):
+        return not self.stop_requested and not self.is_running
 
     def kill(self):
         """Ends the process at once."""
         self.begin_disturbance()
-        self.stop_wanted = True
+        self.stop_requested = True
         if self.is_running:
             self.popen.kill()
         self.popen.wait()
@@ -127,7 +127,7 @@
     def terminate(self):
         """Asks the process to end; `kill` follows."""
         self.begin_disturbance()
-        self.stop_wanted = True
+        self.stop_requested = True
         if self.is_running:
             self.popen.send_signal(signal.SIGTERM)
 
@@ -144,29 +144,29 @@
         if self.is_running:
             self.end_disturbance()
 
-    def hang_up(self):
+    def reload_settings(self):
         """The settings were written anew."""
         self.write_settings()
         # Before its first instruction a process cannot ignore the signal, whoever sends it.
-        if self.is_running and now() - self.started_at > LOADING_TIME:
+        if self.is_running and now() - self.started_at > STARTUP_TIME:
             self.popen.send_signal(signal.SIGHUP)
 
     def fill_disk(self):
         """From now on the disk takes no octet more."""
         self.begin_disturbance()
-        sizes = [path.stat().st_size for path in self.data.rglob("*") if path.is_file()]
+        sizes = [path.stat().st_size for path in self.data_directory.rglob("*") if path.is_file()]
         self._limit_files(max(sizes, default=0))
 
     def free_disk(self):
         self._limit_files(resource.RLIM_INFINITY)
         self.end_disturbance()
 
-    def _limit_files(self, octets):
+    def _limit_files(self, max_bytes):
         if self.is_running:
             hard = resource.prlimit(self.popen.pid, resource.RLIMIT_FSIZE)[1]
-            resource.prlimit(self.popen.pid, resource.RLIMIT_FSIZE, (octets, hard))
+            resource.prlimit(self.popen.pid, resource.RLIMIT_FSIZE, (max_bytes, hard))
 
     def lose_disk(self):
         """To be called while the process is down."""
-        shutil.rmtree(self.data)
-        self.data.mkdir()
+        shutil.rmtree(self.data_directory)
+        self.data_directory.mkdir()
--- a/tests/platform/soak/messages.py
+++ b/tests/platform/soak/messages.py
@@ -9,10 +9,10 @@
 LINE_END = b"\n"
 
 
-def body_of(identity, octets):
+def body_of(request_id, size):
     """The body of this length that belongs to a request."""
-    piece = identity.encode() + b";"
-    return (piece * (octets // len(piece) + 1))[:octets]
+    pattern = request_id.encode() + b";"
+    return (pattern * (size // len(pattern) + 1))[:size]
 
 
 def digest(body):
--- a/tests/platform/soak/narrow_link.py
+++ b/tests/platform/soak/narrow_link.py
@@ -6,12 +6,12 @@
 
 import collections
 
-OCTETS_PER_MBIT = 125_000
+BYTES_PER_MBIT = 125_000
 # What waits while one packet leaves; of a burst of 16 more than half is lost.
-QUEUE = 6
+QUEUE_LIMIT = 6
 
 
-class NarrowLink:
+class LinkShaper:
     """One link. Times are monotonic seconds."""
 
     def __init__(self, mbit_per_s):
@@ -20,14 +20,14 @@
         self.passed = 0
         self.dropped = 0
 
-    def departure(self, octets, at):
+    def departure(self, size, at):
         """When the last octet of a datagram that is sent now has left; None when the queue is full."""
         while self.departures and self.departures[0] <= at:
             self.departures.popleft()
-        if len(self.departures) > QUEUE:
+        if len(self.departures) > QUEUE_LIMIT:
             self.dropped += 1
             return None
         self.passed += 1
-        begun = self.departures[-1] if self.departures else at
-        self.departures.append(begun + octets / (self.mbit_per_s * OCTETS_PER_MBIT))
+        started_at = self.departures[-1] if self.departures else at
+        self.departures.append(started_at + size / (self.mbit_per_s * BYTES_PER_MBIT))
         return self.departures[-1]
--- a/tests/platform/soak/operator_calls.py
+++ b/tests/platform/soak/operator_calls.py
@@ -5,7 +5,7 @@
 
 import http_call
 from caller import FEED
-from promises import APPLY, now
+from promises import APPLY_LIMIT, now
 
 SERVICES = ("main", "archive")
 EXTRA_HOST = "198.18.0.1"
@@ -22,15 +22,15 @@
     def __init__(self, world):
         self.world = world
         self.version = 0
-        self.extra = []
-        self.all_extra = []
-        self.loses_answers = 0.0
+        self.extra_routes = []
+        self.all_extra_routes = []
+        self.response_loss = 0.0
         self.counter = 0
 
     def routes(self):
         """Services that each frontend allows; None stands for no route."""
         routes = {frontend: services for frontend, (_, services) in self.world.frontends.items()}
-        routes.update({frontend: {"archive"} for frontend in self.extra})
+        routes.update({frontend: {"archive"} for frontend in self.extra_routes})
         return routes
 
     def kind_of(self, frontend):
@@ -61,29 +61,29 @@
         """Another set of extra routes under a higher version."""
         self.version += self.world.random.randint(1, 3)
         self.counter += 1
-        self.extra = self.extra[1:] if len(self.extra) > 3 else self.extra
+        self.extra_routes = self.extra_routes[1:] if len(self.extra_routes) > 3 else self.extra_routes
         added = (EXTRA_HOST, FIRST_EXTRA_ROUTE + self.counter)
-        self.extra = self.extra + [added]
-        self.all_extra.append(added)
+        self.extra_routes = self.extra_routes + [added]
+        self.all_extra_routes.append(added)
 
     def recent_routes(self, count):
         """Routes that were added last, some of which were dropped since."""
-        return self.all_extra[-count:]
+        return self.all_extra_routes[-count:]
 
-    async def submit(self, patience=30.0):
+    async def submit(self, time_limit=30.0):
         """Sends the wanted configuration until it is acknowledged; True when it was."""
         version, body = self.version, self.body(self.version)
-        self.world.promises.on_sent(version, self.routes())
-        begun, pause = now(), 0.1
-        while now() - begun < patience:
+        self.world.checker.on_sent(version, self.routes())
+        started_at, pause = now(), 0.1
+        while now() - started_at < time_limit:
             address = self.world.random.choice(self.world.control_addresses())
-            lost = self.world.random.random() < self.loses_answers
-            answer = await http_call.following(address, "PUT", "/-/config", body, answer_is_lost=lost)
-            if answer is not None and answer[0] == 200:
-                self.world.promises.on_acknowledged(version)
+            lost = self.world.random.random() < self.response_loss
+            response = await http_call.request_with_redirects(address, "PUT", "/-/config", body, discard_response=lost)
+            if response is not None and response[0] == 200:
+                self.world.checker.on_acknowledged(version)
                 return True
-            if answer is not None and answer[0] in (400, 409, 412, 413, 422):
-                self.world.promises.violate("CONFIG", f"version {version} was refused with {answer[0]}")
+            if response is not None and response[0] in (400, 409, 412, 413, 422):
+                self.world.checker.report("CONFIG", f"version {version} was refused with {response[0]}")
                 return False
             await asyncio.sleep(pause)
             pause = min(2 * pause, 1.0)
@@ -91,9 +91,9 @@
 
     async def storm_from_several(self, until, senders=3):
         """Several senders at once, without pause; one answer in five is lost."""
-        self.loses_answers = 0.2
+        self.response_loss = 0.2
         await asyncio.gather(*(self.send_changes(until, 1.0) for _ in range(senders)))
-        self.loses_answers = 0.0
+        self.response_loss = 0.0
 
     async def send_changes(self, until, longest_pause):
         """One of several senders at once: change after change, as long as answers come."""
@@ -107,36 +107,36 @@
         text = self.body(self.version + 1)
         for body in (text[:len(text) // 2], text.replace('"service": "archive"', '"service": "nobody"')):
             for address in self.world.control_addresses():
-                answer = await http_call.following(address, "PUT", "/-/config", body)
-                if answer is not None and answer[0] == 200:
-                    self.world.promises.violate("CONFIG", "something invalid was acknowledged")
+                response = await http_call.request_with_redirects(address, "PUT", "/-/config", body)
+                if response is not None and response[0] == 200:
+                    self.world.checker.report("CONFIG", "something invalid was acknowledged")
 
     async def read(self, address):
         """Version that a node answers with; None when it cannot say."""
         sent_at = now()
-        answer = await http_call.following(address, "GET", "/-/config")
-        if answer is None or answer[0] != 200:
+        response = await http_call.request_with_redirects(address, "GET", "/-/config")
+        if response is None or response[0] != 200:
             return None
-        held = json.loads(answer[2])
+        config = json.loads(response[2])
         routes = {}
-        for route in held["routes"]:
+        for route in config["routes"]:
             frontend = (route["host"], int(route["path_prefix"].strip("/")))
             routes[frontend] = {part["service"] for part in route.get("backends", [])} or {route["service"]}
-        self.world.promises.on_read(sent_at, held["version"], routes)
-        return held["version"]
+        self.world.checker.on_read(sent_at, config["version"], routes)
+        return config["version"]
 
     async def read_forever(self):
         while True:
             await self.read(self.world.random.choice(self.world.control_addresses()))
             await asyncio.sleep(0.7)
 
-    async def read_at_end(self, patience):
+    async def read_at_end(self, time_limit):
         """The newest acknowledged version must be held at the end."""
-        begun = now()
-        while now() - begun < patience:
+        started_at = now()
+        while now() - started_at < time_limit:
             for address in self.world.control_addresses():
                 version = await self.read(address)
-                if version is not None and version >= self.world.promises.acknowledged_before(now() - APPLY):
+                if version is not None and version >= self.world.checker.acknowledged_before(now() - APPLY_LIMIT):
                     return
             await asyncio.sleep(0.3)
-        self.world.promises.violate("CONFIG", "no node answers a read of the configuration at the end")
+        self.world.checker.report("CONFIG", "no node answers a read of the configuration at the end")
--- a/tests/platform/soak/packets.py
+++ b/tests/platform/soak/packets.py
@@ -7,7 +7,7 @@
 import struct
 import zlib
 
-HEAD = struct.Struct("<HIIIIHIHBBI")
+HEADER = struct.Struct("<HIIIIHIHBBI")
 TARGET_PREFIX = struct.Struct(">Q")
 SYN, ACK, FIN, RST, BOUNCED = 8, 2, 4, 1, 64
 MAX_DATA = 1200
@@ -25,13 +25,13 @@
     ack: int = 0
     echo: int = 0
     data: bytes = b""
-    total: int = 0
+    checksum: int = 0
 
     def has(self, flag):
         return bool(self.flags & flag)
 
-    def is_reset_of_the_system(self):
-        return self.has(RST) and self.total == 0 and not self.data
+    def is_balancer_reset(self):
+        return self.has(RST) and self.checksum == 0 and not self.data
 
 
 def _number(ip):
@@ -42,31 +42,31 @@
     return socket.inet_ntoa(struct.pack("!I", number))
 
 
-def _keyed_sum(packet):
-    signed = HEAD.pack(len(packet.data), packet.seq, packet.ack, 0, _number(packet.destination[0]),
+def _compute_checksum(packet):
+    covered = HEADER.pack(len(packet.data), packet.seq, packet.ack, 0, _number(packet.destination[0]),
                        packet.source[1], _number(packet.source[0]), packet.destination[1],
                        packet.flags & ~BOUNCED, 0, 0)
-    return zlib.crc32(KEY + signed + packet.data) or 1
+    return zlib.crc32(KEY + covered + packet.data) or 1
 
 
 def encode(packet):
     """The octets of a packet, with its sum."""
-    return HEAD.pack(len(packet.data), packet.seq, packet.ack, _keyed_sum(packet),
+    return HEADER.pack(len(packet.data), packet.seq, packet.ack, _compute_checksum(packet),
                      _number(packet.destination[0]), packet.source[1], _number(packet.source[0]),
                      packet.destination[1], packet.flags, 0, packet.echo) + packet.data
 
 
-def decode(octets):
+def decode(datagram):
     """The packet; None when it is malformed."""
-    if len(octets) < HEAD.size:
+    if len(datagram) < HEADER.size:
         return None
-    length, seq, ack, total, to_ip, from_port, from_ip, to_port, flags, _, echo = HEAD.unpack_from(octets)
-    data = octets[HEAD.size:]
+    length, seq, ack, checksum, to_ip, from_port, from_ip, to_port, flags, _, echo = HEADER.unpack_from(datagram)
+    data = datagram[HEADER.size:]
     if length != len(data):
         return None
-    return Packet((_text(from_ip), from_port), (_text(to_ip), to_port), flags, seq, ack, echo, data, total)
+    return Packet((_text(from_ip), from_port), (_text(to_ip), to_port), flags, seq, ack, echo, data, checksum)
 
 
-def is_as_written(packet):
+def has_valid_checksum(packet):
     """True when the sum shows that an end of the flow wrote the packet this way."""
-    return packet.total == _keyed_sum(packet)
+    return packet.checksum == _compute_checksum(packet)
--- a/tests/platform/soak/route_probes.py
+++ b/tests/platform/soak/route_probes.py
@@ -9,8 +9,8 @@
 
 INTERVAL = 0.12
 # Opening packets of one probe.
-COPIES = (0.0, 0.2, 0.6)
-OPENING_TIME = 1.4
+SEND_TIMES = (0.0, 0.2, 0.6)
+OPENING_TIMEOUT = 1.4
 # Routes that were dropped longer ago are not asked for any more.
 RECENT_ROUTES = 6
 FIRST_PORT = 20000
@@ -25,51 +25,51 @@
         self.ip = ip
         self.transport = None
         self.port = FIRST_PORT
-        self.ends = {}
+        self.outcomes = {}
 
     async def start(self):
         loop = asyncio.get_running_loop()
         self.transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(self.ip, self.world.datagram_port))
 
-    def datagram_received(self, octets, _):
-        packet = packets.decode(octets)
+    def datagram_received(self, datagram, _):
+        packet = packets.decode(datagram)
         if packet is None:
             return
-        end = self.ends.get(packet.destination[1])
-        if end is None or end.done():
+        outcome = self.outcomes.get(packet.destination[1])
+        if outcome is None or outcome.done():
             return
-        if packet.has(RST) and packet.is_reset_of_the_system():
-            end.set_result("refused")
+        if packet.has(RST) and packet.is_balancer_reset():
+            outcome.set_result("refused")
         elif packet.has(SYN):
             target = self.target_of(packet)
-            end.set_result(target.service if target else None)
+            outcome.set_result(target.service if target else None)
 
     def target_of(self, packet):
         """The target that answered; it holds the flow by the caller's address."""
         return self.world.holder_of_opening((packet.destination, packet.source))
 
-    async def ask_forever(self, machine):
+    async def probe_routes_forever(self, machine):
         """Probes one balancer for ever."""
         while True:
             await asyncio.sleep(INTERVAL * self.world.slowness * (0.5 + self.world.random.random()))
             routes = self.world.operator.recent_routes(RECENT_ROUTES)
-            if routes and self.world.router.is_in(machine):
-                self.world.spawn(self.ask(machine, self.world.random.choice(routes)))
+            if routes and self.world.router.is_in_rotation(machine):
+                self.world.spawn(self.probe_route(machine, self.world.random.choice(routes)))
 
-    async def ask(self, machine, frontend):
+    async def probe_route(self, machine, frontend):
         self.port = FIRST_PORT + (self.port + 1 - FIRST_PORT) % PORTS
         source, port = (self.ip, self.port), self.port
-        end = asyncio.get_running_loop().create_future()
-        self.ends[port] = end
-        begun = now()
-        for number, at in enumerate(COPIES):
-            await asyncio.wait({end}, timeout=max(0.0, begun + at - now()))
-            if end.done():
+        outcome = asyncio.get_running_loop().create_future()
+        self.outcomes[port] = outcome
+        started_at = now()
+        for number, at in enumerate(SEND_TIMES):
+            await asyncio.wait({outcome}, timeout=max(0.0, started_at + at - now()))
+            if outcome.done():
                 break
             packet = Packet(source, frontend, SYN, self.world.random.randrange(1 << 30), number)
             self.transport.sendto(packets.encode(packet), (machine.ip, self.world.datagram_port))
-        await asyncio.wait({end}, timeout=max(0.0, begun + OPENING_TIME - now()))
-        del self.ends[port]
-        if end.done() and end.result() is not None:
-            self.world.promises.on_probe(machine.name, frontend, begun, end.result())
+        await asyncio.wait({outcome}, timeout=max(0.0, started_at + OPENING_TIMEOUT - now()))
+        del self.outcomes[port]
+        if outcome.done() and outcome.result() is not None:
+            self.world.checker.on_probe(machine.name, frontend, started_at, outcome.result())
--- a/tests/platform/soak/router.py
+++ b/tests/platform/soak/router.py
@@ -6,7 +6,7 @@
 import http_call
 
 PROBE_INTERVAL = 0.5
-MISSES_BEFORE_OUT = 2
+UNHEALTHY_THRESHOLD = 2
 
 
 class Router:
@@ -14,27 +14,27 @@
 
     def __init__(self, world):
         self.world = world
-        self.misses = {}
+        self.failed_probes = {}
 
     async def probe_forever(self, machine):
         """Asks one balancer for ever."""
-        self.misses.setdefault(machine.ip, MISSES_BEFORE_OUT)
+        self.failed_probes.setdefault(machine.ip, UNHEALTHY_THRESHOLD)
         while True:
-            answer = await http_call.once(f"{machine.ip}:{self.world.readiness_port}", "GET", "/-/ready",
+            response = await http_call.request(f"{machine.ip}:{self.world.readiness_port}", "GET", "/-/ready",
                                           timeout=PROBE_INTERVAL)
-            is_in = answer is not None and answer[0] == 200
-            self.misses[machine.ip] = 0 if is_in else self.misses[machine.ip] + 1
+            is_in_rotation = response is not None and response[0] == 200
+            self.failed_probes[machine.ip] = 0 if is_in_rotation else self.failed_probes[machine.ip] + 1
             await asyncio.sleep(PROBE_INTERVAL)
 
-    def is_in(self, machine):
-        return self.misses.get(machine.ip, MISSES_BEFORE_OUT) < MISSES_BEFORE_OUT
+    def is_in_rotation(self, machine):
+        return self.failed_probes.get(machine.ip, UNHEALTHY_THRESHOLD) < UNHEALTHY_THRESHOLD
 
     def choose(self, zone, source, destination):
         """Address of the balancer for a flow: steady hashing over those of the zone that are in."""
         zones = [zone] + [other for other in self.world.zones if other != zone]
         for candidate in zones:
             machines = [m for m in self.world.balancers if m.zone == candidate]
-            ready = [m for m in machines if self.is_in(m)]
+            ready = [m for m in machines if self.is_in_rotation(m)]
             if ready:
                 usable = machines if len(ready) * 2 < len(machines) else ready
                 break
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -24,15 +24,15 @@
 sys.path[:0] = [str(HERE), str(ROOT / "scripts")]
 
 from fault_proxy import FaultProxy  # noqa: E402  (the path must be set first)
-from caller import KINDS  # noqa: E402
-from evacuations import EVACUATE  # noqa: E402
+from caller import REQUEST_KINDS  # noqa: E402
+from evacuations import EVACUATION_LIMIT  # noqa: E402
 from faults import Faults  # noqa: E402
 from promises import now  # noqa: E402
 from world import World  # noqa: E402
 
-RECOVERY = 12.0
-LAST_LOOK = 4.0
-WARM_UP = 5.0
+RECOVERY_TIME = 12.0
+CHECK_TIME = 4.0
+WARM_UP_TIME = 5.0
 SHORT_PAUSE = 2.0
 # Long enough for the rules that hold only where nothing was disturbed for a while.
 LONG_PAUSE = 7.0
@@ -43,145 +43,145 @@
 EVACUATION_PAUSE = 4.0
 LONGEST_EVACUATION = 14.0
 # Share of runs whose last evacuation is in force until the end.
-LAST_ORDER_STAYS = 0.5
+FINAL_EVACUATION_SHARE = 0.5
 
 
-async def keep_acting(world, faults, actions, until):
+async def run_actions(world, faults, actions, until):
     """One action after the other, with pauses."""
     while now() < until:
-        action = world.random.choice([action for action in actions if action.__name__ not in world.left_out])
-        print(f"{now() - world.began:7.1f} s  {action.__name__}", flush=True)
+        action = world.random.choice([action for action in actions if action.__name__ not in world.excluded_actions])
+        print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
         planned = action in faults.planned()
         if not planned:
-            world.promises.disturb()
+            world.checker.begin_fault()
         try:
             await action()
         finally:
             if not planned:
-                world.promises.calm()
+                world.checker.end_fault()
         is_long = world.random.random() < LONG_PAUSE_SHARE
         await asyncio.sleep(LONG_PAUSE if is_long else world.random.uniform(0.1, SHORT_PAUSE))
 
 
-async def keep_harming(world, faults, until):
+async def run_faults(world, faults, until):
     """One fault after the other, with pauses in which machines are in touch."""
     while now() < until - STORM_PAUSE:
-        action = world.random.choice(faults.beside_storm())
-        print(f"{now() - world.began:7.1f} s  {action.__name__}", flush=True)
-        world.promises.disturb()
+        action = world.random.choice(faults.storm_faults())
+        print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
+        world.checker.begin_fault()
         await action()
         await asyncio.sleep(STORM_PAUSE)
-        world.promises.calm()
+        world.checker.end_fault()
 
 
-async def keep_evacuating(world, until):
+async def run_evacuations(world, until):
     """The operator empties zone after zone and takes them back. The last order may stay in force until the end."""
     evacuations = world.evacuations
-    while now() < until and "evacuations" not in world.left_out:
+    while now() < until and "evacuations" not in world.excluded_actions:
         await asyncio.sleep(world.random.uniform(0.5, EVACUATION_PAUSE))
         zone = world.random.choice(world.zones)
-        if not evacuations.can_spare(zone):
+        if not evacuations.can_evacuate(zone):
             continue
-        print(f"{now() - world.began:7.1f} s  evacuation of {zone}", flush=True)
+        print(f"{now() - world.start_time:7.1f} s  evacuation of {zone}", flush=True)
         await evacuations.evacuate(zone)
-        lasts = world.random.uniform(EVACUATE, LONGEST_EVACUATION)
+        lasts = world.random.uniform(EVACUATION_LIMIT, LONGEST_EVACUATION)
         await asyncio.sleep(max(0.0, min(lasts, until - now())))
-        if now() >= until and world.random.random() < LAST_ORDER_STAYS:
+        if now() >= until and world.random.random() < FINAL_EVACUATION_SHARE:
             return
-        print(f"{now() - world.began:7.1f} s  {zone} is taken back", flush=True)
+        print(f"{now() - world.start_time:7.1f} s  {zone} is taken back", flush=True)
         await evacuations.restore(zone)
 
 
-async def play_storm(world, until):
+async def run_storm(world, until):
     faults = Faults(world)
-    await asyncio.gather(world.operator.storm_from_several(until), keep_harming(world, faults, until),
-                         keep_evacuating(world, until))
-    await last_look(world, planned_only=False)
+    await asyncio.gather(world.operator.storm_from_several(until), run_faults(world, faults, until),
+                         run_evacuations(world, until))
+    await check_recovery(world, planned_only=False)
 
 
-async def play_zones(world, until):
+async def run_zones(world, until):
     """Changes and evacuations beside cut zones and beside a stream of other faults."""
     faults = Faults(world)
-    streams = [[faults.change_configuration, faults.release]] + faults.about_zones()
-    await asyncio.gather(keep_evacuating(world, until),
-                         *(keep_acting(world, faults, actions, until) for actions in streams))
-    await last_look(world, planned_only=False)
+    streams = [[faults.change_configuration, faults.release]] + faults.zone_actions()
+    await asyncio.gather(run_evacuations(world, until),
+                         *(run_actions(world, faults, actions, until) for actions in streams))
+    await check_recovery(world, planned_only=False)
 
 
-async def last_look(world, planned_only):
+async def check_recovery(world, planned_only):
     """After everything is healed and RECOVERY has passed, each request is served."""
-    await asyncio.sleep(RECOVERY if not planned_only else 1.0)
-    begun = now()
-    await asyncio.sleep(LAST_LOOK)
-    late = [failure for failure in world.failures if planned_only or failure[0] >= begun]
-    if late:
-        world.promises.violate("RECOVER", f"{len(late)} requests failed while nothing was wrong: {late[:3]}")
-    for kind in KINDS:
-        if world.promises.counts[f"{kind.name} served"] == 0:
-            world.promises.violate("RECOVER", f"no {kind.name} was served")
-    world.evacuations.check_at_end(begun)
+    await asyncio.sleep(RECOVERY_TIME if not planned_only else 1.0)
+    started_at = now()
+    await asyncio.sleep(CHECK_TIME)
+    unserved = [failure for failure in world.failures if planned_only or failure[0] >= started_at]
+    if unserved:
+        world.checker.report("RECOVER", f"{len(unserved)} requests failed while nothing was wrong: {unserved[:3]}")
+    for kind in REQUEST_KINDS:
+        if world.checker.counts[f"{kind.name} served"] == 0:
+            world.checker.report("RECOVER", f"no {kind.name} was served")
+    world.evacuations.check_at_end(started_at)
     await world.operator.read_at_end(10)
 
 
-async def play(world, arguments):
-    world.began = now()
+async def run_scenario(world, arguments):
+    world.start_time = now()
     await world.start()
     until = now() + arguments.seconds
     if arguments.storm:
-        await play_storm(world, until)
+        await run_storm(world, until)
         return
     if arguments.zones:
-        await play_zones(world, until)
+        await run_zones(world, until)
         return
     faults = Faults(world)
     if arguments.sabotage:
         until = now()
-        await asyncio.sleep(WARM_UP)
+        await asyncio.sleep(WARM_UP_TIME)
         await faults.lose_all_disks()
-    planned = keep_acting(world, faults, faults.planned(), until)
+    planned = run_actions(world, faults, faults.planned(), until)
     streams = 0 if arguments.planned else world.random.choice((1, 2))
-    unplanned = [keep_acting(world, faults, faults.unplanned(), until) for _ in range(streams)]
-    await asyncio.gather(planned, keep_evacuating(world, until), *unplanned)
-    await last_look(world, arguments.planned)
+    unplanned = [run_actions(world, faults, faults.unplanned(), until) for _ in range(streams)]
+    await asyncio.gather(planned, run_evacuations(world, until), *unplanned)
+    await check_recovery(world, arguments.planned)
 
 
 def run(seed, arguments):
     """One run; True when no rule was broken. The folder with the logs stays when one was."""
-    folder = pathlib.Path(arguments.folder) / f"seed-{seed}"
-    shutil.rmtree(folder, ignore_errors=True)
-    folder.mkdir(parents=True)
+    directory = pathlib.Path(arguments.folder) / f"seed-{seed}"
+    shutil.rmtree(directory, ignore_errors=True)
+    directory.mkdir(parents=True)
     proxy = FaultProxy(seed)
     controls = random.Random(seed).choice((3, 5))
-    world = World(seed, folder, pathlib.Path(arguments.build), FIRST_NETWORK + seed % 100, proxy, controls,
+    world = World(seed, directory, pathlib.Path(arguments.build), FIRST_NETWORK + seed % 100, proxy, controls,
                   arguments.balancers_per_zone)
-    world.left_out = set(arguments.leave_out)
+    world.excluded_actions = set(arguments.leave_out)
     proxy.start()
 
     async def act():
         try:
-            await play(world, arguments)
+            await run_scenario(world, arguments)
         finally:
             await world.stop()
 
     try:
         asyncio.run(act())
     except RuntimeError as error:
-        world.promises.violate("START", str(error))
+        world.checker.report("START", str(error))
     finally:
         proxy.stop()
-    counts = ", ".join(f"{name} {count}" for name, count in sorted(world.promises.counts.items()))
-    behind = max(watch.longest for watch in world.version_watches)
-    counts += f"; longest behind {behind:.2f} s"
+    counts = ", ".join(f"{name} {count}" for name, count in sorted(world.checker.counts.items()))
+    max_lag = max(watch.longest_lag for watch in world.version_watches)
+    counts += f"; longest behind {max_lag:.2f} s"
     counts += f"; {world.paths.summary()}"
     dropped = sum(link.dropped for link in world.links.values())
     passed = sum(link.passed for link in world.links.values())
     counts += f"; links of {world.link_rate} Mbit/s dropped {dropped} of {passed + dropped}"
-    broken = len(world.promises.violations)
-    print(f"seed {seed}, {controls} replicas: {broken} violations; {counts}", flush=True)
-    (folder / "violations").write_text("\n".join(world.promises.violations) + "\n")
-    if broken == 0 and not arguments.keep_logs:
-        shutil.rmtree(folder)
-    return broken == 0
+    violation_count = len(world.checker.violations)
+    print(f"seed {seed}, {controls} replicas: {violation_count} violations; {counts}", flush=True)
+    (directory / "violations").write_text("\n".join(world.checker.violations) + "\n")
+    if violation_count == 0 and not arguments.keep_logs:
+        shutil.rmtree(directory)
+    return violation_count == 0
 
 
 def known_seeds():
@@ -213,11 +213,11 @@
     if arguments.seed is not None:
         seeds = [arguments.seed]
     kind = "storm" if arguments.storm else "zones" if arguments.zones else ""
-    plays = [(seed, kind) for seed in seeds]
+    scenarios = [(seed, kind) for seed in seeds]
     if arguments.known:
-        plays = known_seeds()
+        scenarios = known_seeds()
     results = []
-    for seed, kind in plays:
+    for seed, kind in scenarios:
         arguments.storm, arguments.zones = kind == "storm", kind == "zones"
         results.append(run(seed, arguments))
     print(f"{results.count(True)} of {len(results)} runs without a violation")
--- a/tests/platform/soak/source_filter.py
+++ b/tests/platform/soak/source_filter.py
@@ -10,10 +10,10 @@
 # Classic BPF: load a word, jump if equal, return. The offset is that of the source address in the IPv4 header.
 LOAD, JUMP_IF_EQUAL, RETURN = 0x20, 0x15, 0x06
 SOURCE_ADDRESS = 0xFFF00000 + 12
-TAKE, DROP = 0xFFFFFFFF, 0
+ACCEPT, DROP = 0xFFFFFFFF, 0
 
 
-def leave_silent(listener, ips):
+def block_sources(listener, ips):
     """From now on the listener takes nothing from these addresses; from an empty list on, everything."""
     if not ips:
         listener.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
@@ -22,7 +22,7 @@
     for i, ip in enumerate(ips):
         number, = struct.unpack("!I", socket.inet_aton(ip))
         program.append((JUMP_IF_EQUAL, len(ips) - i, 0, number))
-    program += [(RETURN, 0, 0, TAKE), (RETURN, 0, 0, DROP)]
-    octets = ctypes.create_string_buffer(b"".join(INSTRUCTION.pack(*one) for one in program))
+    program += [(RETURN, 0, 0, ACCEPT), (RETURN, 0, 0, DROP)]
+    instructions = ctypes.create_string_buffer(b"".join(INSTRUCTION.pack(*instruction) for instruction in program))
     listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
-                        PROGRAM.pack(len(program), ctypes.addressof(octets)))
+                        PROGRAM.pack(len(program), ctypes.addressof(instructions)))
--- a/tests/platform/soak/streams.py
+++ b/tests/platform/soak/streams.py
@@ -4,10 +4,10 @@
 
 import packets
 
-FIRST_RESEND = 0.2
-LAST_RESEND = 1.6
+INITIAL_RTO = 0.2
+MAX_RTO = 1.6
 WINDOW = 16
-ACKNOWLEDGED_TOGETHER = 2
+PACKETS_PER_ACK = 2
 
 
 class Sender:
@@ -17,61 +17,61 @@
     `give_up` is called; None repeats until `stop`.
     """
 
-    def __init__(self, seq, write, max_resends=None, give_up=None):
-        self.sent = seq
+    def __init__(self, seq, write, max_retransmissions=None, on_timeout=None):
+        self.send_next = seq
         self.acknowledged = seq
         self.write = write
-        self.max_resends = max_resends
-        self.give_up = give_up
+        self.max_retransmissions = max_retransmissions
+        self.on_timeout = on_timeout
         self.unsent = []
-        self.under_way = []
-        self.resends = 0
+        self.in_flight = []
+        self.retransmissions = 0
         self.timer = None
 
     def put(self, octets):
         self.unsent += [octets[i:i + packets.MAX_DATA] for i in range(0, len(octets), packets.MAX_DATA)]
-        self._push()
+        self._fill_window()
 
     def on_acknowledged(self, ack):
         if ack <= self.acknowledged:
             return
         self.acknowledged = ack
-        self.under_way = [(seq, data) for seq, data in self.under_way if seq + len(data) > ack]
-        self.resends = 0
-        self._push()
+        self.in_flight = [(seq, data) for seq, data in self.in_flight if seq + len(data) > ack]
+        self.retransmissions = 0
+        self._fill_window()
 
     def stop(self):
-        self._disarm()
+        self._stop_timer()
         self.unsent = []
-        self.under_way = []
+        self.in_flight = []
 
-    def _push(self):
-        while self.unsent and len(self.under_way) < WINDOW:
+    def _fill_window(self):
+        while self.unsent and len(self.in_flight) < WINDOW:
             data = self.unsent.pop(0)
-            self.write(data, self.sent)
-            self.under_way.append((self.sent, data))
-            self.sent += len(data)
-        self._arm(FIRST_RESEND)
+            self.write(data, self.send_next)
+            self.in_flight.append((self.send_next, data))
+            self.send_next += len(data)
+        self._start_timer(INITIAL_RTO)
 
-    def _disarm(self):
+    def _stop_timer(self):
         if self.timer is not None:
             self.timer.cancel()
         self.timer = None
 
-    def _arm(self, delay):
-        self._disarm()
-        if self.under_way:
-            self.timer = asyncio.get_running_loop().call_later(delay, self._resend, delay)
+    def _start_timer(self, delay):
+        self._stop_timer()
+        if self.in_flight:
+            self.timer = asyncio.get_running_loop().call_later(delay, self._retransmit, delay)
 
-    def _resend(self, delay):
-        self.resends += 1
-        if self.max_resends is not None and self.resends > self.max_resends:
+    def _retransmit(self, delay):
+        self.retransmissions += 1
+        if self.max_retransmissions is not None and self.retransmissions > self.max_retransmissions:
             self.stop()
-            self.give_up()
+            self.on_timeout()
             return
-        for seq, data in self.under_way:
+        for seq, data in self.in_flight:
             self.write(data, seq)
-        self._arm(min(2 * delay, LAST_RESEND))
+        self._start_timer(min(2 * delay, MAX_RTO))
 
 
 class Receiver:
@@ -79,22 +79,22 @@
     or came before."""
 
     def __init__(self, seq):
-        self.received = seq
-        self.early = {}
+        self.receive_next = seq
+        self.out_of_order = {}
         self.unacknowledged = 0
         self.stream = b""
 
     def on_data(self, packet):
         """True when an acknowledgement is due."""
-        is_old = packet.seq < self.received
+        is_old = packet.seq < self.receive_next
         if not is_old:
-            self.early[packet.seq] = packet.data
-        while self.received in self.early:
-            data = self.early.pop(self.received)
-            self.received += len(data)
+            self.out_of_order[packet.seq] = packet.data
+        while self.receive_next in self.out_of_order:
+            data = self.out_of_order.pop(self.receive_next)
+            self.receive_next += len(data)
             self.stream += data
         self.unacknowledged += 1
-        is_due = is_old or self.unacknowledged >= ACKNOWLEDGED_TOGETHER or len(packet.data) < packets.MAX_DATA
+        is_due = is_old or self.unacknowledged >= PACKETS_PER_ACK or len(packet.data) < packets.MAX_DATA
         if is_due:
             self.unacknowledged = 0
         return is_due
--- a/tests/platform/soak/target.py
+++ b/tests/platform/soak/target.py
@@ -7,14 +7,14 @@
 
 import messages
 import packets
-from kept_connection import KeptCaller
+from kept_connection import ControlClient
 from packets import ACK, FIN, RST, SYN, Packet
-from promises import DRAIN, now
+from promises import DRAIN_LIMIT, now
 from streams import Receiver, Sender
 from target_sockets import TargetSockets
 
 ANNOUNCE_INTERVAL = 1.2
-MAX_RESENDS = 8
+MAX_RETRANSMISSIONS = 8
 SLOTS = 2
 _numbers = itertools.count(1)
 
@@ -24,22 +24,22 @@
 
     def __init__(self, target, packet):
         self.target = target
-        self.caller = packet.source
+        self.client = packet.source
         self.frontend = packet.destination
         self.key = (packet.source, packet.destination)
         self.is_open = False
         self.echo = packet.echo
         self.receiver = Receiver(packet.seq)
-        self.sender = Sender(random.randrange(1 << 31), lambda data, seq: self.write(ACK, data, seq), MAX_RESENDS,
-                             self.forget)
+        self.sender = Sender(random.randrange(1 << 31), lambda data, seq: self.write(ACK, data, seq), MAX_RETRANSMISSIONS,
+                             self.discard)
 
     def write(self, flags, data=b"", seq=None):
-        seq = self.sender.sent if seq is None else seq
-        packet = Packet(self.frontend, self.caller, flags, seq & 0xFFFFFFFF, self.receiver.received & 0xFFFFFFFF,
+        seq = self.sender.send_next if seq is None else seq
+        packet = Packet(self.frontend, self.client, flags, seq & 0xFFFFFFFF, self.receiver.receive_next & 0xFFFFFFFF,
                         self.echo, data)
         self.target.send(packet)
 
-    def forget(self):
+    def discard(self):
         self.sender.stop()
         self.target.flows.pop(self.key, None)
 
@@ -49,7 +49,7 @@
 
     def __init__(self, world, service, address, zone):
         self.world = world
-        self.promises = world.promises
+        self.checker = world.checker
         self.service = service
         self.address = address
         self.zone = zone
@@ -62,7 +62,7 @@
         self.leave_acknowledged = None
         self.slowness = 1.0
         self.slots = asyncio.Semaphore(SLOTS)
-        self.control = KeptCaller(world.control_addresses, world.random,
+        self.control = ControlClient(world.control_addresses, world.random,
                                   lambda control_address: world.is_reachable(zone, control_address))
         self.sockets = None
         self.announcer = None
@@ -90,17 +90,17 @@
     async def call(self, method, body=""):
         return await self.control.call(method, f"/-/instances/{self.name}", body)
 
-    async def leave(self, says_draining=True, grace=1.0):
+    async def leave(self, announce_draining=True, grace=1.0):
         """A planned end. Gives up asking after some seconds, as the platform does."""
         self.announcer.cancel()
         self.state = "draining"
         for _ in range(6):
-            done = await (self.announce() if says_draining else self.call("DELETE"))
+            done = await (self.announce() if announce_draining else self.call("DELETE"))
             if done:
                 self.leave_acknowledged = now()
                 break
-        await asyncio.sleep(DRAIN + grace)
-        if says_draining:
+        await asyncio.sleep(DRAIN_LIMIT + grace)
+        if announce_draining:
             await self.call("DELETE")
         self.end()
 
@@ -120,34 +120,34 @@
         if self.is_running:
             self.sockets.send(packets.encode(packet), (packet.destination[0], self.world.datagram_port))
 
-    def on_datagram(self, octets, sender, at):
+    def on_datagram(self, datagram, sender, at):
         """A datagram from a balancer comes over its narrow link, unless the path is cut off."""
         zone = self.world.zone_of(sender)
         if not self.world.paths.is_open(zone, self.zone):
-            packet = packets.decode(octets[packets.TARGET_PREFIX.size:])
+            packet = packets.decode(datagram[packets.TARGET_PREFIX.size:])
             if packet is not None and packet.has(SYN):
                 self.world.paths.on_lost_opening(zone, self.zone)
             return
-        if self.world.is_lost():
+        if self.world.drops_packet():
             return
         link = self.world.links.get(sender)
-        departure = at if link is None else link.departure(len(octets), at)
+        departure = at if link is None else link.departure(len(datagram), at)
         if departure is None:
-            self.world.note_link_drop(octets[packets.TARGET_PREFIX.size:])
+            self.world.record_link_drop(datagram[packets.TARGET_PREFIX.size:])
             return
         wait = departure - now()
         if wait <= 0:
-            self.on_arrival(octets, sender, departure)
+            self.on_arrival(datagram, sender, departure)
         else:
-            asyncio.get_running_loop().call_later(wait, self.on_arrival, octets, sender, departure)
+            asyncio.get_running_loop().call_later(wait, self.on_arrival, datagram, sender, departure)
 
-    def on_arrival(self, octets, sender, at):
+    def on_arrival(self, datagram, sender, at):
         if not self.is_running:
             return
-        number, = packets.TARGET_PREFIX.unpack_from(octets)
-        packet = packets.decode(octets[packets.TARGET_PREFIX.size:])
-        if packet is None or not packets.is_as_written(packet):
-            self.promises.on_changed_packet(self.name, packet)
+        number, = packets.TARGET_PREFIX.unpack_from(datagram)
+        packet = packets.decode(datagram[packets.TARGET_PREFIX.size:])
+        if packet is None or not packets.has_valid_checksum(packet):
+            self.checker.on_corrupted_packet(self.name, packet)
             return
         key = (packet.source, packet.destination)
         if number != self.number:
@@ -156,26 +156,26 @@
         flow = self.flows.get(key)
         if packet.has(SYN):
             self.on_opening(flow, packet, sender, at)
-        elif flow is None or not (flow.is_open or packet.ack == flow.sender.sent):
-            self.on_stray(key, packet, sender)
+        elif flow is None or not (flow.is_open or packet.ack == flow.sender.send_next):
+            self.on_unknown_flow(key, packet, sender)
         else:
-            self.promises.on_own_packet(key)
+            self.checker.on_own_packet(key)
             self.on_packet(flow, packet)
 
     def on_opening(self, flow, packet, sender, at):
         self.world.evacuations.on_opening(self, self.world.balancer_at(sender), at)
         if flow is None:
             flow = self.flows[(packet.source, packet.destination)] = TargetFlow(self, packet)
-            self.promises.on_opened(self, packet.destination, self.world.opened_at.get(flow.key, now()))
+            self.checker.on_opened(self, packet.destination, self.world.opened_at.get(flow.key, now()))
         flow.write(SYN | ACK)
 
     def on_misrouted(self, key, sender):
         holder = self.world.holder_of(key)
         if holder is not None and not self.world.paths.is_undisturbed(self.world.zone_of(sender), holder.zone):
             holder = None
-        self.promises.on_misrouted(key, holder)
+        self.checker.on_misrouted(key, holder)
 
-    def on_stray(self, key, packet, sender):
+    def on_unknown_flow(self, key, packet, sender):
         self.on_misrouted(key, sender)
         if not packet.has(RST):
             self.send(Packet(packet.destination, packet.source, RST, packet.ack, packet.seq, packet.echo))
@@ -183,7 +183,7 @@
     def on_packet(self, flow, packet):
         flow.echo = packet.echo
         if packet.has(RST):
-            flow.forget()
+            flow.discard()
             return
         flow.is_open = True
         flow.sender.on_acknowledged(packet.ack)
@@ -193,19 +193,19 @@
             asyncio.create_task(self.run(flow, *message))
         if packet.has(FIN):
             flow.write(FIN | ACK)
-            flow.forget()
+            flow.discard()
 
     async def run(self, flow, request, body):
         """Works on a request; a target that leaves closes the flow after its next answer."""
-        identity = request["id"]
-        if body != messages.body_of(identity, len(body)):
-            self.promises.violate("UNASKED", f"{identity} came to {self.name} with another body than was sent")
+        request_id = request["id"]
+        if body != messages.body_of(request_id, len(body)):
+            self.checker.report("UNASKED", f"{request_id} came to {self.name} with another body than was sent")
         async with self.slots:
             if not self.is_running:
                 return
-            self.promises.on_run(identity, request["once"], self)
+            self.checker.on_executed(request_id, request["once"], self)
             await asyncio.sleep(request["work"] * self.slowness)
             if self.is_running and self.flows.get(flow.key) is flow:
-                head = {"id": identity, "got": len(body), "digest": messages.digest(body),
+                head = {"id": request_id, "got": len(body), "digest": messages.digest(body),
                         "closes": self.state == "draining"}
-                flow.sender.put(messages.encode(head, messages.body_of(identity, request["size"])))
+                flow.sender.put(messages.encode(head, messages.body_of(request_id, request["size"])))
--- a/tests/platform/soak/target_sockets.py
+++ b/tests/platform/soak/target_sockets.py
@@ -22,47 +22,47 @@
 
     def __init__(self, address, on_datagram):
         self.on_datagram = on_datagram
-        self.silent_ips = []
+        self.blocked_ips = []
         self.loop = asyncio.get_running_loop()
         self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.datagrams.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        for one in (self.datagrams, self.listener):
-            one.bind(address)
-            one.setblocking(False)
+        for sock in (self.datagrams, self.listener):
+            sock.bind(address)
+            sock.setblocking(False)
         self.listener.listen(BACKLOG)
         self.loop.add_reader(self.datagrams, self._on_readable)
         self.loop.add_reader(self.listener, self._on_connection)
 
-    def send(self, octets, address):
+    def send(self, datagram, address):
         try:
-            self.datagrams.sendto(octets, address)
+            self.datagrams.sendto(datagram, address)
         except BlockingIOError:
             # As any datagram that meets a full queue; the other end asks again.
             pass
 
-    def leave_silent(self, ips):
+    def block_sources(self, ips):
         """Connections from these addresses get no answer; from an empty list on, all do."""
-        if ips or self.silent_ips:
-            source_filter.leave_silent(self.listener, ips)
-        self.silent_ips = ips
+        if ips or self.blocked_ips:
+            source_filter.block_sources(self.listener, ips)
+        self.blocked_ips = ips
 
     def close(self):
-        for one in (self.datagrams, self.listener):
-            self.loop.remove_reader(one)
-            one.close()
+        for sock in (self.datagrams, self.listener):
+            self.loop.remove_reader(sock)
+            sock.close()
 
     def _on_readable(self):
         try:
-            octets, extra, _, sender = self.datagrams.recvmsg(MAX_DATAGRAM, socket.CMSG_SPACE(TIMESTAMP.size))
+            datagram, ancillary, _, sender = self.datagrams.recvmsg(MAX_DATAGRAM, socket.CMSG_SPACE(TIMESTAMP.size))
         except BlockingIOError:
             return
-        self.on_datagram(octets, sender[0], self._arrived_at(extra))
+        self.on_datagram(datagram, sender[0], self._arrived_at(ancillary))
 
     @staticmethod
-    def _arrived_at(extra):
-        for level, kind, value in extra:
+    def _arrived_at(ancillary):
+        for level, kind, value in ancillary:
             if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
                 seconds, nanoseconds = TIMESTAMP.unpack(value)
                 return now() - max(0.0, time.time() - seconds - nanoseconds / NANOSECONDS)
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -9,16 +9,16 @@
 import re
 
 import http_call
-from promises import APPLY, now
+from promises import APPLY_LIMIT, now
 
 INTERVAL = 0.1
 # An answer that takes longer says nothing of what was in force when it was asked for.
-ANSWER_TIMEOUT = 0.5
-VERSION = "operator_version"
-EMPTIED_ZONES = "zones_evacuated"
+RESPONSE_TIMEOUT = 0.5
+VERSION_METRIC = "operator_version"
+EVACUATED_ZONES_METRIC = "zones_evacuated"
 
 
-def figure(metrics, name):
+def metric_value(metrics, name):
     """The value of a metric in Prometheus text; None when it is not there."""
     found = re.search(rf"^gorsevalve_{name}(?:\{{[^}}]*\}})? (\S+)", metrics, re.MULTILINE)
     return int(float(found.group(1))) if found else None
@@ -30,38 +30,38 @@
     def __init__(self, world, machine):
         self.world = world
         self.machine = machine
-        self.longest = 0.0
-        self.told_held = None
+        self.longest_lag = 0.0
+        self.reported_version = None
 
     async def metrics(self):
-        answer = await http_call.once(f"{self.machine.ip}:{self.world.readiness_port}", "GET", "/metrics",
-                                      timeout=ANSWER_TIMEOUT)
-        return answer[2] if answer is not None and answer[0] == 200 else None
+        response = await http_call.request(f"{self.machine.ip}:{self.world.readiness_port}", "GET", "/metrics",
+                                      timeout=RESPONSE_TIMEOUT)
+        return response[2] if response is not None and response[0] == 200 else None
 
     def undisturbed_since(self):
         """Since when nothing was done to this balancer or to all machines; None while something is."""
-        return self.world.contact.since(self.machine.name, with_core=False)
+        return self.world.disturbances.since(self.machine.name, with_core=False)
 
     async def run_forever(self):
         while True:
             asked_at = now()
             metrics = await self.metrics()
-            if metrics is not None and self.world.router.is_in(self.machine):
-                self.judge(figure(metrics, VERSION), asked_at)
-                self.world.evacuations.on_figure(self.machine, figure(metrics, EMPTIED_ZONES), asked_at)
+            if metrics is not None and self.world.router.is_in_rotation(self.machine):
+                self.check_version(metric_value(metrics, VERSION_METRIC), asked_at)
+                self.world.evacuations.on_evacuated_count(self.machine, metric_value(metrics, EVACUATED_ZONES_METRIC), asked_at)
             await asyncio.sleep(INTERVAL * self.world.slowness)
 
-    def judge(self, held, asked_at):
-        if held is None:
+    def check_version(self, applied_version, asked_at):
+        if applied_version is None:
             return
-        missing = [at for at, version in self.world.promises.acknowledged if version > held]
+        missing = [at for at, version in self.world.checker.acknowledged if version > applied_version]
         undisturbed = self.undisturbed_since()
         if not missing or undisturbed is None:
             return
-        behind = asked_at - max(min(missing), undisturbed)
-        self.longest = max(self.longest, behind)
-        if behind > APPLY and self.told_held != held:
-            self.told_held = held
-            self.world.promises.violate("CONFIG", f"{self.machine.name} is behind by {behind:.2f} s with version {held}, "
-                                                  f"{now() - self.world.began:.1f} s after the start")
+        lag = asked_at - max(min(missing), undisturbed)
+        self.longest_lag = max(self.longest_lag, lag)
+        if lag > APPLY_LIMIT and self.reported_version != applied_version:
+            self.reported_version = applied_version
+            self.world.checker.report("CONFIG", f"{self.machine.name} is behind by {lag:.2f} s with version {applied_version}, "
+                                                  f"{now() - self.world.start_time:.1f} s after the start")
 
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -7,13 +7,13 @@
 
 import http_call
 import packets
-from contact import STALL, Contact
-from caller import DOWNLOAD, FEED, UPDATE, UPLOAD, Caller
+from contact import MAX_LOOP_STALL, Disturbances
+from caller import DOWNLOAD, FEED, UPDATE, UPLOAD, Client
 from evacuations import Evacuations
 from machine import INTERNAL_PORT, Machine
-from narrow_link import NarrowLink
+from narrow_link import LinkShaper
 from operator_calls import Operator
-from promises import Promises, now
+from promises import RuleChecker, now
 from route_probes import RouteProbes
 from router import Router
 from target import Target
@@ -23,8 +23,8 @@
 ZONES = ("zone-a", "zone-b", "zone-c")
 BALANCERS_PER_ZONE = 2
 TARGETS_PER_ZONE = {"main": 2, "archive": 1}
-CALLERS_PER_ZONE = 2
-USERS_PER_CALLER = {FEED: 4, UPDATE: 3, DOWNLOAD: 1, UPLOAD: 1}
+CLIENTS_PER_ZONE = 2
+USERS_PER_CLIENT = {FEED: 4, UPDATE: 3, DOWNLOAD: 1, UPLOAD: 1}
 # What a balancer's link takes, as its settings say.
 LINK_RATES = ("2.0", "1.0", "0.5")
 TARGET_PORT = 8261
@@ -38,28 +38,28 @@
     readiness_port = 8167
     control_port = 8166
 
-    def __init__(self, seed, folder, build, network, proxy, controls, balancers_per_zone=BALANCERS_PER_ZONE):
+    def __init__(self, seed, directory, build, network, proxy, controls, balancers_per_zone=BALANCERS_PER_ZONE):
         self.random = random.Random(seed)
-        self.folder = folder
+        self.directory = directory
         self.build = build
         self.network = network
         self.proxy = proxy
         self.zones = ZONES
-        self.contact = Contact()
-        self.promises = Promises(self.contact)
+        self.disturbances = Disturbances()
+        self.checker = RuleChecker(self.disturbances)
         self.router = Router(self)
         self.operator = Operator(self)
         self.evacuations = Evacuations(self)
         self.paths = ZonePaths()
         self.loss = 0.0
         self.targets = []
-        self.callers = []
+        self.clients = []
         self.opened_at = {}
         self.failures = []
         # When a narrow link dropped packets, by flow.
         self.link_drops = collections.defaultdict(list)
         # Names of actions that are not played.
-        self.left_out = set()
+        self.excluded_actions = set()
         self.tasks = []
         self.numbers = itertools.count(1)
         self.frontends = {("198.18.0.1", 443): (FEED, {"main", "archive"}),
@@ -74,7 +74,7 @@
                           for zone in ZONES for i in range(balancers_per_zone)]
         self.all_machines += self.balancers
         self.zones_by_ip.update({machine.ip: machine.zone for machine in self.balancers})
-        self.links = {machine.ip: NarrowLink(float(self.link_rate)) for machine in self.balancers}
+        self.links = {machine.ip: LinkShaper(float(self.link_rate)) for machine in self.balancers}
         # What is asked of each balancer goes more slowly where there are more: this program has one thread.
         self.slowness = balancers_per_zone / BALANCERS_PER_ZONE
         self.version_watches = [VersionWatch(self, machine) for machine in self.balancers]
@@ -109,7 +109,7 @@
         """True when something in a zone reaches this address."""
         return self.paths.is_open(zone, self.zone_of(address.rsplit(":", 1)[0]))
 
-    def balancers_beyond_a_cut(self, zone):
+    def unreachable_balancers(self, zone):
         return [machine.ip for machine in self.balancers if not self.paths.is_open(zone, machine.zone)]
 
     def begin_cut(self, zone):
@@ -118,26 +118,26 @@
         for machine in self.machines:
             sides[machine.zone != zone].append(machine.message_address)
         self.paths.begin_cut(zone)
-        self.apply_cuts_to_targets()
+        self.update_target_filters()
         return self.proxy.cut(*sides)
 
     def end_cut(self, zone, cut):
-        print(f"{now() - self.began:7.1f} s  {self.paths.end_cut(zone)}", flush=True)
-        self.apply_cuts_to_targets()
+        print(f"{now() - self.start_time:7.1f} s  {self.paths.end_cut(zone)}", flush=True)
+        self.update_target_filters()
         self.proxy.heal(cut)
 
-    def apply_cuts_to_targets(self):
+    def update_target_filters(self):
         for target in self.targets:
-            target.sockets.leave_silent(self.balancers_beyond_a_cut(target.zone))
+            target.sockets.block_sources(self.unreachable_balancers(target.zone))
 
     def control_addresses(self):
         return [machine.control_address for machine in self.controls]
 
-    def is_lost(self):
+    def drops_packet(self):
         return self.loss > 0 and self.random.random() < self.loss
 
-    def note_link_drop(self, octets):
-        packet = packets.decode(octets)
+    def record_link_drop(self, datagram):
+        packet = packets.decode(datagram)
         if packet is not None:
             self.link_drops[packet.source, packet.destination].append(now())
 
@@ -166,7 +166,7 @@
         self.zones_by_ip[address[0]] = zone
         target = Target(self, service, address, zone)
         target.start()
-        target.sockets.leave_silent(self.balancers_beyond_a_cut(zone))
+        target.sockets.block_sources(self.unreachable_balancers(zone))
         self.targets.append(target)
         return target
 
@@ -184,82 +184,82 @@
                 for _ in range(count):
                     self.start_target(service, zone)
         await self.wait_ready()
-        await self.start_callers()
+        await self.start_clients()
         await self.start_route_probes()
         for watch in self.version_watches:
             self.spawn(watch.run_forever())
         self.spawn(self.operator.read_forever())
-        self.spawn(self.watch_own_stalls())
-        self.spawn(self.watch_ends())
+        self.spawn(self.watch_event_loop())
+        self.spawn(self.watch_exits())
 
-    async def start_callers(self):
+    async def start_clients(self):
         for zone in ZONES:
-            for _ in range(CALLERS_PER_ZONE):
-                caller = Caller(self, self.ip(30, next(self.numbers)), zone)
-                self.zones_by_ip[caller.ip] = zone
-                await caller.start()
-                self.callers.append(caller)
+            for _ in range(CLIENTS_PER_ZONE):
+                client = Client(self, self.ip(30, next(self.numbers)), zone)
+                self.zones_by_ip[client.ip] = zone
+                await client.start()
+                self.clients.append(client)
                 for frontend, (kind, _) in self.frontends.items():
-                    for _ in range(USERS_PER_CALLER[kind]):
-                        self.spawn(caller.use_forever(kind, frontend))
+                    for _ in range(USERS_PER_CLIENT[kind]):
+                        self.spawn(client.run_user(kind, frontend))
 
     async def start_route_probes(self):
         probes = RouteProbes(self, self.ip(31, next(self.numbers)))
         await probes.start()
         for machine in self.balancers:
-            self.spawn(probes.ask_forever(machine))
+            self.spawn(probes.probe_routes_forever(machine))
 
-    async def watch_own_stalls(self, interval=0.05):
+    async def watch_event_loop(self, interval=0.05):
         """Where this program itself had to wait, nothing is judged by time."""
         while True:
-            begun = now()
+            started_at = now()
             await asyncio.sleep(interval)
-            if now() - begun > interval + STALL:
-                self.promises.counts["own stalls"] += 1
-                self.contact.note(Contact.ALL)
-
-    async def wait_ready(self, patience=20.0):
-        begun = now()
-        while not all(self.router.is_in(machine) for machine in self.balancers):
-            if now() - begun > patience:
+            if now() - started_at > interval + MAX_LOOP_STALL:
+                self.checker.counts["own stalls"] += 1
+                self.disturbances.record(Disturbances.ALL)
+
+    async def wait_ready(self, time_limit=20.0):
+        started_at = now()
+        while not all(self.router.is_in_rotation(machine) for machine in self.balancers):
+            if now() - started_at > time_limit:
                 raise RuntimeError("the balancers did not become ready")
             await asyncio.sleep(0.1)
 
-    async def watch_ends(self):
+    async def watch_exits(self):
         """No process ends by itself."""
         while True:
             for machine in self.machines:
-                if machine.ended_by_itself():
-                    self.promises.violate("FAULT", f"{machine.name} ended with {machine.popen.returncode}")
+                if machine.exited_unexpectedly():
+                    self.checker.report("FAULT", f"{machine.name} ended with {machine.popen.returncode}")
                     machine.start()
             await asyncio.sleep(0.2)
 
     async def is_serving(self, address):
-        answer = await http_call.following(address, "GET", "/-/config")
-        return answer is not None and answer[0] == 200
+        response = await http_call.request_with_redirects(address, "GET", "/-/config")
+        return response is not None and response[0] == 200
 
-    async def wait_control(self, patience):
+    async def wait_control(self, time_limit):
         """Waits until each control process answers reads; False when one does not in time."""
-        begun = now()
-        while now() - begun < patience:
+        started_at = now()
+        while now() - started_at < time_limit:
             if all([await self.is_serving(address) for address in self.control_addresses()]):
                 return True
             await asyncio.sleep(0.2)
         return False
 
     @staticmethod
-    async def end_tasks(patience=0.5):
+    async def cancel_tasks(time_limit=0.5):
         """Cancels until all tasks have ended: a cancellation that meets the end of an awaited call within
         `asyncio.wait_for` is lost, and loops that call for ever would go on."""
         while tasks := asyncio.all_tasks() - {asyncio.current_task()}:
             for task in tasks:
                 task.cancel()
-            await asyncio.wait(tasks, timeout=patience)
+            await asyncio.wait(tasks, timeout=time_limit)
 
     async def stop(self):
         for target in list(self.targets):
             target.end()
-        await self.end_tasks()
+        await self.cancel_tasks()
         for machine in self.all_machines:
             if machine.popen is not None:
                 machine.thaw()
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from promises import CONTACT, now
+from promises import SETTLE_TIME, now
 
 
 @dataclasses.dataclass
@@ -10,33 +10,33 @@
     """One zone's cut: nothing goes into the zone or out of it, while its callers reach its balancers."""
 
     zone: str
-    begun: float
+    started_at: float
     last_served: float
     # The longest time in which no caller of the zone got an answer.
-    longest_wait: float = 0.0
+    longest_outage: float = 0.0
     # Flows that balancers placed across, by those within the zone and by those outside, and until when from the
     # beginning on.
-    placed_from_within: int = 0
-    placed_from_outside: int = 0
-    placed_across: float = 0.0
+    openings_out: int = 0
+    openings_in: int = 0
+    last_opening_after: float = 0.0
 
     def on_served(self):
         """A caller of the zone got an answer. Over the cut none comes, so a target of the own zone served it."""
-        self.longest_wait = max(self.longest_wait, now() - self.last_served)
+        self.longest_outage = max(self.longest_outage, now() - self.last_served)
         self.last_served = now()
 
-    def on_lost_opening(self, is_from_within):
+    def on_lost_opening(self, is_outbound):
         """A balancer placed a flow across."""
-        self.placed_across = now() - self.begun
-        if is_from_within:
-            self.placed_from_within += 1
+        self.last_opening_after = now() - self.started_at
+        if is_outbound:
+            self.openings_out += 1
         else:
-            self.placed_from_outside += 1
+            self.openings_in += 1
 
     def __str__(self):
-        return (f"{self.zone} was cut off for {now() - self.begun:.2f} s: {self.placed_from_within} openings went out "
-                f"of it and {self.placed_from_outside} into it, the last after {self.placed_across:.2f} s; its callers "
-                f"were without an answer for {self.longest_wait:.2f} s at most")
+        return (f"{self.zone} was cut off for {now() - self.started_at:.2f} s: {self.openings_out} openings went out "
+                f"of it and {self.openings_in} into it, the last after {self.last_opening_after:.2f} s; its callers "
+                f"were without an answer for {self.longest_outage:.2f} s at most")
 
 
 class ZonePaths:
@@ -67,7 +67,7 @@
         if one == other:
             return True
         healed_at = max(self.healed_at.get(one, 0.0), self.healed_at.get(other, 0.0))
-        return self.is_open(one, other) and now() - healed_at >= CONTACT
+        return self.is_open(one, other) and now() - healed_at >= SETTLE_TIME
 
     def on_lost_opening(self, sender_zone, target_zone):
         """An opening packet of a balancer met a cut."""
@@ -80,7 +80,7 @@
             self.cuts[zone].on_served()
 
     def summary(self):
-        placed = max((cut.placed_across for cut in self.past_cuts), default=0.0)
-        waited = max((cut.longest_wait for cut in self.past_cuts), default=0.0)
+        placed = max((cut.last_opening_after for cut in self.past_cuts), default=0.0)
+        waited = max((cut.longest_outage for cut in self.past_cuts), default=0.0)
         return (f"{len(self.past_cuts)} cut zones, flows placed across for {placed:.2f} s, "
                 f"{waited:.2f} s without an answer at most")
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -6,23 +6,23 @@
 import time
 import unittest
 
-from replicated import CONTROL_PORT, PATIENCE, ReplicatedTest, call
+from replicated import CONTROL_PORT, TIMEOUT, ReplicatedTest, call
 
 
 class EvacuationTest(ReplicatedTest):
     network = "127.93"
 
-    def order(self, method, zone):
+    def send_command(self, method, zone):
         """Asks one replica after the other, follows redirects; gives status and body of the decision."""
-        deadline = time.monotonic() + PATIENCE
-        turn = 0
+        deadline = time.monotonic() + TIMEOUT
+        attempt = 0
         url = None
         while time.monotonic() < deadline:
-            url = url or f"http://{self.replicas[turn % len(self.replicas)]}:{CONTROL_PORT}/-/evacuate/{zone}"
+            url = url or f"http://{self.replicas[attempt % len(self.replicas)]}:{CONTROL_PORT}/-/evacuate/{zone}"
             status, body, url = call(method, url)
             if status not in (0, 307, 503):
                 return status, body
-            turn += 1
+            attempt += 1
             time.sleep(0.1)
         return self.fail("no replica decided in time")
 
@@ -31,21 +31,21 @@
                         lambda: all(self.metric(ip, "zones_evacuated") == count for ip in machines or self.machines))
 
     def test_an_order_is_known_to_all_and_holds_after_a_restart_of_all(self):
-        self.assertEqual(self.order("POST", "zone-a")[0], 200)
+        self.assertEqual(self.send_command("POST", "zone-a")[0], 200)
         self.wait_for_evacuated(1)
-        self.assertEqual(self.order("POST", "zone-a")[0], 200)
+        self.assertEqual(self.send_command("POST", "zone-a")[0], 200)
         self.kill_all()
         for ip in self.machines:
             self.start(ip)
         self.wait_for_evacuated(1)
-        self.assertEqual(self.order("DELETE", "zone-a")[0], 200)
+        self.assertEqual(self.send_command("DELETE", "zone-a")[0], 200)
         self.wait_for_evacuated(0)
-        told = [(line["event"], line["zone"]) for line in self.log(self.balancer)
+        logged_events = [(line["event"], line["zone"]) for line in self.log(self.balancer)
                 if line["event"] in ("zone_evacuated", "zone_restored")]
-        self.assertEqual(told, [("zone_evacuated", "zone-a")] * 2 + [("zone_restored", "zone-a")])
+        self.assertEqual(logged_events, [("zone_evacuated", "zone-a")] * 2 + [("zone_restored", "zone-a")])
 
     def test_an_order_holds_after_a_replica_lost_its_disk_and_another_one_is_gone(self):
-        self.assertEqual(self.order("POST", "zone-b")[0], 200)
+        self.assertEqual(self.send_command("POST", "zone-b")[0], 200)
         self.wait_for_evacuated(1)
         wiped, gone = self.replicas[0], self.replicas[1]
         self.kill(wiped)
@@ -54,11 +54,11 @@
         self.wait_until("the wiped replica is taken in", lambda: self.metric(wiped, "replicas") == 3)
         self.wait_for_evacuated(1)
         self.kill(gone)
-        self.assertEqual(self.order("POST", "zone-b")[0], 200)
+        self.assertEqual(self.send_command("POST", "zone-b")[0], 200)
         self.wait_for_evacuated(1, (wiped, self.replicas[2], self.balancer))
 
     def test_an_unknown_zone_is_refused_by_name_with_those_that_are_known(self):
-        status, body = self.order("POST", "nowhere")
+        status, body = self.send_command("POST", "nowhere")
         self.assertEqual(status, 404)
         self.assertEqual(json.loads(body)["error"],
                          'there is no zone "nowhere"; known zones: zone-a zone-b')
@@ -66,12 +66,12 @@
             self.assertEqual(self.metric(ip, "zones_evacuated"), 0)
 
     def test_a_zone_that_is_no_text_ends_no_replica(self):
-        status, _ = self.order("DELETE", "%ff")
+        status, _ = self.send_command("DELETE", "%ff")
         self.assertEqual(status, 404)
         self.assertTrue(all(self.processes[ip].poll() is None for ip in self.replicas))
 
     def test_without_a_majority_an_order_is_not_acknowledged(self):
-        self.assertEqual(self.order("DELETE", "zone-a")[0], 200)
+        self.assertEqual(self.send_command("DELETE", "zone-a")[0], 200)
         self.kill(self.replicas[0])
         self.kill(self.replicas[1])
         for _ in range(3):
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -11,7 +11,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent.parent
 BUILD = pathlib.Path(os.environ.get("GORSEVALVE_BUILD", ROOT / "build" / "release"))
-PATIENCE = 60
+TIMEOUT = 60
 USAGE_ERROR = 1
 
 SETTINGS = """
@@ -35,9 +35,9 @@
     """Each test starts one balancer without any replica."""
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.path = pathlib.Path(folder.name) / "node.toml"
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.path = pathlib.Path(directory.name) / "node.toml"
 
     def start(self):
         process = subprocess.Popen([str(BUILD / "gorsevalve-platform-balancer")], text=True,
@@ -49,11 +49,11 @@
     def end(self, process):
         if process.poll() is None:
             process.kill()
-        process.communicate(timeout=PATIENCE)
+        process.communicate(timeout=TIMEOUT)
 
     def wait_for_event(self, process, event):
         """Reads log lines until one with the event comes; a guard ends the process when it does not."""
-        guard = threading.Timer(PATIENCE, process.kill)
+        guard = threading.Timer(TIMEOUT, process.kill)
         guard.start()
         try:
             for line in process.stdout:
@@ -79,12 +79,12 @@
         self.assertTrue(self.wait_for_event(process, "started"))
         process.send_signal(signal.SIGTERM)
         self.assertTrue(self.wait_for_event(process, "stopped"))
-        self.assertEqual(process.wait(PATIENCE), 0)
+        self.assertEqual(process.wait(TIMEOUT), 0)
 
     def test_bad_settings_are_refused_with_file_and_field(self):
         self.path.write_text(SETTINGS.replace('"127.90.1.1:8172"', '"nowhere"'))
         process = self.start()
-        _, errors = process.communicate(timeout=PATIENCE)
+        _, errors = process.communicate(timeout=TIMEOUT)
         self.assertEqual(process.returncode, USAGE_ERROR)
         self.assertIn("node.toml: datagrams:", errors)
 
--- a/tests/platform/test_soak_parts.py
+++ b/tests/platform/test_soak_parts.py
@@ -16,13 +16,13 @@
 import messages  # noqa: E402
 import packets  # noqa: E402
 import source_filter  # noqa: E402
-from contact import Contact  # noqa: E402
-from narrow_link import QUEUE, NarrowLink  # noqa: E402
-from promises import CONTACT, Promises  # noqa: E402
-from streams import FIRST_RESEND, WINDOW, Receiver, Sender  # noqa: E402
+from contact import Disturbances  # noqa: E402
+from narrow_link import QUEUE_LIMIT, LinkShaper  # noqa: E402
+from promises import SETTLE_TIME, RuleChecker  # noqa: E402
+from streams import INITIAL_RTO, WINDOW, Receiver, Sender  # noqa: E402
 from zone_paths import ZonePaths  # noqa: E402
 
-OCTETS_OF_A_FULL_PACKET = 1240
+FULL_PACKET_BYTES = 1240
 
 
 def data_packet(seq, data):
@@ -31,14 +31,14 @@
 
 class NarrowLinkTest(unittest.TestCase):
     def test_a_burst_beyond_the_queue_is_dropped(self):
-        link = NarrowLink(2.0)
-        departures = [link.departure(OCTETS_OF_A_FULL_PACKET, 1.0) for _ in range(WINDOW)]
-        self.assertEqual(sum(departure is not None for departure in departures), QUEUE + 1)
+        link = LinkShaper(2.0)
+        departures = [link.departure(FULL_PACKET_BYTES, 1.0) for _ in range(WINDOW)]
+        self.assertEqual(sum(departure is not None for departure in departures), QUEUE_LIMIT + 1)
 
     def test_paced_packets_pass_at_the_rate_of_the_link(self):
-        link = NarrowLink(2.0)
-        time_of_one = OCTETS_OF_A_FULL_PACKET / 250_000
-        departures = [link.departure(OCTETS_OF_A_FULL_PACKET, i * time_of_one) for i in range(100)]
+        link = LinkShaper(2.0)
+        time_of_one = FULL_PACKET_BYTES / 250_000
+        departures = [link.departure(FULL_PACKET_BYTES, i * time_of_one) for i in range(100)]
         self.assertNotIn(None, departures)
         self.assertAlmostEqual(departures[-1], 100 * time_of_one)
 
@@ -52,18 +52,18 @@
         self.assertEqual(len(written), WINDOW)
         receiver = Receiver(100)
         # The first one of each burst is lost once.
-        lost, rounds = set(), 0
+        dropped, rounds = set(), 0
         while len(receiver.stream) < len(message):
             burst, written[:] = list(written), []
             for number, (seq, data) in enumerate(burst):
-                if number == 0 and seq not in lost:
-                    lost.add(seq)
+                if number == 0 and seq not in dropped:
+                    dropped.add(seq)
                     continue
                 receiver.on_data(data_packet(seq, data))
-            sender.on_acknowledged(receiver.received)
-            self.assertLessEqual(len(sender.under_way), WINDOW)
+            sender.on_acknowledged(receiver.receive_next)
+            self.assertLessEqual(len(sender.in_flight), WINDOW)
             if not written:
-                await asyncio.sleep(FIRST_RESEND * 1.2)
+                await asyncio.sleep(INITIAL_RTO * 1.2)
             rounds += 1
             self.assertLess(rounds, 50)
         self.assertEqual(receiver.stream, message)
@@ -108,7 +108,7 @@
         paths.on_lost_opening("b", "a")
         paths.on_lost_opening("c", "a")
         cut = paths.end_cut("a")
-        self.assertEqual((cut.placed_from_within, cut.placed_from_outside), (1, 2))
+        self.assertEqual((cut.openings_out, cut.openings_in), (1, 2))
 
     def test_the_filter_leaves_only_those_silent_that_it_names(self):
         listener = socket.create_server(("127.0.0.1", 0))
@@ -121,9 +121,9 @@
             except socket.timeout:
                 return False
 
-        source_filter.leave_silent(listener, ["127.0.0.2", "127.0.0.3"])
+        source_filter.block_sources(listener, ["127.0.0.2", "127.0.0.3"])
         self.assertEqual([connects_from(f"127.0.0.{i}") for i in (2, 3, 4)], [False, False, True])
-        source_filter.leave_silent(listener, [])
+        source_filter.block_sources(listener, [])
         self.assertTrue(connects_from("127.0.0.2"))
 
 
@@ -136,64 +136,64 @@
             patch = mock.patch(f"{module}.now", lambda: self.time)
             patch.start()
             self.addCleanup(patch.stop)
-        self.contact = Contact()
-        self.promises = Promises(self.contact)
-        world = types.SimpleNamespace(promises=self.promises, contact=self.contact, began=0.0, zones=("a", "b"))
+        self.disturbances = Disturbances()
+        self.checker = RuleChecker(self.disturbances)
+        world = types.SimpleNamespace(checker=self.checker, disturbances=self.disturbances, start_time=0.0, zones=("a", "b"))
         self.evacuations = evacuations.Evacuations(world)
-        self.evacuations.in_force["a"] = self.evacuations.changed_at = self.time
-        self.evacuations.perhaps.add("a")
+        self.evacuations.evacuated_since["a"] = self.evacuations.changed_at = self.time
+        self.evacuations.maybe_evacuated.add("a")
         self.target = types.SimpleNamespace(zone="a", name="target")
         self.balancer = types.SimpleNamespace(name="balancer")
 
-    def broken_by_an_opening(self, after):
+    def violations_after_opening(self, after):
         self.time += after
         with mock.patch("builtins.print"):
             self.evacuations.on_opening(self.target, self.balancer, self.time)
-        return len(self.promises.violations)
+        return len(self.checker.violations)
 
     def test_an_opening_within_the_bound_is_allowed(self):
-        self.assertEqual(self.broken_by_an_opening(evacuations.EVACUATE), 0)
+        self.assertEqual(self.violations_after_opening(evacuations.EVACUATION_LIMIT), 0)
 
     def test_an_opening_later_than_the_bound_breaks_the_rule(self):
-        self.assertEqual(self.broken_by_an_opening(evacuations.EVACUATE + 0.1), 1)
+        self.assertEqual(self.violations_after_opening(evacuations.EVACUATION_LIMIT + 0.1), 1)
 
     def test_a_zone_that_is_taken_back_is_not_judged(self):
-        self.evacuations.in_force.pop("a")
-        self.assertEqual(self.broken_by_an_opening(evacuations.EVACUATE + 0.1), 0)
+        self.evacuations.evacuated_since.pop("a")
+        self.assertEqual(self.violations_after_opening(evacuations.EVACUATION_LIMIT + 0.1), 0)
 
     def test_a_balancer_that_was_disturbed_is_judged_once_it_is_in_touch_again(self):
-        self.time += evacuations.EVACUATE
-        self.contact.note("balancer")
-        self.assertEqual(self.broken_by_an_opening(CONTACT / 2), 0)
-        self.assertEqual(self.broken_by_an_opening(CONTACT), 1)
+        self.time += evacuations.EVACUATION_LIMIT
+        self.disturbances.record("balancer")
+        self.assertEqual(self.violations_after_opening(SETTLE_TIME / 2), 0)
+        self.assertEqual(self.violations_after_opening(SETTLE_TIME), 1)
 
-    def figures_broken(self, emptied_zones, after=evacuations.EVACUATE + 0.1):
+    def violations_after_metric_read(self, evacuated_count, after=evacuations.EVACUATION_LIMIT + 0.1):
         self.time += after
         with mock.patch("builtins.print"):
-            self.evacuations.on_figure(self.balancer, emptied_zones, self.time)
-        return len(self.promises.violations)
+            self.evacuations.on_evacuated_count(self.balancer, evacuated_count, self.time)
+        return len(self.checker.violations)
 
     def test_a_balancer_must_know_what_was_acknowledged(self):
-        self.assertEqual(self.figures_broken(0, evacuations.EVACUATE), 0)
-        self.assertEqual(self.figures_broken(1), 0)
-        self.assertEqual(self.figures_broken(0), 1)
+        self.assertEqual(self.violations_after_metric_read(0, evacuations.EVACUATION_LIMIT), 0)
+        self.assertEqual(self.violations_after_metric_read(1), 0)
+        self.assertEqual(self.violations_after_metric_read(0), 1)
 
     def test_a_balancer_must_know_what_was_taken_back(self):
-        self.evacuations.in_force.clear()
-        self.evacuations.perhaps.clear()
-        self.assertEqual(self.figures_broken(0), 0)
-        self.assertEqual(self.figures_broken(1), 1)
+        self.evacuations.evacuated_since.clear()
+        self.evacuations.maybe_evacuated.clear()
+        self.assertEqual(self.violations_after_metric_read(0), 0)
+        self.assertEqual(self.violations_after_metric_read(1), 1)
 
     def test_an_order_without_an_answer_is_not_judged(self):
-        self.evacuations.in_force.clear()
-        self.assertEqual(self.figures_broken(0), 0)
-        self.assertEqual(self.figures_broken(1), 0)
+        self.evacuations.evacuated_since.clear()
+        self.assertEqual(self.violations_after_metric_read(0), 0)
+        self.assertEqual(self.violations_after_metric_read(1), 0)
 
     def test_a_zone_without_flows_at_the_end_is_told_unless_it_is_empty(self):
         with mock.patch("builtins.print"):
             self.evacuations.check_at_end(self.time)
-        self.assertEqual(len(self.promises.violations), 1)
-        self.assertIn("b got no flow", self.promises.violations[0])
+        self.assertEqual(len(self.checker.violations), 1)
+        self.assertIn("b got no flow", self.checker.violations[0])
 
 
 if __name__ == "__main__":
