--- a/tests/platform/soak/caller.py
+++ b/tests/platform/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers: long feeds, updates that may run once, downloads on a flow each. What they get is checked."""
+"""Test clients: long-lived feeds, non-idempotent updates, downloads and uploads. They verify every response."""
 
 import asyncio
 import dataclasses
@@ -17,17 +17,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class RequestKind:
-    """What one kind of caller asks for."""
+    """A kind of request: its route, its limits and its sizes."""
 
     name: str
-    # Class, priority and times as the operator's file says them.
+    # Type, priority, and times in seconds, as in the operator's configuration.
     route_class: str
     priority: int
     aim: float
     deadline: float
     at_most_once: bool
     keeps_flow: bool
-    # Octets of the request's body, at least and at most, and of the answer's.
+    # Bytes of the request body (minimum, maximum) and of the response body.
     upload: tuple
     size: int
     work: float
@@ -42,7 +42,7 @@
 
 
 class ClientFlow:
-    """The caller's end of one flow."""
+    """The client side of one flow."""
 
     def __init__(self, client, frontend):
         self.client = client
@@ -64,7 +64,7 @@
                                 self.echo, data))
 
     async def open(self):
-        """True when a target answered; sends copies of the opening packet meanwhile."""
+        """Sends the SYN and its retransmissions. Returns True when a target accepted the flow."""
         started_at = now()
         self.client.world.opened_at[self.key] = started_at
         for number, at in enumerate(OPENING_SEND_TIMES):
@@ -95,7 +95,7 @@
             self.arrived.set()
 
     def on_opening_reply(self, packet):
-        """The flow opens at the target that answers first."""
+        """Opens the flow at the target that replies first; replies of other targets are ignored."""
         if not self.opened.done():
             self.receiver = Receiver(packet.seq)
             self.opening_seq = packet.seq
@@ -117,10 +117,10 @@
         self.arrived.set()
 
     async def send_request(self, request, body, deadline):
-        """The head of the answer and its body; None when it did not come in time."""
+        """Returns the header and the body of the response, or None after the deadline."""
         self.sender.put(messages.encode(request, body))
         while now() < deadline and not self.ended.done():
-            response = messages.take(self.receiver)
+            response = messages.read_message(self.receiver)
             if response is not None:
                 self.write(ACK)
                 return response
@@ -139,7 +139,7 @@
 
 
 class Client(asyncio.DatagramProtocol):
-    """One machine of callers: an address with many ports."""
+    """A client machine: one address, many ports."""
 
     _requests = itertools.count(1)
 
@@ -190,9 +190,9 @@
         flow.close()
         return None
 
-    # Users.
+    # Requests.
     async def run_user(self, kind, frontend):
-        """One user of a kind: request after request, with pauses."""
+        """Sends requests of one kind, with pauses between them."""
         flow = None
         await asyncio.sleep(self.world.random.random() * kind.pause)
         while True:
@@ -203,7 +203,7 @@
             await asyncio.sleep(kind.pause * (0.5 + self.world.random.random()))
 
     async def request(self, kind, frontend, flow):
-        """One request with its further tries; gives the flow back when it can be used again."""
+        """Sends one request with retries. Returns the flow if it can be reused."""
         started_at = now()
         flows = []
         for _ in range(MAX_TRIES):
@@ -232,20 +232,22 @@
             return False, None
         head, response_body = response
         if head["id"] != request_id or response_body != messages.body_of(request_id, kind.size):
-            self.world.checker.report("MIXED", f"{request_id} got the answer of {head['id']}")
+            self.world.checker.report("MIXED", f"{request_id} got the response to {head['id']}")
         if (head["got"], head["digest"]) != (len(body), messages.digest(body)):
-            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} octets, its answer is to {head['got']}")
+            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} bytes, the target received {head['got']}")
         if head["closes"]:
             flow.close()
             flow = None
         return True, flow
 
     def record_result(self, kind, done, started_at, flows):
-        """What became of a request on these flows; of those that failed it is told when the narrow links dropped packets."""
+        """Records the outcome of a request. For a failed one, also when the links dropped packets of its flows."""
         self.world.checker.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
         if done:
             self.world.paths.on_served(self.zone)
             return
-        drops = {flow[0]: [f"{at - started_at:.2f}" for at in self.world.link_drops.get(flow, ()) if at >= started_at]
+        drops = {flow[0]: [f"{at - started_at:.2f}" for at in self.world.link_drops.get(flow, ())
+                           if at >= started_at]
                  for flow in flows}
-        self.world.failures.append((started_at, f"{now() - started_at:.2f} s", kind.name, "dropped by links after (s)", drops))
+        self.world.failures.append((started_at, f"{now() - started_at:.2f} s", kind.name,
+                                    "dropped by links after (s)", drops))
--- a/tests/platform/soak/connection_source.cc
+++ b/tests/platform/soak/connection_source.cc
@@ -1,6 +1,5 @@
-// Loaded into balancers by the soak: their connections leave from the machine's own loopback
-// address, as on machines of their own, so that a target's end can tell balancers apart and leave
-// those silent that a cut separates from it.
+// LD_PRELOAD library for balancers in the soak test: binds outgoing connections to the loopback
+// address of their machine. Targets can then block the balancers of an unreachable zone.
 
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -15,9 +14,9 @@
   sockaddr_in own{};
   own.sin_family = AF_INET;
   inet_pton(AF_INET, ip, &own.sin_addr);
-  // The port is chosen when the connection is opened, so that many share one.
-  const int wanted = 1;
-  return setsockopt(descriptor, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &wanted, sizeof(wanted)) ==
+  // Lets connect() choose the port, so connections to different peers can share one.
+  const int enabled = 1;
+  return setsockopt(descriptor, IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, &enabled, sizeof(enabled)) ==
              0 &&
          bind(descriptor, reinterpret_cast<const sockaddr*>(&own), sizeof(own)) == 0;
 }
--- a/tests/platform/soak/contact.py
+++ b/tests/platform/soak/contact.py
@@ -1,18 +1,17 @@
-"""Which machines are in touch: the rules with a time bound hold for those, one by one.
+"""Tracks which machines were disturbed recently. Rules with a time limit apply only to the others.
 
-A machine is in touch when for CONTACT seconds nothing was done to it or to its links, and nothing to the core: no
-replica was killed, stopped, started, frozen, thawed or cut off, and no connection was reset or silenced. What was done
-to another balancer does not matter.
+A machine is undisturbed when for SETTLE_TIME seconds no fault affected it, its links or the core. The core
+is the set of control replicas and their connections; a fault in another balancer does not count.
 """
 
 from promises import SETTLE_TIME, now
 
-# A turn of this program's own loop that takes longer says that the whole machine was too busy to judge times.
+# Seconds. After a longer stall of this program's event loop, no time limit is checked: the host was overloaded.
 MAX_LOOP_STALL = 0.4
 
 
 class Disturbances:
-    """Remembers disturbances by the name of a machine; CORE and ALL stand for groups."""
+    """Disturbances by machine name; CORE and ALL are groups of machines."""
 
     CORE = "the core"
     ALL = "all machines"
@@ -22,7 +21,7 @@
         self.ended_at = {}
 
     def begin(self, scope):
-        """Something begins that lasts until `end`."""
+        """Starts a disturbance that lasts until `end`."""
         self.active[scope] = self.active.get(scope, 0) + 1
 
     def end(self, scope):
@@ -30,17 +29,17 @@
         self.record(scope)
 
     def record(self, scope):
-        """Something happened in this moment."""
+        """Records a momentary disturbance."""
         self.ended_at[scope] = now()
 
     def since(self, scope, with_core=True):
-        """Since when a machine has been undisturbed, and the core if that counts; None while one is disturbed."""
+        """Time since which a machine (and, with `with_core`, the core) is undisturbed; None during a disturbance."""
         scopes = (scope, self.ALL, self.CORE) if with_core else (scope, self.ALL)
         if any(self.active.get(each, 0) for each in scopes):
             return None
         return max(self.ended_at.get(each, 0.0) for each in scopes)
 
     def was_undisturbed(self, scope, moment):
-        """True when a machine was in touch from CONTACT seconds before a moment until now."""
+        """True when a machine was undisturbed from SETTLE_TIME seconds before `moment` until now."""
         since = self.since(scope)
         return since is not None and since <= moment - SETTLE_TIME
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -1,7 +1,7 @@
-"""The operator empties zones and takes them back, and it is judged whether balancers obey.
+"""Evacuates and restores zones, and checks that balancers comply.
 
-From the acknowledgement of an evacuation plus EVACUATE until the first call that takes the zone back, no opening
-packet may reach a target there from a balancer in touch, whatever happens to processes meanwhile.
+From EVACUATION_LIMIT seconds after an evacuation was acknowledged until the first call to restore the zone,
+no undisturbed balancer may open a flow at a target of the zone.
 """
 
 import asyncio
@@ -13,16 +13,16 @@
 
 ACKNOWLEDGE_LIMIT = 6.0
 EVACUATION_LIMIT = 5.0
-# A zone that was not taken back stays so for the rest of a run; the others are left alone then.
+# After this time the zone stays evacuated for the rest of the run, and no other zone is evacuated.
 RESTORE_TIMEOUT = 30.0
 INITIAL_BACKOFF, MAX_BACKOFF = 0.1, 1.0
 REJECTION_STATUSES = (400, 404, 405, 409, 412, 413, 422)
-# Targets of each service that stay in other zones.
+# Targets of each service that must remain in other zones.
 MIN_OTHER_TARGETS = 2
 
 
 class Outcome(enum.Enum):
-    """What became of an order; without an acknowledgement it may be in force or not."""
+    """Outcome of a command. When it is UNKNOWN, the command may or may not be effective."""
 
     ACKNOWLEDGED = 0
     REJECTED = 1
@@ -30,7 +30,7 @@
 
 
 class Evacuations:
-    """Orders of one operator, one zone at a time."""
+    """Evacuation commands of one operator, one zone at a time."""
 
     def __init__(self, world):
         self.world = world
@@ -40,9 +40,9 @@
         self.changed_at = 0.0
         self.reported_mismatches = set()
 
-    # Orders.
+    # Commands.
     async def evacuate(self, zone):
-        """True when the order was acknowledged."""
+        """Returns True when the command was acknowledged."""
         self.maybe_evacuated.add(zone)
         if await self._order("POST", zone) != Outcome.ACKNOWLEDGED:
             return False
@@ -51,7 +51,7 @@
         return True
 
     async def restore(self, zone):
-        """True when the order was acknowledged. From now on openings may reach the zone."""
+        """Returns True when the command was acknowledged. Flows may be opened in the zone from the first call on."""
         self.evacuated_since.pop(zone, None)
         started_at = now()
         outcome = Outcome.UNKNOWN
@@ -60,67 +60,69 @@
         if outcome == Outcome.ACKNOWLEDGED:
             self.maybe_evacuated.discard(zone)
             self.changed_at = now()
-            self.world.checker.counts["zones taken back"] += 1
+            self.world.checker.counts["zones restored"] += 1
         return outcome == Outcome.ACKNOWLEDGED
 
     async def _order(self, method, zone):
-        """Sends an order for the time that is allowed for one."""
+        """Sends a command, with retries, until it is acknowledged or ACKNOWLEDGE_LIMIT has passed."""
         checker, random = self.world.checker, self.world.random
         started_at, pause, responses_lost = now(), INITIAL_BACKOFF, False
         while now() - started_at < ACKNOWLEDGE_LIMIT:
             address = random.choice(self.world.control_addresses())
             lost = random.random() < self.world.operator.response_loss
             responses_lost = responses_lost or lost
-            response = await http_call.request_with_redirects(address, method, f"/-/evacuate/{zone}", discard_response=lost)
+            response = await http_call.request_with_redirects(address, method, f"/-/evacuate/{zone}",
+                                                              discard_response=lost)
             if response is not None and 200 <= response[0] < 300:
                 return Outcome.ACKNOWLEDGED
             if response is not None and response[0] in REJECTION_STATUSES:
-                checker.report("EVAC", f"{method} of {zone} was refused with {response[0]}: {response[2][:200]}")
+                checker.report("EVAC", f"{method} of {zone} was rejected with status {response[0]}: {response[2][:200]}")
                 return Outcome.REJECTED
             await asyncio.sleep(pause)
             pause = min(2 * pause, MAX_BACKOFF)
         if self.world.disturbances.was_undisturbed(Disturbances.CORE, started_at) and not responses_lost:
-            checker.report("ACK", f"{method} of {zone} has no acknowledgement after {now() - started_at:.1f} s")
+            checker.report("ACK", f"{method} of {zone} was not acknowledged within {now() - started_at:.1f} s")
         return Outcome.UNKNOWN
 
     def can_evacuate(self, zone):
-        """True when the other zones have enough targets of each service, and no zone is emptied yet."""
+        """True when the other zones have enough targets of each service, and no zone is evacuated."""
         services = {target.service for target in self.world.targets}
         return not self.maybe_evacuated and all(
             sum(t.service == service and t.state == "ready" and t.zone != zone for t in self.world.targets)
             >= MIN_OTHER_TARGETS for service in services)
 
-    # What targets see.
+    # Checks of what targets and balancers report.
     def on_opening(self, target, machine, at):
-        """An opening packet arrived from a balancer at that time."""
+        """Checks a SYN that a target received from a balancer."""
         checker = self.world.checker
         self.last_opening[target.zone] = at
         since = self.evacuated_since.get(target.zone)
         if since is None or machine is None or at - since <= EVACUATION_LIMIT:
             return
-        checker.counts["openings in emptied zones"] += 1
+        checker.counts["openings in evacuated zones"] += 1
         if self.world.disturbances.was_undisturbed(machine.name, now()):
             checker.report("EVAC", f"{machine.name} opened a flow at {target.name} in {target.zone}, "
-                                     f"{at - since:.1f} s after its evacuation was acknowledged, "
-                                     f"{now() - self.world.start_time:.1f} s after the start")
+                                   f"{at - since:.1f} s after its evacuation was acknowledged, "
+                                   f"{now() - self.world.start_time:.1f} s after the start")
 
     def on_evacuated_count(self, machine, evacuated_count, asked_at):
-        """A balancer says how many zones are emptied."""
+        """Checks the number of evacuated zones in a balancer's metrics."""
         if self.changed_at == 0.0:
             return
-        is_unambiguous = set(self.evacuated_since) == self.maybe_evacuated and asked_at - self.changed_at > EVACUATION_LIMIT
+        is_unambiguous = (set(self.evacuated_since) == self.maybe_evacuated
+                          and asked_at - self.changed_at > EVACUATION_LIMIT)
         if not is_unambiguous or not self.world.disturbances.was_undisturbed(machine.name, asked_at):
             return
-        self.world.checker.counts["figures of emptied zones"] += 1
+        self.world.checker.counts["checks of zones_evacuated"] += 1
         mismatch = (machine.name, self.changed_at)
         if evacuated_count != len(self.evacuated_since) and mismatch not in self.reported_mismatches:
             self.reported_mismatches.add(mismatch)
-            self.world.checker.report("EVAC", f"{machine.name} says that {evacuated_count} zones are emptied, "
-                                                f"{asked_at - self.changed_at:.1f} s after it became "
-                                                f"{sorted(self.evacuated_since)}")
+            self.world.checker.report("EVAC", f"{machine.name} reports {evacuated_count} evacuated zones "
+                                              f"{asked_at - self.changed_at:.1f} s after the last command; expected: "
+                                              f"{sorted(self.evacuated_since)}")
 
     def check_at_end(self, started_at):
-        """Zones that were taken back get flows again."""
+        """Zones that are not evacuated must have received flows."""
         for zone in self.world.zones:
             if zone not in self.maybe_evacuated and self.last_opening.get(zone, 0.0) < started_at:
-                self.world.checker.report("EVAC", f"{zone} got no flow while nothing was wrong")
+                self.world.checker.report("EVAC", f"{zone} got no flow although no fault was active")
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,5 +1,4 @@
-"""What is done to a running deployment: planned work, and faults put in from outside. Each action ends by
-undoing what it did."""
+"""Planned changes and injected faults for a running deployment. Each action ends by reverting what it did."""
 
 import asyncio
 import contextlib
@@ -13,12 +12,12 @@
 
 
 class Faults(LinkFaults):
-    """Actions on one world, each a coroutine without arguments."""
+    """Actions on one deployment, each a coroutine without arguments."""
 
     def planned(self):
         return [self.roll_balancers, self.stop_control, self.change_configuration, self.storm,
-                self.storm_from_several, self.race, self.lost_answers, self.invalid_configuration, self.release, self.leave_without_notice,
-                self.new_settings]
+                self.storm_from_several, self.race, self.lost_answers, self.invalid_configuration, self.release,
+                self.leave_without_notice, self.new_settings]
 
     def unplanned(self):
         return [self.kill_balancer, self.freeze_balancer, self.kill_control, self.freeze_control,
@@ -29,14 +28,14 @@
                 self.reuse_address, self.slow_target]
 
     def zone_actions(self):
-        """What meets evacuations, cut zones and uploads; one stream has only zones that are cut off."""
+        """Two concurrent streams of actions for --zones: isolated zones, and all other faults."""
         return [[self.cut_zone],
                 [self.narrow_link, self.kill_balancer, self.freeze_balancer, self.kill_control, self.freeze_control,
                  self.kill_all_controls, self.kill_everything, self.cut_control, self.cut_balancer_one_way,
                  self.reset_connections, self.crash_target, self.slow_target]]
 
     def storm_faults(self):
-        """What comes one after the other beside changes without pause."""
+        """Faults for --storm, one at a time during a burst of configuration changes."""
         return [self.kill_control, self.kill_control, self.freeze_control, self.kill_balancer,
                 self.cut_balancer, self.cut_balancer_one_way, self.reset_connections,
                 self.silence_connections, self.cut_control, self.cut_control_one_way]
@@ -44,7 +43,7 @@
     # Machines.
     @contextlib.asynccontextmanager
     async def locked(self, machine):
-        """No other action handles the machine meanwhile; False when it was replaced before."""
+        """Locks a machine against other actions. Yields False when it has been replaced."""
         async with machine.lock:
             yield machine in self.world.machines
 
@@ -80,7 +79,7 @@
         await self.freeze(self.random.choice(self.world.controls))
 
     async def stop(self, machine):
-        """A planned stop and a start."""
+        """Stops a machine as planned and starts it again."""
         async with self.locked(machine) as is_current:
             if not is_current:
                 return
@@ -89,7 +88,7 @@
             while machine.is_running and now() - started_at < STOP_TIME:
                 await asyncio.sleep(0.05)
             if machine.is_running:
-                self.world.checker.report("FAULT", f"{machine.name} did not stop in {STOP_TIME} s")
+                self.world.checker.report("FAULT", f"{machine.name} did not stop within {STOP_TIME} s")
             machine.kill()
             machine.start()
 
@@ -102,7 +101,7 @@
         await self.stop(self.random.choice(self.world.controls))
 
     async def wipe_control(self):
-        """A disk is lost; one at a time, and only while all the others have caught up."""
+        """Deletes the disk of one replica, only when all others have caught up."""
         async with self.control_lock:
             if await self.world.wait_control(10):
                 machine = self.random.choice(self.world.controls)
@@ -115,7 +114,7 @@
                 await asyncio.sleep(CATCH_UP_TIME)
 
     async def replace_control(self):
-        """A machine is gone for good; an empty one comes at another address, and seeds change."""
+        """Replaces a replica by an empty one with another address, and updates the seeds in all settings."""
         async with self.control_lock:
             if not await self.world.wait_control(10):
                 return
@@ -131,7 +130,7 @@
             await asyncio.sleep(CATCH_UP_TIME)
 
     async def lose_all_disks(self):
-        """More than any page allows: for the check that the rules can be seen to break."""
+        """Exceeds the faults that the system tolerates, to verify that the checks detect violations."""
         for machine in self.world.machines:
             machine.kill()
         for machine in self.world.controls:
@@ -162,11 +161,11 @@
             await asyncio.sleep(0.2)
 
     async def storm_from_several(self):
-        """For some seconds."""
+        """Several senders submit configurations concurrently for some seconds."""
         await self.world.operator.storm_from_several(now() + self.random.uniform(4, 10))
 
     async def race(self):
-        """Two versions at once: the higher one holds."""
+        """Submits two versions concurrently; the higher one must win."""
         operator = self.world.operator
         operator.change()
         first = asyncio.create_task(operator.submit())
@@ -194,7 +193,7 @@
                    for t in self.world.targets) > 2
 
     async def release(self, announce_draining=True):
-        """The new one starts first, then the old one leaves."""
+        """Starts a new target, then stops an old one of the same service and zone."""
         old = self.pick_target()
         if old is not None:
             self.world.start_target(old.service, old.zone)
@@ -212,7 +211,7 @@
             self.world.start_target(old.service, old.zone)
 
     async def reuse_address(self):
-        """A target ends, and a target of the other service gets its address."""
+        """Stops a target and starts one of the other service at its address."""
         old = self.pick_target()
         if old is None:
             return
--- a/tests/platform/soak/http_call.py
+++ b/tests/platform/soak/http_call.py
@@ -1,4 +1,4 @@
-"""Calls to the system's control processes, as the platform's callers make them."""
+"""HTTP requests to control processes, as targets and operators of the platform send them."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 async def request(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
-    """Status, location and body of one call; None without a clear answer."""
+    """Returns status, Location and body; None on a network error, a timeout or a malformed response."""
     try:
         return await asyncio.wait_for(_call(address, method, path, body, discard_response), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
@@ -35,7 +35,7 @@
 
 
 async def request_with_redirects(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
-    """The same, following redirects."""
+    """Like `request`, but follows redirects with status 307."""
     for _ in range(MAX_REDIRECTS + 1):
         response = await request(address, method, path, body, timeout, discard_response)
         if response is None or response[0] != 307 or not response[1]:
--- a/tests/platform/soak/kept_connection.py
+++ b/tests/platform/soak/kept_connection.py
@@ -1,4 +1,4 @@
-"""A connection to one control process that is used for call after call, until the process closes it or is gone."""
+"""Persistent HTTP connections to control processes."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 
 class PersistentConnection:
-    """Opened by the next call whenever it is closed, as it is after a call without a clear answer."""
+    """A connection to one control process. The next call reopens it after an error."""
 
     def __init__(self, address):
         self.address = address
@@ -14,7 +14,7 @@
         self.writer = None
 
     async def call(self, method, path, body, timeout=http_call.TIMEOUT):
-        """Status and location; None without a clear answer."""
+        """Returns status and Location; None on an error or a timeout."""
         response = None
         try:
             response = await asyncio.wait_for(self._call(method, path, body.encode()), timeout)
@@ -22,7 +22,7 @@
                 IndexError):
             pass
         finally:
-            # Also when the call was cancelled: the rest of its answer must not meet the next call.
+            # Also after a cancellation: the next call must not read the rest of this response.
             if response is None:
                 self.close()
         return response
@@ -47,18 +47,18 @@
 
 
 class ControlClient:
-    """Calls over the connection that answered last, as long as it does; else asks node after node."""
+    """Reuses the last connection that succeeded; otherwise tries the nodes in random order."""
 
     def __init__(self, addresses, random, is_reachable):
         self.addresses = addresses
         self.random = random
         self.is_reachable = is_reachable
         self.connection = None
-        # One call at a time.
+        # Serializes calls.
         self.lock = asyncio.Lock()
 
     async def call(self, method, path, body):
-        """True when a node acknowledged."""
+        """Returns True when a node acknowledged."""
         async with self.lock:
             return await self._call(method, path, body)
 
@@ -73,7 +73,7 @@
         return False
 
     async def _call_with_redirects(self, address, method, path, body):
-        """Asks one node and those that it names."""
+        """Calls one node and follows its redirects."""
         for _ in range(http_call.MAX_REDIRECTS + 1):
             self.connection = PersistentConnection(address)
             response = await self._request(self.connection, method, path, body)
--- a/tests/platform/soak/link_faults.py
+++ b/tests/platform/soak/link_faults.py
@@ -1,4 +1,4 @@
-"""What is done to the links of a running deployment, from outside."""
+"""Injected faults on the links of a running deployment."""
 
 import asyncio
 import contextlib
@@ -9,17 +9,17 @@
 
 
 class LinkFaults:
-    """Actions on one world, each a coroutine without arguments that ends by undoing what it did."""
+    """Actions on one deployment, each a coroutine without arguments that reverts what it did."""
 
     def __init__(self, world):
         self.world = world
         self.random = world.random
-        # Held while replicas are missing for good or a zone is cut off.
+        # Held while a replica is being replaced or a zone is isolated.
         self.control_lock = asyncio.Lock()
 
     @contextlib.contextmanager
     def disturbed(self, name):
-        """Meanwhile a machine, the core or all machines are out of touch."""
+        """Marks a machine, the core or all machines as disturbed."""
         self.world.disturbances.begin(name)
         try:
             yield
@@ -55,7 +55,7 @@
             self.world.proxy.heal(cut)
 
     async def cut_balancer_one_way(self):
-        """Either what it says or what it is told gets lost; connections stay open."""
+        """Drops either all messages from a balancer or all messages to it; connections stay open."""
         machine = self.random.choice(self.world.balancers)
         directions = [[machine.peer_address], self.control_peers()]
         self.random.shuffle(directions)
@@ -68,8 +68,8 @@
         return [machine.internal_address for machine in self.world.controls]
 
     async def cut_zone(self):
-        """Machines and targets of a zone reach nothing in the others, while its callers reach its balancers. Not beside
-        a lost disk: no page asks to bear both."""
+        """Isolates a zone: its machines and targets reach no other zone, its clients still reach its balancers.
+        Never together with a lost disk, which is outside of the fault model."""
         zone = self.random.choice(self.world.zones)
         async with self.control_lock:
             with contextlib.ExitStack() as stack:
@@ -80,7 +80,7 @@
                 self.world.end_cut(zone, cut)
 
     async def narrow_link(self):
-        """One balancer's link takes less than its settings say."""
+        """Lowers the bandwidth of one balancer's link below the configured rate."""
         machine = self.random.choice(self.world.balancers)
         link = self.world.links[machine.ip]
         with self.disturbed(machine.name):
@@ -89,7 +89,7 @@
             link.mbit_per_s /= RATE_REDUCTION
 
     async def silence_connections(self):
-        """Some of the open connections carry nothing any more, both ways or one way, and never end."""
+        """Some open connections drop all data in one or both directions from now on, and stay open."""
         self.world.disturbances.record(Disturbances.ALL)
         self.world.proxy.silence_connections(self.random.uniform(0.2, 1.0), self.random.choice(("both", "up", "down")))
 
--- a/tests/platform/soak/machine.py
+++ b/tests/platform/soak/machine.py
@@ -1,4 +1,4 @@
-"""A machine of the system: its settings, its process, its disk, and what can be done to them from outside."""
+"""A machine of the system: its settings, process and disk, and the faults that apply to them."""
 
 import asyncio
 import os
@@ -18,7 +18,7 @@
 
 
 class Machine:
-    """One process with its files."""
+    """One balancer or control process with its files."""
 
     def __init__(self, world, role, name, zone, ip, listen_ip=None):
         self.world = world
@@ -35,12 +35,12 @@
         self.is_frozen = False
         self.started_at = 0.0
         self.is_disturbed = False
-        # Held by the action that handles this machine, so that no process is started twice.
+        # Held by the action that uses this machine, so that no two actions start its process.
         self.lock = asyncio.Lock()
 
     @property
     def disturbance_scope(self):
-        """What is done to a replica concerns the core."""
+        """A disturbed replica counts as a disturbance of the core."""
         return Disturbances.CORE if self.role == "control" else self.name
 
     def begin_disturbance(self):
@@ -59,12 +59,12 @@
 
     @property
     def peer_address(self):
-        """By which a balancer names itself to replicas."""
+        """Address that a balancer reports to replicas."""
         return f"{self.ip}:{INTERNAL_PORT + 1}"
 
     @property
     def message_address(self):
-        """By which the proxy knows this machine."""
+        """Address that identifies this machine in the fault proxy."""
         return self.internal_address if self.role == "control" else self.peer_address
 
     @property
@@ -72,7 +72,7 @@
         return f"{self.ip}:{self.world.control_port}"
 
     def settings(self, first_start):
-        """The settings file that the platform would write after deploy/node.toml."""
+        """Returns the settings file that the platform would generate from deploy/node.toml."""
         is_balancer = self.role == "balancer"
         seeds = ", ".join(f'"{m.control_address}"' for m in self.world.seeds())
         zones = ", ".join(f'"{zone}"' for zone in self.world.zones)
@@ -92,15 +92,15 @@
 
     def start(self, first_start=False):
         if self.is_running:
-            raise AssertionError(f"{self.name} runs already")
+            raise AssertionError(f"{self.name} is already running")
         self.write_settings(first_start)
         environment = dict(os.environ, GORSEVALVE_NODE_FILE=str(self.directory / "node.toml"))
         if self.role == "balancer":
-            # Sanitizers would refuse a library before their own.
+            # AddressSanitizer rejects a library that is loaded before its runtime.
             environment.update(LD_PRELOAD=str(self.world.build / CONNECTION_SOURCE), SOAK_CONNECTION_SOURCE=self.ip,
                                ASAN_OPTIONS="verify_asan_link_order=0")
         with open(self.directory / "log", "ab") as log:
-            # Signals that Python ignores stay ignored: a refused write is an error, not an end.
+            # Keeps SIGXFSZ ignored, so that a write beyond the file size limit fails instead of ending the process.
             self.popen = subprocess.Popen([str(self.world.build / ROLES[self.role])], stdout=log, stderr=log,
                                           env=environment, restore_signals=False)
         self.stop_requested = False
@@ -116,7 +116,7 @@
         return not self.stop_requested and not self.is_running
 
     def kill(self):
-        """Ends the process at once."""
+        """Sends SIGKILL."""
         self.begin_disturbance()
         self.stop_requested = True
         if self.is_running:
@@ -125,7 +125,7 @@
         self.is_frozen = False
 
     def terminate(self):
-        """Asks the process to end; `kill` follows."""
+        """Sends SIGTERM; the caller then uses `kill`."""
         self.begin_disturbance()
         self.stop_requested = True
         if self.is_running:
@@ -145,14 +145,14 @@
             self.end_disturbance()
 
     def reload_settings(self):
-        """The settings were written anew."""
+        """Rewrites the settings and sends SIGHUP."""
         self.write_settings()
-        # Before its first instruction a process cannot ignore the signal, whoever sends it.
+        # SIGHUP ends a process that has not yet installed its handlers.
         if self.is_running and now() - self.started_at > STARTUP_TIME:
             self.popen.send_signal(signal.SIGHUP)
 
     def fill_disk(self):
-        """From now on the disk takes no octet more."""
+        """Makes all further growth of files fail."""
         self.begin_disturbance()
         sizes = [path.stat().st_size for path in self.data_directory.rglob("*") if path.is_file()]
         self._limit_files(max(sizes, default=0))
@@ -167,6 +167,6 @@
             resource.prlimit(self.popen.pid, resource.RLIMIT_FSIZE, (max_bytes, hard))
 
     def lose_disk(self):
-        """To be called while the process is down."""
+        """Deletes all data. The process must be stopped."""
         shutil.rmtree(self.data_directory)
         self.data_directory.mkdir()
--- a/tests/platform/soak/messages.py
+++ b/tests/platform/soak/messages.py
@@ -1,6 +1,6 @@
-"""Requests and answers inside flows: a line of JSON that says how many octets of body follow, then the body.
+"""Framing of requests and responses in a flow: a line of JSON with the body size, then the body.
 
-Bodies are made of the request's identity, so that each end can tell whether it got the whole of the right one.
+Bodies are derived from the request id, so that both sides can verify them.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 
 def body_of(request_id, size):
-    """The body of this length that belongs to a request."""
+    """Returns the body of the given size in bytes for a request."""
     pattern = request_id.encode() + b";"
     return (pattern * (size // len(pattern) + 1))[:size]
 
@@ -23,8 +23,8 @@
     return json.dumps(dict(head, octets=len(body))).encode() + LINE_END + body
 
 
-def take(receiver):
-    """The next whole message of a stream as head and body; None while some of it is missing."""
+def read_message(receiver):
+    """Returns the header and body of the next complete message, or None when it is incomplete."""
     line_end = receiver.stream.find(LINE_END)
     if line_end < 0:
         return None
--- a/tests/platform/soak/narrow_link.py
+++ b/tests/platform/soak/narrow_link.py
@@ -1,18 +1,18 @@
-"""The narrow link of a balancer's machine: what it sends to targets leaves at a given rate, with a short queue.
+"""Shaper for the low-bandwidth link from a balancer to targets: a fixed rate and a short queue.
 
-The targets are at the far end of these links. They say when a datagram came to them from a balancer, and hear when it
-would have come over the link, if at all. What comes in at a balancer is not slowed, as on the users' machines.
+Targets apply it to received datagrams: the shaper returns when a datagram would have arrived, or that it
+was dropped. Traffic to a balancer is not shaped, as on the platform.
 """
 
 import collections
 
 BYTES_PER_MBIT = 125_000
-# What waits while one packet leaves; of a burst of 16 more than half is lost.
+# Packets that may be queued behind the one in transmission. A full window overflows the queue.
 QUEUE_LIMIT = 6
 
 
 class LinkShaper:
-    """One link. Times are monotonic seconds."""
+    """The link of one balancer. Times are monotonic seconds."""
 
     def __init__(self, mbit_per_s):
         self.mbit_per_s = mbit_per_s
@@ -21,7 +21,7 @@
         self.dropped = 0
 
     def departure(self, size, at):
-        """When the last octet of a datagram that is sent now has left; None when the queue is full."""
+        """Returns when the last byte of a datagram sent at `at` has been transmitted; None when the queue is full."""
         while self.departures and self.departures[0] <= at:
             self.departures.popleft()
         if len(self.departures) > QUEUE_LIMIT:
--- a/tests/platform/soak/operator_calls.py
+++ b/tests/platform/soak/operator_calls.py
@@ -1,4 +1,4 @@
-"""The operator: submits whole configurations, loses answers, reads back what is held."""
+"""The operator: submits whole configurations, drops some responses, and reads the configuration back."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class Operator:
-    """Holds the configuration that it wants, and the one that was acknowledged last."""
+    """Submits configurations with increasing versions."""
 
     def __init__(self, world):
         self.world = world
@@ -28,13 +28,13 @@
         self.counter = 0
 
     def routes(self):
-        """Services that each frontend allows; None stands for no route."""
+        """Returns the services that each frontend may use."""
         routes = {frontend: services for frontend, (_, services) in self.world.frontends.items()}
         routes.update({frontend: {"archive"} for frontend in self.extra_routes})
         return routes
 
     def kind_of(self, frontend):
-        """What callers ask for there; routes that are added on the way are like feeds."""
+        """Returns the request kind of a frontend; routes that are added during the run use FEED."""
         kind, _ = self.world.frontends.get(frontend, (FEED, None))
         return kind
 
@@ -58,7 +58,7 @@
         return json.dumps({"version": version, "routes": routes, "services": services, "limits": limits})
 
     def change(self):
-        """Another set of extra routes under a higher version."""
+        """Changes the extra routes and increases the version."""
         self.version += self.world.random.randint(1, 3)
         self.counter += 1
         self.extra_routes = self.extra_routes[1:] if len(self.extra_routes) > 3 else self.extra_routes
@@ -67,52 +67,53 @@
         self.all_extra_routes.append(added)
 
     def recent_routes(self, count):
-        """Routes that were added last, some of which were dropped since."""
+        """Returns the routes that were added last; some may have been removed since."""
         return self.all_extra_routes[-count:]
 
     async def submit(self, time_limit=30.0):
-        """Sends the wanted configuration until it is acknowledged; True when it was."""
+        """Sends the current configuration, with retries. Returns True when it was acknowledged."""
         version, body = self.version, self.body(self.version)
         self.world.checker.on_sent(version, self.routes())
         started_at, pause = now(), 0.1
         while now() - started_at < time_limit:
             address = self.world.random.choice(self.world.control_addresses())
             lost = self.world.random.random() < self.response_loss
-            response = await http_call.request_with_redirects(address, "PUT", "/-/config", body, discard_response=lost)
+            response = await http_call.request_with_redirects(address, "PUT", "/-/config", body,
+                                                              discard_response=lost)
             if response is not None and response[0] == 200:
                 self.world.checker.on_acknowledged(version)
                 return True
             if response is not None and response[0] in (400, 409, 412, 413, 422):
-                self.world.checker.report("CONFIG", f"version {version} was refused with {response[0]}")
+                self.world.checker.report("CONFIG", f"version {version} was rejected with status {response[0]}")
                 return False
             await asyncio.sleep(pause)
             pause = min(2 * pause, 1.0)
         return False
 
     async def storm_from_several(self, until, senders=3):
-        """Several senders at once, without pause; one answer in five is lost."""
+        """Several concurrent senders submit changes; some responses are dropped."""
         self.response_loss = 0.2
         await asyncio.gather(*(self.send_changes(until, 1.0) for _ in range(senders)))
         self.response_loss = 0.0
 
     async def send_changes(self, until, longest_pause):
-        """One of several senders at once: change after change, as long as answers come."""
+        """Submits one change after the other, with short pauses."""
         while now() < until:
             self.change()
             await self.submit()
             await asyncio.sleep(self.world.random.uniform(0.1, longest_pause))
 
     async def submit_invalid(self):
-        """Something invalid must not be acknowledged."""
+        """Submits invalid configurations, which must not be acknowledged."""
         text = self.body(self.version + 1)
         for body in (text[:len(text) // 2], text.replace('"service": "archive"', '"service": "nobody"')):
             for address in self.world.control_addresses():
                 response = await http_call.request_with_redirects(address, "PUT", "/-/config", body)
                 if response is not None and response[0] == 200:
-                    self.world.checker.report("CONFIG", "something invalid was acknowledged")
+                    self.world.checker.report("CONFIG", "an invalid configuration was acknowledged")
 
     async def read(self, address):
-        """Version that a node answers with; None when it cannot say."""
+        """Returns the version that a node reports; None when it does not reply."""
         sent_at = now()
         response = await http_call.request_with_redirects(address, "GET", "/-/config")
         if response is None or response[0] != 200:
@@ -131,7 +132,7 @@
             await asyncio.sleep(0.7)
 
     async def read_at_end(self, time_limit):
-        """The newest acknowledged version must be held at the end."""
+        """Checks that some node returns the newest acknowledged version at the end."""
         started_at = now()
         while now() - started_at < time_limit:
             for address in self.world.control_addresses():
@@ -139,4 +140,4 @@
                 if version is not None and version >= self.world.checker.acknowledged_before(now() - APPLY_LIMIT):
                     return
             await asyncio.sleep(0.3)
-        self.world.checker.report("CONFIG", "no node answers a read of the configuration at the end")
+        self.world.checker.report("CONFIG", "no node returned the newest acknowledged version at the end")
--- a/tests/platform/soak/packets.py
+++ b/tests/platform/soak/packets.py
@@ -1,5 +1,7 @@
-"""Packets of flows as the platform writes them: a head of 32 octets before the data. Both ends are ours
-here, so the keyed sum has a key of our own; a sum that does not match shows that somebody changed a packet.
+"""Packet format of the platform: a header of 32 bytes, then the data.
+
+The soak implements both ends, so it uses its own checksum key. A wrong checksum means that a packet was
+altered on its way.
 """
 
 import dataclasses
@@ -16,7 +18,7 @@
 
 @dataclasses.dataclass
 class Packet:
-    """One packet. Addresses are pairs of IP text and port."""
+    """One packet. Addresses are pairs of IP string and port."""
 
     source: tuple
     destination: tuple
@@ -50,14 +52,14 @@
 
 
 def encode(packet):
-    """The octets of a packet, with its sum."""
+    """Returns a packet as bytes, with its checksum."""
     return HEADER.pack(len(packet.data), packet.seq, packet.ack, _compute_checksum(packet),
                      _number(packet.destination[0]), packet.source[1], _number(packet.source[0]),
                      packet.destination[1], packet.flags, 0, packet.echo) + packet.data
 
 
 def decode(datagram):
-    """The packet; None when it is malformed."""
+    """Returns the packet, or None when it is malformed."""
     if len(datagram) < HEADER.size:
         return None
     length, seq, ack, checksum, to_ip, from_port, from_ip, to_port, flags, _, echo = HEADER.unpack_from(datagram)
@@ -68,5 +70,5 @@
 
 
 def has_valid_checksum(packet):
-    """True when the sum shows that an end of the flow wrote the packet this way."""
+    """True when an endpoint of the flow wrote the packet and nothing altered it."""
     return packet.checksum == _compute_checksum(packet)
--- a/tests/platform/soak/promises.py
+++ b/tests/platform/soak/promises.py
@@ -1,7 +1,7 @@
-"""What was promised and what was seen: the one place where the soak decides that a rule is broken.
+"""Checks the rules of the platform against what clients, targets and the operator observe.
 
-Rules with a time bound hold only where nothing was disturbed for CONTACT seconds before; the others hold
-always. Times are monotonic seconds.
+Rules with a time limit apply only if there was no disturbance for SETTLE_TIME seconds; the others always
+apply. Times are monotonic seconds.
 """
 
 import collections
@@ -19,7 +19,7 @@
 
 
 class RuleChecker:
-    """Collects violations; everything that callers, targets and the operator see is told to it."""
+    """Receives all observations and collects violations."""
 
     def __init__(self, disturbances):
         self.disturbances = disturbances
@@ -36,7 +36,7 @@
         self.violations.append(f"{rule}: {text}")
         print(f"VIOLATED {rule}: {text}", flush=True)
 
-    # Disturbances.
+    # Faults in progress.
     def begin_fault(self):
         self.active_faults += 1
         self.undisturbed_since = None
@@ -47,12 +47,12 @@
             self.undisturbed_since = now()
 
     def is_undisturbed(self, since=None):
-        """True when nothing was disturbed for CONTACT seconds, nor since the given time."""
+        """True when no fault was active for SETTLE_TIME seconds, nor after `since`."""
         if self.undisturbed_since is None:
             return False
         return now() - self.undisturbed_since >= SETTLE_TIME and (since is None or self.undisturbed_since <= since)
 
-    # What the operator saw.
+    # Observations of the operator.
     def on_sent(self, version, routes):
         self.sent_versions[version] = routes
 
@@ -65,41 +65,41 @@
     def on_read(self, sent_at, version, routes):
         min_version = self.acknowledged_before(sent_at - APPLY_LIMIT)
         if version < min_version:
-            self.report("CONFIG", f"read version {version} after {min_version} was acknowledged")
+            self.report("CONFIG", f"version {version} was read after {min_version} was acknowledged")
         if routes != self.sent_versions.get(version):
-            self.report("CONFIG", f"version {version} was read with other content than was sent")
+            self.report("CONFIG", f"the routes of version {version} differ from those that were submitted")
 
     def allowed_services(self, frontend, opened_at):
-        """Services that any version allows that may be in force for a flow opened then, None for no route."""
+        """Services allowed by any version that may be applied to a flow opened at that time; None for no route."""
         min_version = self.acknowledged_before(opened_at - APPLY_LIMIT) if self.is_undisturbed(opened_at) else 0
         return self.allowed_from_version(frontend, min_version)
 
     def allowed_from_version(self, frontend, min_version):
-        """Services that this version or a later one allows, None for no route."""
+        """Services allowed by this version or any later one; None for no route."""
         allowed = set()
         for version, routes in self.sent_versions.items():
             if version >= min_version:
                 allowed |= routes.get(frontend, {None})
         return allowed
 
-    # What targets saw.
+    # Observations of targets.
     def on_misrouted(self, flow, holder):
-        """A packet of a flow arrived at another target than the one that holds it, if any does."""
+        """A packet of a flow arrived at another target than `holder`, which has the flow; None if none has it."""
         times = self.misrouted.setdefault(flow, [])
         times.append(now())
         recent = [at for at in times if now() - at < MISROUTE_WINDOW]
         self.misrouted[flow] = recent
         if holder is not None and len(recent) >= MISROUTE_LIMIT:
-            self.report("FLOW", f"{len(recent)} packets of {flow} arrived elsewhere than at {holder.name}")
+            self.report("FLOW", f"{len(recent)} packets of {flow} arrived at other targets than {holder.name}")
 
     def on_own_packet(self, flow):
         self.misrouted.pop(flow, None)
 
     def on_corrupted_packet(self, where, packet):
-        self.report("UNASKED", f"{where} got a packet that nobody wrote that way: {packet}")
+        self.report("UNASKED", f"{where} received a malformed or altered packet: {packet}")
 
     def on_opened(self, target, frontend, sent_at):
-        """A target took an opening packet that its caller sent at the given time."""
+        """A target accepted a flow whose client sent the first SYN at `sent_at`."""
         self.counts["flows opened"] += 1
         allowed = self.allowed_services(frontend, sent_at)
         if target.service not in allowed:
@@ -107,42 +107,43 @@
         is_late = target.leave_acknowledged is not None and now() - target.leave_acknowledged > DRAIN_LIMIT
         if is_late and self.is_undisturbed(target.leave_acknowledged):
             waited = now() - target.leave_acknowledged
-            self.report("DRAIN", f"{target.name} got a new flow {waited:.1f} s after its leave was acknowledged")
+            self.report("DRAIN", f"{target.name} received a new flow {waited:.1f} s after its drain or removal was acknowledged")
 
     def on_executed(self, request, at_most_once, target):
         targets = self.executions.setdefault(request, [])
         targets.append(target.name)
         self.counts["runs"] += 1
         if at_most_once and len(targets) > 1:
-            self.report("UNASKED", f"{request} may run once and ran at {targets}")
+            self.report("UNASKED", f"non-idempotent request {request} was executed more than once, at {targets}")
 
-    # What callers saw.
+    # Observations of clients.
     def on_client_reset(self, flow, frontend, holder):
-        """The system reset a flow that was open at a target."""
+        """A balancer reset a flow that was open at a target."""
         dropped = any(frontend not in routes for routes in self.sent_versions.values())
         if holder is not None and holder.is_running and not dropped:
-            self.report("FLOW", f"{flow} was reset while {holder.name} holds it")
+            self.report("FLOW", f"{flow} was reset while it was open at {holder.name}")
 
     def on_probe(self, machine, frontend, sent_at, outcome):
-        """One balancer opened a flow at a service, or refused it: some version in force must allow that."""
+        """A balancer opened a flow at a service or refused it; a version that may be applied must allow this."""
         self.counts["probes"] += 1
         is_undisturbed = self.disturbances.was_undisturbed(machine, sent_at)
         if outcome == "refused" and not is_undisturbed:
-            # Perhaps it knows no target yet: that is no question of the version.
+            # The balancer may not know any target yet, which does not depend on the version.
             return
         min_version = self.acknowledged_before(sent_at - APPLY_LIMIT) if is_undisturbed else 0
         allowed = self.allowed_from_version(frontend, min_version)
-        self.counts["probes judged by time"] += 1 if is_undisturbed and min_version > 0 else 0
+        self.counts["probes with a time limit"] += 1 if is_undisturbed and min_version > 0 else 0
         if (None if outcome == "refused" else outcome) not in allowed:
             self.report("CONFIG", f"{machine} {'refused' if outcome == 'refused' else 'opened at ' + outcome} "
-                                   f"{frontend}, sent {now() - sent_at:.2f} s ago; {min_version} and later allow {allowed}")
+                                  f"{frontend}, sent {now() - sent_at:.2f} s ago; versions from {min_version} "
+                                  f"allow {allowed}")
 
     def on_refused_route(self, frontend, sent_at):
-        """An opening packet was reset by the system at once."""
+        """A balancer rejected a flow with a reset before it was open."""
         self.counts["flows refused"] += 1
         if not self.is_undisturbed(sent_at):
             return
         min_version = self.acknowledged_before(sent_at - APPLY_LIMIT)
         versions = [routes for version, routes in self.sent_versions.items() if version >= min_version]
         if versions and all(frontend in routes for routes in versions):
-            self.report("CONFIG", f"{frontend} was refused although version {min_version} and all later ones have it")
+            self.report("CONFIG", f"{frontend} was refused although all versions from {min_version} have a route for it")
--- a/tests/platform/soak/route_probes.py
+++ b/tests/platform/soak/route_probes.py
@@ -1,5 +1,5 @@
-"""Asks each balancer directly for routes that were just added or dropped, and judges what it does by the versions that
-may be in force there. The platform does the same; callers of the soak use three routes that never change."""
+"""Opens flows at each balancer on routes that were recently added or removed, and checks the outcome against
+the configuration versions that may be applied there. Ordinary clients use routes that never change."""
 
 import asyncio
 
@@ -8,17 +8,17 @@
 from promises import now
 
 INTERVAL = 0.12
-# Opening packets of one probe.
+# When a probe sends its SYN and the retransmissions, in seconds.
 SEND_TIMES = (0.0, 0.2, 0.6)
 OPENING_TIMEOUT = 1.4
-# Routes that were dropped longer ago are not asked for any more.
+# How many of the routes that were added last are probed.
 RECENT_ROUTES = 6
 FIRST_PORT = 20000
 PORTS = 40000
 
 
 class RouteProbes(asyncio.DatagramProtocol):
-    """One caller that opens a flow, sees what becomes of it, and forgets it."""
+    """A client that opens flows, records the outcome, and drops them."""
 
     def __init__(self, world, ip):
         self.world = world
@@ -46,11 +46,11 @@
             outcome.set_result(target.service if target else None)
 
     def target_of(self, packet):
-        """The target that answered; it holds the flow by the caller's address."""
+        """Returns the target that replied, and removes the flow from it."""
         return self.world.holder_of_opening((packet.destination, packet.source))
 
     async def probe_routes_forever(self, machine):
-        """Probes one balancer for ever."""
+        """Probes one balancer until cancelled."""
         while True:
             await asyncio.sleep(INTERVAL * self.world.slowness * (0.5 + self.world.random.random()))
             routes = self.world.operator.recent_routes(RECENT_ROUTES)
--- a/tests/platform/soak/router.py
+++ b/tests/platform/soak/router.py
@@ -1,4 +1,4 @@
-"""The platform's routers: they ask each balancer whether it is ready, and hash flows over those that are."""
+"""The router of the platform: checks the readiness of balancers and hashes flows over the ready ones."""
 
 import asyncio
 import zlib
@@ -10,14 +10,14 @@
 
 
 class Router:
-    """Chooses a balancer for each packet of a caller."""
+    """Chooses a balancer for each packet of a client."""
 
     def __init__(self, world):
         self.world = world
         self.failed_probes = {}
 
     async def probe_forever(self, machine):
-        """Asks one balancer for ever."""
+        """Checks the readiness of one balancer until cancelled."""
         self.failed_probes.setdefault(machine.ip, UNHEALTHY_THRESHOLD)
         while True:
             response = await http_call.request(f"{machine.ip}:{self.world.readiness_port}", "GET", "/-/ready",
@@ -30,7 +30,7 @@
         return self.failed_probes.get(machine.ip, UNHEALTHY_THRESHOLD) < UNHEALTHY_THRESHOLD
 
     def choose(self, zone, source, destination):
-        """Address of the balancer for a flow: steady hashing over those of the zone that are in."""
+        """Returns the balancer address for a flow: rendezvous hashing over the ready balancers, own zone first."""
         zones = [zone] + [other for other in self.world.zones if other != zone]
         for candidate in zones:
             machines = [m for m in self.world.balancers if m.zone == candidate]
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
-"""Runs the programs for the users' machines as real processes under random faults, put in from outside, and
-checks the platform's rules by what callers, targets and the operator see.
+"""Runs the platform programs as real processes under randomly injected faults, and checks the rules of the
+platform as clients, targets and the operator observe them.
 
-    tests/platform/soak/soak.py --runs 4 --seconds 40           # fresh seeds
+    tests/platform/soak/soak.py --runs 4 --seconds 40           # random seeds
     tests/platform/soak/soak.py --seed 17                       # one seed
-    tests/platform/soak/soak.py --planned                       # planned work only: no request may fail
-    tests/platform/soak/soak.py --storm                         # changes without pause beside one fault at a time
-    tests/platform/soak/soak.py --zones                         # evacuations beside cut zones and other faults
+    tests/platform/soak/soak.py --planned                       # planned changes only: no request may fail
+    tests/platform/soak/soak.py --storm                         # bursts of changes with one fault at a time
+    tests/platform/soak/soak.py --zones                         # evacuations with isolated zones and other faults
     tests/platform/soak/soak.py --known                         # the seeds in known_seeds.txt
 
-Takes about 10 processes and 100 MB with two balancers a zone. It ends only processes that it started.
+Needs about 10 processes and 100 MB with two balancers per zone.
 """
 
 import argparse
@@ -34,20 +34,20 @@
 CHECK_TIME = 4.0
 WARM_UP_TIME = 5.0
 SHORT_PAUSE = 2.0
-# Long enough for the rules that hold only where nothing was disturbed for a while.
+# Longer than SETTLE_TIME, so that rules with a time limit are checked as well.
 LONG_PAUSE = 7.0
 LONG_PAUSE_SHARE = 0.2
-# Beside a storm of changes: long enough after each fault for machines to be in touch, and to see what they do then.
+# With --storm: the pause after each fault, longer than SETTLE_TIME.
 STORM_PAUSE = 7.0
 FIRST_NETWORK = 100
 EVACUATION_PAUSE = 4.0
 LONGEST_EVACUATION = 14.0
-# Share of runs whose last evacuation is in force until the end.
+# Share of runs in which the last evacuation lasts until the end.
 FINAL_EVACUATION_SHARE = 0.5
 
 
 async def run_actions(world, faults, actions, until):
-    """One action after the other, with pauses."""
+    """Runs random actions one after the other, with pauses."""
     while now() < until:
         action = world.random.choice([action for action in actions if action.__name__ not in world.excluded_actions])
         print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
@@ -64,7 +64,7 @@
 
 
 async def run_faults(world, faults, until):
-    """One fault after the other, with pauses in which machines are in touch."""
+    """Injects one fault after the other, with pauses in which the system settles."""
     while now() < until - STORM_PAUSE:
         action = world.random.choice(faults.storm_faults())
         print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
@@ -75,7 +75,7 @@
 
 
 async def run_evacuations(world, until):
-    """The operator empties zone after zone and takes them back. The last order may stay in force until the end."""
+    """Evacuates and restores one zone after the other. The last evacuation may last until the end."""
     evacuations = world.evacuations
     while now() < until and "evacuations" not in world.excluded_actions:
         await asyncio.sleep(world.random.uniform(0.5, EVACUATION_PAUSE))
@@ -88,7 +88,7 @@
         await asyncio.sleep(max(0.0, min(lasts, until - now())))
         if now() >= until and world.random.random() < FINAL_EVACUATION_SHARE:
             return
-        print(f"{now() - world.start_time:7.1f} s  {zone} is taken back", flush=True)
+        print(f"{now() - world.start_time:7.1f} s  restoring {zone}", flush=True)
         await evacuations.restore(zone)
 
 
@@ -100,7 +100,7 @@
 
 
 async def run_zones(world, until):
-    """Changes and evacuations beside cut zones and beside a stream of other faults."""
+    """Changes and evacuations, concurrently with isolated zones and a stream of other faults."""
     faults = Faults(world)
     streams = [[faults.change_configuration, faults.release]] + faults.zone_actions()
     await asyncio.gather(run_evacuations(world, until),
@@ -109,13 +109,13 @@
 
 
 async def check_recovery(world, planned_only):
-    """After everything is healed and RECOVERY has passed, each request is served."""
+    """After all faults ended and RECOVERY_TIME has passed, every request must be served."""
     await asyncio.sleep(RECOVERY_TIME if not planned_only else 1.0)
     started_at = now()
     await asyncio.sleep(CHECK_TIME)
     unserved = [failure for failure in world.failures if planned_only or failure[0] >= started_at]
     if unserved:
-        world.checker.report("RECOVER", f"{len(unserved)} requests failed while nothing was wrong: {unserved[:3]}")
+        world.checker.report("RECOVER", f"{len(unserved)} requests failed although no fault was active: {unserved[:3]}")
     for kind in REQUEST_KINDS:
         if world.checker.counts[f"{kind.name} served"] == 0:
             world.checker.report("RECOVER", f"no {kind.name} was served")
@@ -146,7 +146,7 @@
 
 
 def run(seed, arguments):
-    """One run; True when no rule was broken. The folder with the logs stays when one was."""
+    """Runs one seed. Returns True without violations; otherwise keeps the directory with the logs."""
     directory = pathlib.Path(arguments.folder) / f"seed-{seed}"
     shutil.rmtree(directory, ignore_errors=True)
     directory.mkdir(parents=True)
@@ -171,7 +171,7 @@
         proxy.stop()
     counts = ", ".join(f"{name} {count}" for name, count in sorted(world.checker.counts.items()))
     max_lag = max(watch.longest_lag for watch in world.version_watches)
-    counts += f"; longest behind {max_lag:.2f} s"
+    counts += f"; longest configuration lag {max_lag:.2f} s"
     counts += f"; {world.paths.summary()}"
     dropped = sum(link.dropped for link in world.links.values())
     passed = sum(link.passed for link in world.links.values())
@@ -185,7 +185,7 @@
 
 
 def known_seeds():
-    """Seeds that failed once, and in which kind of run; the cause stands on the same line."""
+    """Returns the seeds that failed earlier, each with its mode."""
     lines = (HERE / "known_seeds.txt").read_text().splitlines()
     entries = [line.split() for line in lines if line and not line.startswith("#")]
     return [(int(entry[0]), entry[1].rstrip(":")) for entry in entries]
@@ -204,10 +204,10 @@
     parser.add_argument("--storm", action="store_true")
     parser.add_argument("--zones", action="store_true")
     parser.add_argument("--leave-out", action="append", default=[], metavar="ACTION",
-                        help="for tracing: an action that is not played, or `evacuations`")
-    parser.add_argument("--keep-logs", action="store_true", help="also of runs without a violation")
+                        help="skip this action, or `evacuations`; may be repeated")
+    parser.add_argument("--keep-logs", action="store_true", help="keep the logs of runs without violations as well")
     parser.add_argument("--sabotage", action="store_true",
-                        help="all disks are lost at once, more than is allowed: violations must be found")
+                        help="delete all disks at once, beyond the fault model: violations must be reported")
     arguments = parser.parse_args()
     seeds = [random.SystemRandom().randrange(1, 1 << 31) for _ in range(arguments.runs)]
     if arguments.seed is not None:
--- a/tests/platform/soak/source_filter.py
+++ b/tests/platform/soak/source_filter.py
@@ -1,4 +1,4 @@
-"""A filter of the kernel on a listening socket: who connects from some addresses meets silence, as over a cut link."""
+"""Socket filter (classic BPF) that drops connections from given addresses, as an unreachable path would."""
 
 import ctypes
 import socket
@@ -7,14 +7,14 @@
 SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27
 INSTRUCTION = struct.Struct("HBBI")
 PROGRAM = struct.Struct("HL")
-# Classic BPF: load a word, jump if equal, return. The offset is that of the source address in the IPv4 header.
+# Opcodes: load a word, jump if equal, return. The offset selects the source address in the IPv4 header.
 LOAD, JUMP_IF_EQUAL, RETURN = 0x20, 0x15, 0x06
 SOURCE_ADDRESS = 0xFFF00000 + 12
 ACCEPT, DROP = 0xFFFFFFFF, 0
 
 
 def block_sources(listener, ips):
-    """From now on the listener takes nothing from these addresses; from an empty list on, everything."""
+    """Drops connections from these addresses; an empty list removes the filter."""
     if not ips:
         listener.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         return
--- a/tests/platform/soak/streams.py
+++ b/tests/platform/soak/streams.py
@@ -1,4 +1,4 @@
-"""The two halves of a flow at either end: what is sent and repeated until it is acknowledged, and what arrives."""
+"""Reliable byte streams over the packets of a flow: sender with retransmission, receiver with reordering."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 class Sender:
-    """Octets for the other end: up to WINDOW packets under way, repeated until they are acknowledged.
+    """Sends data with up to WINDOW packets in flight, and retransmits until it is acknowledged.
 
-    `write` takes the octets of one packet and their sequence number. After `max_resends` repeats without progress
-    `give_up` is called; None repeats until `stop`.
+    `write` takes the data of one packet and its sequence number. After `max_retransmissions` without progress
+    `on_timeout` is called; None retransmits until `stop`.
     """
 
     def __init__(self, seq, write, max_retransmissions=None, on_timeout=None):
@@ -28,8 +28,8 @@
         self.retransmissions = 0
         self.timer = None
 
-    def put(self, octets):
-        self.unsent += [octets[i:i + packets.MAX_DATA] for i in range(0, len(octets), packets.MAX_DATA)]
+    def put(self, payload):
+        self.unsent += [payload[i:i + packets.MAX_DATA] for i in range(0, len(payload), packets.MAX_DATA)]
         self._fill_window()
 
     def on_acknowledged(self, ack):
@@ -75,8 +75,7 @@
 
 
 class Receiver:
-    """Puts what arrives in order, and says when to acknowledge it: every second packet, and each that ends a message
-    or came before."""
+    """Puts data in order. Acknowledges every second packet, and at once each short packet and each duplicate."""
 
     def __init__(self, seq):
         self.receive_next = seq
@@ -85,7 +84,7 @@
         self.stream = b""
 
     def on_data(self, packet):
-        """True when an acknowledgement is due."""
+        """Takes a packet; returns True when an acknowledgement must be sent."""
         is_old = packet.seq < self.receive_next
         if not is_old:
             self.out_of_order[packet.seq] = packet.data
@@ -99,7 +98,7 @@
             self.unacknowledged = 0
         return is_due
 
-    def take(self, octets):
-        """The next octets of the stream, of which there must be enough."""
-        taken, self.stream = self.stream[:octets], self.stream[octets:]
+    def take(self, size):
+        """Removes and returns the next `size` bytes, which must have been received."""
+        taken, self.stream = self.stream[:size], self.stream[size:]
         return taken
--- a/tests/platform/soak/target.py
+++ b/tests/platform/soak/target.py
@@ -1,4 +1,4 @@
-"""A target: takes flows at a UDP address, runs requests, announces itself, drains, ends, crashes."""
+"""A test target: accepts flows at a UDP address, executes requests, announces itself, drains and stops."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 
 
 class TargetFlow:
-    """The target's end of one flow."""
+    """The target side of one flow."""
 
     def __init__(self, target, packet):
         self.target = target
@@ -30,8 +30,8 @@
         self.is_open = False
         self.echo = packet.echo
         self.receiver = Receiver(packet.seq)
-        self.sender = Sender(random.randrange(1 << 31), lambda data, seq: self.write(ACK, data, seq), MAX_RETRANSMISSIONS,
-                             self.discard)
+        self.sender = Sender(random.randrange(1 << 31), lambda data, seq: self.write(ACK, data, seq),
+                             MAX_RETRANSMISSIONS, self.discard)
 
     def write(self, flags, data=b"", seq=None):
         seq = self.sender.send_next if seq is None else seq
@@ -45,7 +45,7 @@
 
 
 class Target:
-    """One life of a target."""
+    """One incarnation of a target."""
 
     def __init__(self, world, service, address, zone):
         self.world = world
@@ -72,15 +72,15 @@
         self.is_running = True
         self.announcer = asyncio.create_task(self.announce_forever())
 
-    # Life.
+    # Announcements and shutdown.
     async def announce_forever(self):
-        # Not only until it is cancelled: a cancellation that meets the end of an awaited call is lost.
+        # Checks the state as well: asyncio.wait_for loses a cancellation that coincides with its completion.
         while self.state == "ready":
             await self.announce()
             await asyncio.sleep(ANNOUNCE_INTERVAL)
 
     async def announce(self):
-        """Tells the system of itself, node after node; True when it was acknowledged."""
+        """Announces the target to a control node. Returns True when it was acknowledged."""
         self.seq += 1
         body = json.dumps({"service": self.service, "address": f"{self.address[0]}:{self.address[1]}",
                            "zone": self.zone, "version": "v1", "slots": SLOTS, "state": self.state,
@@ -91,7 +91,7 @@
         return await self.control.call(method, f"/-/instances/{self.name}", body)
 
     async def leave(self, announce_draining=True, grace=1.0):
-        """A planned end. Gives up asking after some seconds, as the platform does."""
+        """Drains, deregisters and stops. The number of attempts is limited, as on the platform."""
         self.announcer.cancel()
         self.state = "draining"
         for _ in range(6):
@@ -105,7 +105,7 @@
         self.end()
 
     def end(self):
-        """Ends at once, as a crash does; nothing is said."""
+        """Stops at once without notice, as after a crash."""
         if self.is_running:
             self.is_running = False
             self.announcer.cancel()
@@ -121,7 +121,7 @@
             self.sockets.send(packets.encode(packet), (packet.destination[0], self.world.datagram_port))
 
     def on_datagram(self, datagram, sender, at):
-        """A datagram from a balancer comes over its narrow link, unless the path is cut off."""
+        """Passes a datagram through the link of its balancer, or drops it when the path is unreachable."""
         zone = self.world.zone_of(sender)
         if not self.world.paths.is_open(zone, self.zone):
             packet = packets.decode(datagram[packets.TARGET_PREFIX.size:])
@@ -189,17 +189,17 @@
         flow.sender.on_acknowledged(packet.ack)
         if packet.data and flow.receiver.on_data(packet):
             flow.write(ACK)
-        while message := messages.take(flow.receiver):
+        while message := messages.read_message(flow.receiver):
             asyncio.create_task(self.run(flow, *message))
         if packet.has(FIN):
             flow.write(FIN | ACK)
             flow.discard()
 
     async def run(self, flow, request, body):
-        """Works on a request; a target that leaves closes the flow after its next answer."""
+        """Executes a request. A draining target asks the client to close the flow with the response."""
         request_id = request["id"]
         if body != messages.body_of(request_id, len(body)):
-            self.checker.report("UNASKED", f"{request_id} came to {self.name} with another body than was sent")
+            self.checker.report("UNASKED", f"the body of {request_id} was altered before it reached {self.name}")
         async with self.slots:
             if not self.is_running:
                 return
--- a/tests/platform/soak/target_sockets.py
+++ b/tests/platform/soak/target_sockets.py
@@ -1,5 +1,4 @@
-"""The sockets of a target: datagrams from balancers, each with the time of its arrival, and connections that balancers
-open to see whether anything listens there."""
+"""The sockets of a target: UDP for datagrams of balancers, with receive timestamps, and TCP for their probes."""
 
 import asyncio
 import socket
@@ -11,14 +10,14 @@
 
 BACKLOG = 128
 MAX_DATAGRAM = 2048
-# The kernel's own time of arrival: this program may read late, and what comes over a narrow link is told by time.
+# Kernel receive timestamps: the link shaper needs exact times although this program may read late.
 SO_TIMESTAMPNS = 35
 TIMESTAMP = struct.Struct("qq")
 NANOSECONDS = 1e9
 
 
 class TargetSockets:
-    """Both sockets at one address. `on_datagram` takes the octets, the sender's IP and the time of arrival."""
+    """Both sockets at one address. `on_datagram` takes the data, the sender's IP and the receive time."""
 
     def __init__(self, address, on_datagram):
         self.on_datagram = on_datagram
@@ -39,11 +38,11 @@
         try:
             self.datagrams.sendto(datagram, address)
         except BlockingIOError:
-            # As any datagram that meets a full queue; the other end asks again.
+            # The send buffer is full: the datagram is lost, and the client retransmits.
             pass
 
     def block_sources(self, ips):
-        """Connections from these addresses get no answer; from an empty list on, all do."""
+        """Drops connections from these addresses; an empty list accepts all."""
         if ips or self.blocked_ips:
             source_filter.block_sources(self.listener, ips)
         self.blocked_ips = ips
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -1,8 +1,8 @@
-"""Reads each balancer's own figures of the version in force and of emptied zones, and how long the newest acknowledged
-version is missing.
+"""Reads the applied configuration version and the evacuated zones from the metrics of each balancer, and checks
+how long it lags behind the newest acknowledged version.
 
-Stricter than the platform's rule: a balancer that is itself undisturbed must keep up while replicas are killed, frozen or
-cut off, too, since a change is acknowledged only where the core works.
+Stricter than the rule of the platform: an undisturbed balancer must keep up even while replicas are disturbed,
+because a change is acknowledged only by a working majority.
 """
 
 import asyncio
@@ -12,20 +12,20 @@
 from promises import APPLY_LIMIT, now
 
 INTERVAL = 0.1
-# An answer that takes longer says nothing of what was in force when it was asked for.
+# A slower response does not show which version was applied at the time of the request.
 RESPONSE_TIMEOUT = 0.5
 VERSION_METRIC = "operator_version"
 EVACUATED_ZONES_METRIC = "zones_evacuated"
 
 
 def metric_value(metrics, name):
-    """The value of a metric in Prometheus text; None when it is not there."""
+    """Returns the value of a metric in Prometheus text format; None when it is missing."""
     found = re.search(rf"^gorsevalve_{name}(?:\{{[^}}]*\}})? (\S+)", metrics, re.MULTILINE)
     return int(float(found.group(1))) if found else None
 
 
 class VersionWatch:
-    """Watches one balancer."""
+    """Polls the metrics of one balancer."""
 
     def __init__(self, world, machine):
         self.world = world
@@ -39,7 +39,7 @@
         return response[2] if response is not None and response[0] == 200 else None
 
     def undisturbed_since(self):
-        """Since when nothing was done to this balancer or to all machines; None while something is."""
+        """Time since which this balancer is undisturbed, regardless of the core; None during a disturbance."""
         return self.world.disturbances.since(self.machine.name, with_core=False)
 
     async def run_forever(self):
@@ -62,6 +62,7 @@
         self.longest_lag = max(self.longest_lag, lag)
         if lag > APPLY_LIMIT and self.reported_version != applied_version:
             self.reported_version = applied_version
-            self.world.checker.report("CONFIG", f"{self.machine.name} is behind by {lag:.2f} s with version {applied_version}, "
-                                                  f"{now() - self.world.start_time:.1f} s after the start")
+            self.world.checker.report("CONFIG", f"{self.machine.name} still applies version {applied_version}, {lag:.2f} s after "
+                                                f"a newer one was acknowledged, "
+                                                f"{now() - self.world.start_time:.1f} s after the start")
 
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -1,4 +1,4 @@
-"""Everything that takes part in one run: machines of the system, targets, callers, routers, the operator."""
+"""The deployment under test: machines of the system, targets, clients, router and operator."""
 
 import asyncio
 import collections
@@ -25,14 +25,14 @@
 TARGETS_PER_ZONE = {"main": 2, "archive": 1}
 CLIENTS_PER_ZONE = 2
 USERS_PER_CLIENT = {FEED: 4, UPDATE: 3, DOWNLOAD: 1, UPLOAD: 1}
-# What a balancer's link takes, as its settings say.
+# Configured rates of a balancer's link, in Mbit/s.
 LINK_RATES = ("2.0", "1.0", "0.5")
 TARGET_PORT = 8261
 SEEDS = 3
 
 
 class World:
-    """One deployment on a loopback network of its own, 127.`network`.0.0/16."""
+    """One deployment on its own loopback network, 127.`network`.0.0/16."""
 
     datagram_port = 8172
     readiness_port = 8167
@@ -56,9 +56,9 @@
         self.clients = []
         self.opened_at = {}
         self.failures = []
-        # When a narrow link dropped packets, by flow.
+        # Times of packets that a link dropped, by flow.
         self.link_drops = collections.defaultdict(list)
-        # Names of actions that are not played.
+        # Names of actions that are skipped.
         self.excluded_actions = set()
         self.tasks = []
         self.numbers = itertools.count(1)
@@ -75,7 +75,7 @@
         self.all_machines += self.balancers
         self.zones_by_ip.update({machine.ip: machine.zone for machine in self.balancers})
         self.links = {machine.ip: LinkShaper(float(self.link_rate)) for machine in self.balancers}
-        # What is asked of each balancer goes more slowly where there are more: this program has one thread.
+        # Factor for polling intervals: this program has one thread for all balancers.
         self.slowness = balancers_per_zone / BALANCERS_PER_ZONE
         self.version_watches = [VersionWatch(self, machine) for machine in self.balancers]
 
@@ -83,7 +83,7 @@
         return f"127.{self.network}.{group}.{number}"
 
     def make_control(self, zone):
-        """A machine that is known by one address and binds its internal port at another; the proxy between."""
+        """Creates a replica that binds its internal port at a private address behind the fault proxy."""
         number = next(self.numbers)
         machine = Machine(self, "control", f"control-{number}", zone, self.ip(21, number), self.ip(20, number))
         self.all_machines.append(machine)
@@ -99,21 +99,21 @@
         return self.controls + self.balancers
 
     def zone_of(self, ip):
-        """None for what is in no zone."""
+        """Returns the zone of an address; None outside of all zones."""
         return self.zones_by_ip.get(ip)
 
     def balancer_at(self, ip):
         return next((machine for machine in self.balancers if machine.ip == ip), None)
 
     def is_reachable(self, zone, address):
-        """True when something in a zone reaches this address."""
+        """True when this address is reachable from a zone."""
         return self.paths.is_open(zone, self.zone_of(address.rsplit(":", 1)[0]))
 
     def unreachable_balancers(self, zone):
         return [machine.ip for machine in self.balancers if not self.paths.is_open(zone, machine.zone)]
 
     def begin_cut(self, zone):
-        """Drops datagrams and messages between a zone and the others. Gives what `end_cut` takes."""
+        """Isolates a zone from the others. Returns the cut for `end_cut`."""
         sides = ([], [])
         for machine in self.machines:
             sides[machine.zone != zone].append(machine.message_address)
@@ -142,11 +142,11 @@
             self.link_drops[packet.source, packet.destination].append(now())
 
     def holder_of(self, key):
-        """The living target where a flow is open."""
+        """Returns the running target where a flow is open."""
         return next((t for t in self.targets if t.is_running and key in t.flows and t.flows[key].is_open), None)
 
     def holder_of_opening(self, key):
-        """The living target that took the opening packet of a flow, which it forgets."""
+        """Returns the running target that accepted a flow, and removes the flow from it."""
         for target in self.targets:
             if target.is_running and target.flows.pop(key, None) is not None:
                 return target
@@ -170,13 +170,13 @@
         self.targets.append(target)
         return target
 
-    # The whole.
+    # Start, monitoring and stop.
     async def start(self):
         for machine in self.machines:
             machine.start(first_start=True)
         self.operator.change()
         if not await self.operator.submit():
-            raise RuntimeError("the first configuration was not taken")
+            raise RuntimeError("the first configuration was not acknowledged")
         for machine in self.balancers:
             self.spawn(self.router.probe_forever(machine))
         for zone in ZONES:
@@ -210,27 +210,27 @@
             self.spawn(probes.probe_routes_forever(machine))
 
     async def watch_event_loop(self, interval=0.05):
-        """Where this program itself had to wait, nothing is judged by time."""
+        """Disables rules with a time limit after a stall of this program's event loop."""
         while True:
             started_at = now()
             await asyncio.sleep(interval)
             if now() - started_at > interval + MAX_LOOP_STALL:
-                self.checker.counts["own stalls"] += 1
+                self.checker.counts["event loop stalls"] += 1
                 self.disturbances.record(Disturbances.ALL)
 
     async def wait_ready(self, time_limit=20.0):
         started_at = now()
         while not all(self.router.is_in_rotation(machine) for machine in self.balancers):
             if now() - started_at > time_limit:
-                raise RuntimeError("the balancers did not become ready")
+                raise RuntimeError("not all balancers became ready in time")
             await asyncio.sleep(0.1)
 
     async def watch_exits(self):
-        """No process ends by itself."""
+        """Reports and restarts processes that exited unexpectedly."""
         while True:
             for machine in self.machines:
                 if machine.exited_unexpectedly():
-                    self.checker.report("FAULT", f"{machine.name} ended with {machine.popen.returncode}")
+                    self.checker.report("FAULT", f"{machine.name} exited unexpectedly with code {machine.popen.returncode}")
                     machine.start()
             await asyncio.sleep(0.2)
 
@@ -239,7 +239,7 @@
         return response is not None and response[0] == 200
 
     async def wait_control(self, time_limit):
-        """Waits until each control process answers reads; False when one does not in time."""
+        """Waits until every replica serves reads. Returns False after `time_limit` seconds."""
         started_at = now()
         while now() - started_at < time_limit:
             if all([await self.is_serving(address) for address in self.control_addresses()]):
@@ -249,8 +249,8 @@
 
     @staticmethod
     async def cancel_tasks(time_limit=0.5):
-        """Cancels until all tasks have ended: a cancellation that meets the end of an awaited call within
-        `asyncio.wait_for` is lost, and loops that call for ever would go on."""
+        """Cancels repeatedly until all tasks have ended: `asyncio.wait_for` loses a cancellation that
+        coincides with its completion."""
         while tasks := asyncio.all_tasks() - {asyncio.current_task()}:
             for task in tasks:
                 task.cancel()
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -1,4 +1,4 @@
-"""Paths between zones: which are cut off, since when, and how their callers fared meanwhile."""
+"""Reachability between zones: which zones are isolated, and how this affects flows and clients."""
 
 import dataclasses
 
@@ -7,26 +7,26 @@
 
 @dataclasses.dataclass
 class Cut:
-    """One zone's cut: nothing goes into the zone or out of it, while its callers reach its balancers."""
+    """Isolation of one zone from the others. Its clients still reach its balancers."""
 
     zone: str
     started_at: float
     last_served: float
-    # The longest time in which no caller of the zone got an answer.
+    # The longest time without a response for any client of the zone, in seconds.
     longest_outage: float = 0.0
-    # Flows that balancers placed across, by those within the zone and by those outside, and until when from the
-    # beginning on.
+    # Flows that balancers opened across the cut: from the zone, into the zone, and the time of the last one in
+    # seconds after the start.
     openings_out: int = 0
     openings_in: int = 0
     last_opening_after: float = 0.0
 
     def on_served(self):
-        """A caller of the zone got an answer. Over the cut none comes, so a target of the own zone served it."""
+        """A client of the zone received a response, necessarily from a target of the same zone."""
         self.longest_outage = max(self.longest_outage, now() - self.last_served)
         self.last_served = now()
 
     def on_lost_opening(self, is_outbound):
-        """A balancer placed a flow across."""
+        """A balancer tried to open a flow across the cut."""
         self.last_opening_after = now() - self.started_at
         if is_outbound:
             self.openings_out += 1
@@ -34,13 +34,13 @@
             self.openings_in += 1
 
     def __str__(self):
-        return (f"{self.zone} was cut off for {now() - self.started_at:.2f} s: {self.openings_out} openings went out "
-                f"of it and {self.openings_in} into it, the last after {self.last_opening_after:.2f} s; its callers "
-                f"were without an answer for {self.longest_outage:.2f} s at most")
+        return (f"{self.zone} was isolated for {now() - self.started_at:.2f} s: {self.openings_out} opening packets out "
+                f"of it and {self.openings_in} into it, the last after {self.last_opening_after:.2f} s; longest time "
+                f"without a response for its clients: {self.longest_outage:.2f} s")
 
 
 class ZonePaths:
-    """A zone that is cut off reaches none of the others, and none of them reaches it."""
+    """Tracks isolated zones, which cannot reach other zones or be reached from them."""
 
     def __init__(self):
         self.cuts = {}
@@ -51,7 +51,7 @@
         self.cuts[zone] = Cut(zone, now(), now())
 
     def end_cut(self, zone):
-        """What happened meanwhile."""
+        """Ends the isolation of a zone and returns its record."""
         cut = self.cuts.pop(zone)
         cut.on_served()
         self.healed_at[zone] = now()
@@ -59,18 +59,18 @@
         return cut
 
     def is_open(self, one, other):
-        """True when a message gets from one zone to the other. None is somewhere outside, which all reach."""
+        """True when two zones can reach each other. None stands for a place outside of all zones."""
         return one == other or None in (one, other) or not (one in self.cuts or other in self.cuts)
 
     def is_undisturbed(self, one, other):
-        """True when the path has been open for CONTACT seconds."""
+        """True when the path has been open for SETTLE_TIME seconds."""
         if one == other:
             return True
         healed_at = max(self.healed_at.get(one, 0.0), self.healed_at.get(other, 0.0))
         return self.is_open(one, other) and now() - healed_at >= SETTLE_TIME
 
     def on_lost_opening(self, sender_zone, target_zone):
-        """An opening packet of a balancer met a cut."""
+        """An opening packet of a balancer was dropped at a cut."""
         for zone in (sender_zone, target_zone):
             if zone in self.cuts:
                 self.cuts[zone].on_lost_opening(zone == sender_zone)
@@ -82,5 +82,5 @@
     def summary(self):
         placed = max((cut.last_opening_after for cut in self.past_cuts), default=0.0)
         waited = max((cut.longest_outage for cut in self.past_cuts), default=0.0)
-        return (f"{len(self.past_cuts)} cut zones, flows placed across for {placed:.2f} s, "
-                f"{waited:.2f} s without an answer at most")
+        return (f"{len(self.past_cuts)} isolated zones, last opening packet across after {placed:.2f} s, "
+                f"at most {waited:.2f} s without a response")
--- a/tests/platform/test_soak_parts.py
+++ b/tests/platform/test_soak_parts.py
@@ -81,9 +81,9 @@
         receiver = Receiver(0)
         encoded = messages.encode({"id": "a"}, messages.body_of("a", 2000))
         receiver.on_data(data_packet(0, encoded[:1200]))
-        self.assertIsNone(messages.take(receiver))
+        self.assertIsNone(messages.read_message(receiver))
         receiver.on_data(data_packet(1200, encoded[1200:]))
-        head, body = messages.take(receiver)
+        head, body = messages.read_message(receiver)
         self.assertEqual((head["id"], body), ("a", messages.body_of("a", 2000)))
 
 
