--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -1,12 +1,13 @@
 #!/usr/bin/env python3
-"""Ablation study: disables one mechanism of the steering policy at a time, runs the same days with and without
-it, and prints a table of the differences.
+"""Ablation study: disables one mechanism of the steering policy at a time, runs the same days with
+and without it, and prints a table of the differences.
 
 Usage: scripts/ablation.py --bench PATH --work FOLDER [--days NAME,...] [--seeds N] [--jobs N]
                            [--only NAME,...] SITE...
 
-Copies the tree to FOLDER and sets --steering_policy in its deploy/system.toml; the journal entries of all runs
-stay in FOLDER/journal. CPU time is not charged, so the runs of a pair differ only in the policy.
+Copies the tree to FOLDER and sets --steering_policy in its deploy/system.toml; the journal entries
+of all runs stay in FOLDER/journal. CPU time is not charged, so the runs of a pair differ only in
+the policy.
 """
 import argparse
 import concurrent.futures
@@ -50,7 +51,8 @@
 
 
 def run_day(bench: str, tree: pathlib.Path, site: str, day: str, seed: int, name: str):
-    """Runs one day. Returns its worth, the share served, and whether a rule was violated; None without a result."""
+    """Runs one day. Returns its worth, the share served, and whether a rule was violated; None
+    without a result."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--report", report.name, "--why",
                         f"ablation: without {name}" if name != "all on" else "ablation: all on"],
--- a/scripts/endurance.py
+++ b/scripts/endurance.py
@@ -1,6 +1,7 @@
 #!/usr/bin/env python3
-"""Runs an example deployment as real processes for some minutes under changes and failures, and writes a report
-with plots. The invariants of the simulation must hold; flows may break only after a failure.
+"""Runs an example deployment as real processes for some minutes under changes and failures, and
+writes a report with plots. The invariants of the simulation must hold; flows may break only after a
+failure.
 
     scripts/endurance.py --seconds=180 --seed=1 [--planned] mu-north
 """
@@ -122,7 +123,7 @@
 
 
 def imbalance_over_time(samples, service):
-    """Ratio of maximum to mean of the requests per target, for each interval between two samples."""
+    """Ratio of maximum to mean requests per target, for each interval between two samples."""
     names = [t["name"] for t in service["target"]]
     rows = []
     for (_, before), (at, after) in zip(samples, samples[1:]):
--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -1,9 +1,9 @@
 """Proxy between the processes of the system that injects network faults.
 
-Each process binds a private address and is reached at its public one, where the proxy listens. TCP frames
-and UDP messages contain their sender (see src/codec/envelope.h), so the proxy knows both ends of each
-message. A cut silently drops messages in one or both directions while connections stay open. TCP frames
-can also be delayed, and connections reset.
+Each process binds a private address and is reached at its public one, where the proxy listens. TCP
+frames and UDP messages contain their sender (see src/codec/envelope.h), so the proxy knows both
+ends of each message. A cut silently drops messages in one or both directions while connections stay
+open. TCP frames can also be delayed, and connections reset.
 """
 
 import collections
@@ -81,7 +81,7 @@
         return self.cut_one_way(group, others) + self.cut_one_way(others, group)
 
     def cut_one_way(self, senders, receivers):
-        """Drops all messages from one group of public addresses to another. Returns the cut for `heal`."""
+        """Like `cut`, but only for messages from `senders` to `receivers`."""
         cut = collections.Counter((a, b) for a in senders for b in receivers)
         self.cuts = self.cuts + cut
         return cut
@@ -93,8 +93,8 @@
                 connection.reset_requested = True
 
     def silence_connections(self, share, direction):
-        """Drops all further data of a random share of the open connections, which stay open. The direction is
-        `up` (from the client), `down` or `both`."""
+        """Drops all further data of a random share of the open connections, which stay open. The
+        direction is `up` (from the client), `down` or `both`."""
         for connection in list(self.connections):
             if self.random.random() < share:
                 connection.silenced_directions = {"up", "down"} if direction == "both" else {direction}
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
 """Starts and controls a fleet of real processes on loopback, for the demo and the tests.
 
-Every process has its own loopback address in the network of its deployment, so several fleets can run at
-the same time.
+Every process has its own loopback address in the network of its deployment, so several fleets can
+run at the same time.
 """
 
 import json
@@ -306,7 +306,7 @@
 
 
 def check_updates(results, records):
-    """Compares the outcomes reported to clients with the executions. Returns a list of violations."""
+    """Compares outcomes reported to clients with executions. Returns a list of violations."""
     done, not_run, may_have_run = 1, 2, 3
     executions = {}
     for record in records.values():
--- a/scripts/recovery.py
+++ b/scripts/recovery.py
@@ -1,10 +1,12 @@
 #!/usr/bin/env python3
-"""Runs one day with several seeds and prints a timeline of the recovery after each loss of all machines.
+"""Runs one day with several seeds and prints a timeline of the recovery after each loss of all
+machines.
 
 Usage: scripts/recovery.py --bench PATH --tree FOLDER [--seeds N] [--jobs N] SITE DAY
 
-Times are seconds after the loss: when balancers and replicas started, when a leader was elected, and when
-balancers had their state confirmed and could open flows. The journal entries stay in FOLDER/journal.
+Times are seconds after the loss: when balancers and replicas started, when a leader was elected,
+and when balancers had their state confirmed and could open flows. The journal entries stay in
+FOLDER/journal.
 """
 import argparse
 import concurrent.futures
--- a/scripts/recovery_bound.py
+++ b/scripts/recovery_bound.py
@@ -4,9 +4,9 @@
 Usage: scripts/recovery_bound.py --listens S --decides S [--answer S] CLASS...
 CLASS is rate:aim:deadline:worth:worth_late of one kind of request, times in seconds.
 
-Clients retransmit after 0.2, 0.6 and 1.4 s. A packet is received once a balancer listens (`--listens`, seconds
-after the loss) and gets its response `--answer` seconds later, but not before the state is known (`--decides`).
-The capacity of targets is unlimited.
+Clients retransmit after 0.2, 0.6 and 1.4 s. A packet is received once a balancer listens
+(`--listens`, seconds after the loss) and gets its response `--answer` seconds later, but not before
+the state is known (`--decides`). The capacity of targets is unlimited.
 """
 import argparse
 
--- a/tests/integration/test_failures.py
+++ b/tests/integration/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes: crashes, stalls, lost disks and network faults from the fault proxy."""
+"""Failures of real processes: crashes, stalls, lost disks and network faults."""
 
 import shutil
 import signal
@@ -13,7 +13,7 @@
     proxied = True
 
     def test_kill_and_freeze(self):
-        """Guards against violations when a balancer crashes and another one stalls until it is replaced."""
+        """Guards against violations when a balancer crashes and another one stalls."""
         clients = self.start_load(14)
         time.sleep(1)
         self.fleet.processes["balancer-1"].kill()
--- a/tests/integration/test_requests.py
+++ b/tests/integration/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests end to end: a real CoAP client, isolation of services, and faults between clients and balancers."""
+"""Requests end to end: a real CoAP client, isolation of services, network faults."""
 
 import socket
 import subprocess
@@ -17,7 +17,7 @@
         return done.stdout.strip()
 
     def test_real_client(self):
-        """Guards against incompatibility with a real client: lookup, update and block-wise transfer."""
+        """Lookup, update and block-wise transfer must work with a real client."""
         base = f"coap://127.{self.network}.0.1"
         self.assertIn("found 7 at main-", self.client(f"{base}/lookup?id=7"))
         self.assertEqual(self.client("-m", "post", f"{base}/update?id=u1"), "done u1")
@@ -29,7 +29,7 @@
         self.assertEqual(sum(runs), 1)
 
     def test_crossed_late_and_doubled(self):
-        """Guards against mixed-up responses or services under loss, delay, reordering and duplication."""
+        """Guards against mixed-up responses or services on a faulty network."""
         clients = [self.start_load(5, "a", "main", feeds=10, updates=20, lookups=20),
                    self.start_load(5, "b", "archive", downloads=10)]
         noise = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/platform/replicated.py
+++ b/tests/platform/replicated.py
@@ -1,4 +1,4 @@
-"""Three control replicas and a balancer as real processes, for tests of the platform's HTTP interface."""
+"""Three control replicas and a balancer as real processes, for tests of the HTTP interface."""
 
 import json
 import os
@@ -40,7 +40,7 @@
 
 
 class ReplicatedTest(unittest.TestCase):
-    """Starts three replicas and a balancer for each test. Each class sets its own `network`: they may run in parallel."""
+    """Starts three replicas and a balancer for each test. Each class sets its own `network`."""
 
     network = None
 
--- a/tests/platform/soak/caller.py
+++ b/tests/platform/soak/caller.py
@@ -1,4 +1,4 @@
-"""Test clients: long-lived feeds, non-idempotent updates, downloads and uploads. They verify every response."""
+"""Test clients for feeds, non-idempotent updates, downloads and uploads; verify every response."""
 
 import asyncio
 import dataclasses
@@ -234,14 +234,15 @@
         if head["id"] != request_id or response_body != messages.body_of(request_id, kind.size):
             self.world.checker.report("MIXED", f"{request_id} got the response to {head['id']}")
         if (head["got"], head["digest"]) != (len(body), messages.digest(body)):
-            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} bytes, the target received {head['got']}")
+            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} bytes, "
+                                               f"the target received {head['got']}")
         if head["closes"]:
             flow.close()
             flow = None
         return True, flow
 
     def record_result(self, kind, done, started_at, flows):
-        """Records the outcome of a request. For a failed one, also when the links dropped packets of its flows."""
+        """Records the outcome of a request; for a failed one, also packet drops on its flows."""
         self.world.checker.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
         if done:
             self.world.paths.on_served(self.zone)
--- a/tests/platform/soak/contact.py
+++ b/tests/platform/soak/contact.py
@@ -1,12 +1,14 @@
-"""Tracks which machines were disturbed recently. Rules with a time limit apply only to the others.
+"""Tracks which machines were disturbed recently. Rules with a time limit apply only to the
+others.
 
-A machine is undisturbed when for SETTLE_TIME seconds no fault affected it, its links or the core. The core
-is the set of control replicas and their connections; a fault in another balancer does not count.
+A machine is undisturbed when for SETTLE_TIME seconds no fault affected it, its links or the core.
+The core is the set of control replicas and their connections; a fault in another balancer does not
+count.
 """
 
 from promises import SETTLE_TIME, now
 
-# Seconds. After a longer stall of this program's event loop, no time limit is checked: the host was overloaded.
+# Longest stall of the event loop, in seconds. After a longer one, no time limit is checked.
 MAX_LOOP_STALL = 0.4
 
 
@@ -33,13 +35,13 @@
         self.ended_at[scope] = now()
 
     def since(self, scope, with_core=True):
-        """Time since which a machine (and, with `with_core`, the core) is undisturbed; None during a disturbance."""
+        """Time since which a machine (and the core) is undisturbed; None during a disturbance."""
         scopes = (scope, self.ALL, self.CORE) if with_core else (scope, self.ALL)
         if any(self.active.get(each, 0) for each in scopes):
             return None
         return max(self.ended_at.get(each, 0.0) for each in scopes)
 
     def was_undisturbed(self, scope, moment):
-        """True when a machine was undisturbed from SETTLE_TIME seconds before `moment` until now."""
+        """True when undisturbed from SETTLE_TIME seconds before `moment` until now."""
         since = self.since(scope)
         return since is not None and since <= moment - SETTLE_TIME
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -1,7 +1,7 @@
 """Evacuates and restores zones, and checks that balancers comply.
 
-From EVACUATION_LIMIT seconds after an evacuation was acknowledged until the first call to restore the zone,
-no undisturbed balancer may open a flow at a target of the zone.
+From EVACUATION_LIMIT seconds after an evacuation was acknowledged until the first call to restore
+the zone, no undisturbed balancer may open a flow at a target of the zone.
 """
 
 import asyncio
@@ -51,7 +51,8 @@
         return True
 
     async def restore(self, zone):
-        """Returns True when the command was acknowledged. Flows may be opened in the zone from the first call on."""
+        """Returns True when the command was acknowledged. Flows are allowed from the first call
+        on."""
         self.evacuated_since.pop(zone, None)
         started_at = now()
         outcome = Outcome.UNKNOWN
@@ -64,7 +65,7 @@
         return outcome == Outcome.ACKNOWLEDGED
 
     async def _order(self, method, zone):
-        """Sends a command, with retries, until it is acknowledged or ACKNOWLEDGE_LIMIT has passed."""
+        """Sends a command, with retries for up to ACKNOWLEDGE_LIMIT seconds."""
         checker, random = self.world.checker, self.world.random
         started_at, pause, responses_lost = now(), INITIAL_BACKOFF, False
         while now() - started_at < ACKNOWLEDGE_LIMIT:
@@ -76,7 +77,8 @@
             if response is not None and 200 <= response[0] < 300:
                 return Outcome.ACKNOWLEDGED
             if response is not None and response[0] in REJECTION_STATUSES:
-                checker.report("EVAC", f"{method} of {zone} was rejected with status {response[0]}: {response[2][:200]}")
+                checker.report("EVAC", f"{method} of {zone} was rejected with status {response[0]}: "
+                                       f"{response[2][:200]}")
                 return Outcome.REJECTED
             await asyncio.sleep(pause)
             pause = min(2 * pause, MAX_BACKOFF)
@@ -85,7 +87,7 @@
         return Outcome.UNKNOWN
 
     def can_evacuate(self, zone):
-        """True when the other zones have enough targets of each service, and no zone is evacuated."""
+        """True when no zone is evacuated and the others have enough targets of each service."""
         services = {target.service for target in self.world.targets}
         return not self.maybe_evacuated and all(
             sum(t.service == service and t.state == "ready" and t.zone != zone for t in self.world.targets)
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Planned changes and injected faults for a running deployment. Each action ends by reverting what it did."""
+"""Planned changes and injected faults for a running deployment. Each action reverts its effect."""
 
 import asyncio
 import contextlib
@@ -114,7 +114,7 @@
                 await asyncio.sleep(CATCH_UP_TIME)
 
     async def replace_control(self):
-        """Replaces a replica by an empty one with another address, and updates the seeds in all settings."""
+        """Replaces a replica by an empty one at another address, and updates all seeds."""
         async with self.control_lock:
             if not await self.world.wait_control(10):
                 return
@@ -130,7 +130,7 @@
             await asyncio.sleep(CATCH_UP_TIME)
 
     async def lose_all_disks(self):
-        """Exceeds the faults that the system tolerates, to verify that the checks detect violations."""
+        """Exceeds the fault model, to verify that the checks detect violations."""
         for machine in self.world.machines:
             machine.kill()
         for machine in self.world.controls:
--- a/tests/platform/soak/http_call.py
+++ b/tests/platform/soak/http_call.py
@@ -7,7 +7,7 @@
 
 
 async def request(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
-    """Returns status, Location and body; None on a network error, a timeout or a malformed response."""
+    """Returns status, Location and body; None on an error, a timeout or a malformed response."""
     try:
         return await asyncio.wait_for(_call(address, method, path, body, discard_response), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
--- a/tests/platform/soak/link_faults.py
+++ b/tests/platform/soak/link_faults.py
@@ -55,7 +55,7 @@
             self.world.proxy.heal(cut)
 
     async def cut_balancer_one_way(self):
-        """Drops either all messages from a balancer or all messages to it; connections stay open."""
+        """Drops all messages either from a balancer or to it; connections stay open."""
         machine = self.random.choice(self.world.balancers)
         directions = [[machine.peer_address], self.control_peers()]
         self.random.shuffle(directions)
@@ -68,8 +68,8 @@
         return [machine.internal_address for machine in self.world.controls]
 
     async def cut_zone(self):
-        """Isolates a zone: its machines and targets reach no other zone, its clients still reach its balancers.
-        Never together with a lost disk, which is outside of the fault model."""
+        """Isolates a zone: its machines and targets reach no other zone, its clients still reach
+        its balancers. Never together with a lost disk, which is outside of the fault model."""
         zone = self.random.choice(self.world.zones)
         async with self.control_lock:
             with contextlib.ExitStack() as stack:
@@ -89,7 +89,7 @@
             link.mbit_per_s /= RATE_REDUCTION
 
     async def silence_connections(self):
-        """Some open connections drop all data in one or both directions from now on, and stay open."""
+        """Some connections drop all further data in one or both directions, and stay open."""
         self.world.disturbances.record(Disturbances.ALL)
         self.world.proxy.silence_connections(self.random.uniform(0.2, 1.0), self.random.choice(("both", "up", "down")))
 
--- a/tests/platform/soak/machine.py
+++ b/tests/platform/soak/machine.py
@@ -100,7 +100,7 @@
             environment.update(LD_PRELOAD=str(self.world.build / CONNECTION_SOURCE), SOAK_CONNECTION_SOURCE=self.ip,
                                ASAN_OPTIONS="verify_asan_link_order=0")
         with open(self.directory / "log", "ab") as log:
-            # Keeps SIGXFSZ ignored, so that a write beyond the file size limit fails instead of ending the process.
+            # Keeps SIGXFSZ ignored: a write beyond the file size limit fails with an error.
             self.popen = subprocess.Popen([str(self.world.build / ROLES[self.role])], stdout=log, stderr=log,
                                           env=environment, restore_signals=False)
         self.stop_requested = False
--- a/tests/platform/soak/narrow_link.py
+++ b/tests/platform/soak/narrow_link.py
@@ -1,7 +1,7 @@
 """Shaper for the low-bandwidth link from a balancer to targets: a fixed rate and a short queue.
 
-Targets apply it to received datagrams: the shaper returns when a datagram would have arrived, or that it
-was dropped. Traffic to a balancer is not shaped, as on the platform.
+Targets apply it to received datagrams: the shaper returns when a datagram would have arrived, or
+that it was dropped. Traffic to a balancer is not shaped, as on the platform.
 """
 
 import collections
@@ -21,7 +21,7 @@
         self.dropped = 0
 
     def departure(self, size, at):
-        """Returns when the last byte of a datagram sent at `at` has been transmitted; None when the queue is full."""
+        """Returns when a datagram sent at `at` has been transmitted; None when it is dropped."""
         while self.departures and self.departures[0] <= at:
             self.departures.popleft()
         if len(self.departures) > QUEUE_LIMIT:
--- a/tests/platform/soak/operator_calls.py
+++ b/tests/platform/soak/operator_calls.py
@@ -1,4 +1,4 @@
-"""The operator: submits whole configurations, drops some responses, and reads the configuration back."""
+"""The operator: submits configurations, drops some responses, reads the configuration back."""
 
 import asyncio
 import json
--- a/tests/platform/soak/packets.py
+++ b/tests/platform/soak/packets.py
@@ -1,7 +1,7 @@
 """Packet format of the platform: a header of 32 bytes, then the data.
 
-The soak implements both ends, so it uses its own checksum key. A wrong checksum means that a packet was
-altered on its way.
+The soak implements both ends, so it uses its own checksum key. A wrong checksum means that a packet
+was altered on its way.
 """
 
 import dataclasses
--- a/tests/platform/soak/promises.py
+++ b/tests/platform/soak/promises.py
@@ -1,7 +1,7 @@
 """Checks the rules of the platform against what clients, targets and the operator observe.
 
-Rules with a time limit apply only if there was no disturbance for SETTLE_TIME seconds; the others always
-apply. Times are monotonic seconds.
+Rules with a time limit apply only if there was no disturbance for SETTLE_TIME seconds; the others
+always apply. Times are monotonic seconds.
 """
 
 import collections
@@ -70,7 +70,7 @@
             self.report("CONFIG", f"the routes of version {version} differ from those that were submitted")
 
     def allowed_services(self, frontend, opened_at):
-        """Services allowed by any version that may be applied to a flow opened at that time; None for no route."""
+        """Services that may be chosen for a flow opened at that time; None for no route."""
         min_version = self.acknowledged_before(opened_at - APPLY_LIMIT) if self.is_undisturbed(opened_at) else 0
         return self.allowed_from_version(frontend, min_version)
 
@@ -84,7 +84,7 @@
 
     # Observations of targets.
     def on_misrouted(self, flow, holder):
-        """A packet of a flow arrived at another target than `holder`, which has the flow; None if none has it."""
+        """A packet of a flow arrived at another target than `holder`; None if no target has it."""
         times = self.misrouted.setdefault(flow, [])
         times.append(now())
         recent = [at for at in times if now() - at < MISROUTE_WINDOW]
@@ -107,7 +107,8 @@
         is_late = target.leave_acknowledged is not None and now() - target.leave_acknowledged > DRAIN_LIMIT
         if is_late and self.is_undisturbed(target.leave_acknowledged):
             waited = now() - target.leave_acknowledged
-            self.report("DRAIN", f"{target.name} received a new flow {waited:.1f} s after its drain or removal was acknowledged")
+            self.report("DRAIN", f"{target.name} received a new flow {waited:.1f} s after its drain or removal "
+                                 f"was acknowledged")
 
     def on_executed(self, request, at_most_once, target):
         targets = self.executions.setdefault(request, [])
@@ -124,7 +125,7 @@
             self.report("FLOW", f"{flow} was reset while it was open at {holder.name}")
 
     def on_probe(self, machine, frontend, sent_at, outcome):
-        """A balancer opened a flow at a service or refused it; a version that may be applied must allow this."""
+        """A balancer opened or refused a flow; a version that may be applied must allow this."""
         self.counts["probes"] += 1
         is_undisturbed = self.disturbances.was_undisturbed(machine, sent_at)
         if outcome == "refused" and not is_undisturbed:
@@ -146,4 +147,5 @@
         min_version = self.acknowledged_before(sent_at - APPLY_LIMIT)
         versions = [routes for version, routes in self.sent_versions.items() if version >= min_version]
         if versions and all(frontend in routes for routes in versions):
-            self.report("CONFIG", f"{frontend} was refused although all versions from {min_version} have a route for it")
+            self.report("CONFIG", f"{frontend} was refused although all versions from {min_version} "
+                                  f"have a route for it")
--- a/tests/platform/soak/route_probes.py
+++ b/tests/platform/soak/route_probes.py
@@ -1,5 +1,6 @@
-"""Opens flows at each balancer on routes that were recently added or removed, and checks the outcome against
-the configuration versions that may be applied there. Ordinary clients use routes that never change."""
+"""Opens flows at each balancer on routes that were recently added or removed, and checks the
+outcome against the configuration versions that may be applied there. Ordinary clients use routes
+that never change."""
 
 import asyncio
 
--- a/tests/platform/soak/router.py
+++ b/tests/platform/soak/router.py
@@ -1,4 +1,4 @@
-"""The router of the platform: checks the readiness of balancers and hashes flows over the ready ones."""
+"""The router of the platform: checks readiness and hashes flows over the ready balancers."""
 
 import asyncio
 import zlib
@@ -30,7 +30,7 @@
         return self.failed_probes.get(machine.ip, UNHEALTHY_THRESHOLD) < UNHEALTHY_THRESHOLD
 
     def choose(self, zone, source, destination):
-        """Returns the balancer address for a flow: rendezvous hashing over the ready balancers, own zone first."""
+        """Returns the balancer for a flow: rendezvous hashing over ready ones, own zone first."""
         zones = [zone] + [other for other in self.world.zones if other != zone]
         for candidate in zones:
             machines = [m for m in self.world.balancers if m.zone == candidate]
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Runs the platform programs as real processes under randomly injected faults, and checks the rules of the
-platform as clients, targets and the operator observe them.
+"""Runs the platform programs as real processes under randomly injected faults, and checks the rules
+of the platform as clients, targets and the operator observe them.
 
-    tests/platform/soak/soak.py --runs 4 --seconds 40           # random seeds
-    tests/platform/soak/soak.py --seed 17                       # one seed
-    tests/platform/soak/soak.py --planned                       # planned changes only: no request may fail
-    tests/platform/soak/soak.py --storm                         # bursts of changes with one fault at a time
-    tests/platform/soak/soak.py --zones                         # evacuations with isolated zones and other faults
-    tests/platform/soak/soak.py --known                         # the seeds in known_seeds.txt
+    tests/platform/soak/soak.py --runs 4 --seconds 40   # random seeds
+    tests/platform/soak/soak.py --seed 17               # one seed
+    tests/platform/soak/soak.py --planned               # planned changes only: no request may fail
+    tests/platform/soak/soak.py --storm                 # bursts of changes, one fault at a time
+    tests/platform/soak/soak.py --zones                 # evacuations, isolated zones, other faults
+    tests/platform/soak/soak.py --known                 # the seeds in known_seeds.txt
 
 Needs about 10 processes and 100 MB with two balancers per zone.
 """
@@ -75,7 +75,7 @@
 
 
 async def run_evacuations(world, until):
-    """Evacuates and restores one zone after the other. The last evacuation may last until the end."""
+    """Evacuates and restores random zones. The last evacuation may last until the end."""
     evacuations = world.evacuations
     while now() < until and "evacuations" not in world.excluded_actions:
         await asyncio.sleep(world.random.uniform(0.5, EVACUATION_PAUSE))
@@ -146,7 +146,7 @@
 
 
 def run(seed, arguments):
-    """Runs one seed. Returns True without violations; otherwise keeps the directory with the logs."""
+    """Runs one seed. Returns True without violations, else keeps the logs."""
     directory = pathlib.Path(arguments.folder) / f"seed-{seed}"
     shutil.rmtree(directory, ignore_errors=True)
     directory.mkdir(parents=True)
--- a/tests/platform/soak/streams.py
+++ b/tests/platform/soak/streams.py
@@ -1,4 +1,4 @@
-"""Reliable byte streams over the packets of a flow: sender with retransmission, receiver with reordering."""
+"""Reliable byte streams over packets: sender with retransmission, receiver with reordering."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 class Sender:
     """Sends data with up to WINDOW packets in flight, and retransmits until it is acknowledged.
 
-    `write` takes the data of one packet and its sequence number. After `max_retransmissions` without progress
-    `on_timeout` is called; None retransmits until `stop`.
+    `write` takes the data of one packet and its sequence number. After `max_retransmissions`
+    without progress `on_timeout` is called; None retransmits until `stop`.
     """
 
     def __init__(self, seq, write, max_retransmissions=None, on_timeout=None):
@@ -75,7 +75,7 @@
 
 
 class Receiver:
-    """Puts data in order. Acknowledges every second packet, and at once each short packet and each duplicate."""
+    """Puts data in order. Acknowledges every second packet, short packets and duplicates."""
 
     def __init__(self, seq):
         self.receive_next = seq
--- a/tests/platform/soak/target.py
+++ b/tests/platform/soak/target.py
@@ -1,4 +1,4 @@
-"""A test target: accepts flows at a UDP address, executes requests, announces itself, drains and stops."""
+"""A test target: accepts flows over UDP, executes requests, announces itself and drains."""
 
 import asyncio
 import itertools
@@ -74,7 +74,7 @@
 
     # Announcements and shutdown.
     async def announce_forever(self):
-        # Checks the state as well: asyncio.wait_for loses a cancellation that coincides with its completion.
+        # Also checks the state: wait_for loses a cancellation that coincides with its completion.
         while self.state == "ready":
             await self.announce()
             await asyncio.sleep(ANNOUNCE_INTERVAL)
@@ -121,7 +121,7 @@
             self.sockets.send(packets.encode(packet), (packet.destination[0], self.world.datagram_port))
 
     def on_datagram(self, datagram, sender, at):
-        """Passes a datagram through the link of its balancer, or drops it when the path is unreachable."""
+        """Passes a datagram through the link of its balancer, or drops it."""
         zone = self.world.zone_of(sender)
         if not self.world.paths.is_open(zone, self.zone):
             packet = packets.decode(datagram[packets.TARGET_PREFIX.size:])
@@ -196,7 +196,7 @@
             flow.discard()
 
     async def run(self, flow, request, body):
-        """Executes a request. A draining target asks the client to close the flow with the response."""
+        """Executes a request. The response of a draining target asks to close the flow."""
         request_id = request["id"]
         if body != messages.body_of(request_id, len(body)):
             self.checker.report("UNASKED", f"the body of {request_id} was altered before it reached {self.name}")
--- a/tests/platform/soak/target_sockets.py
+++ b/tests/platform/soak/target_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets of a target: UDP for datagrams of balancers, with receive timestamps, and TCP for their probes."""
+"""The sockets of a target: UDP with receive timestamps, and TCP for probes of balancers."""
 
 import asyncio
 import socket
@@ -17,7 +17,7 @@
 
 
 class TargetSockets:
-    """Both sockets at one address. `on_datagram` takes the data, the sender's IP and the receive time."""
+    """Both sockets at one address. `on_datagram` takes data, sender IP and receive time."""
 
     def __init__(self, address, on_datagram):
         self.on_datagram = on_datagram
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -1,8 +1,8 @@
-"""Reads the applied configuration version and the evacuated zones from the metrics of each balancer, and checks
-how long it lags behind the newest acknowledged version.
+"""Reads the applied configuration version and the evacuated zones from the metrics of each
+balancer, and checks how long it lags behind the newest acknowledged version.
 
-Stricter than the rule of the platform: an undisturbed balancer must keep up even while replicas are disturbed,
-because a change is acknowledged only by a working majority.
+Stricter than the rule of the platform: an undisturbed balancer must keep up even while replicas are
+disturbed, because a change is acknowledged only by a working majority.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
         return response[2] if response is not None and response[0] == 200 else None
 
     def undisturbed_since(self):
-        """Time since which this balancer is undisturbed, regardless of the core; None during a disturbance."""
+        """Time since which this balancer is undisturbed, without regard to the core."""
         return self.world.disturbances.since(self.machine.name, with_core=False)
 
     async def run_forever(self):
@@ -48,7 +48,8 @@
             metrics = await self.metrics()
             if metrics is not None and self.world.router.is_in_rotation(self.machine):
                 self.check_version(metric_value(metrics, VERSION_METRIC), asked_at)
-                self.world.evacuations.on_evacuated_count(self.machine, metric_value(metrics, EVACUATED_ZONES_METRIC), asked_at)
+                self.world.evacuations.on_evacuated_count(
+                    self.machine, metric_value(metrics, EVACUATED_ZONES_METRIC), asked_at)
             await asyncio.sleep(INTERVAL * self.world.slowness)
 
     def check_version(self, applied_version, asked_at):
@@ -62,7 +63,7 @@
         self.longest_lag = max(self.longest_lag, lag)
         if lag > APPLY_LIMIT and self.reported_version != applied_version:
             self.reported_version = applied_version
-            self.world.checker.report("CONFIG", f"{self.machine.name} still applies version {applied_version}, {lag:.2f} s after "
-                                                f"a newer one was acknowledged, "
+            self.world.checker.report("CONFIG", f"{self.machine.name} still applies version {applied_version}, "
+                                                f"{lag:.2f} s after a newer one was acknowledged, "
                                                 f"{now() - self.world.start_time:.1f} s after the start")
 
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -83,7 +83,7 @@
         return f"127.{self.network}.{group}.{number}"
 
     def make_control(self, zone):
-        """Creates a replica that binds its internal port at a private address behind the fault proxy."""
+        """Creates a replica whose internal port is behind the fault proxy."""
         number = next(self.numbers)
         machine = Machine(self, "control", f"control-{number}", zone, self.ip(21, number), self.ip(20, number))
         self.all_machines.append(machine)
@@ -230,7 +230,8 @@
         while True:
             for machine in self.machines:
                 if machine.exited_unexpectedly():
-                    self.checker.report("FAULT", f"{machine.name} exited unexpectedly with code {machine.popen.returncode}")
+                    self.checker.report("FAULT", f"{machine.name} exited unexpectedly "
+                                                 f"with code {machine.popen.returncode}")
                     machine.start()
             await asyncio.sleep(0.2)
 
@@ -249,8 +250,8 @@
 
     @staticmethod
     async def cancel_tasks(time_limit=0.5):
-        """Cancels repeatedly until all tasks have ended: `asyncio.wait_for` loses a cancellation that
-        coincides with its completion."""
+        """Cancels repeatedly until all tasks have ended: `asyncio.wait_for` loses a cancellation
+        that coincides with its completion."""
         while tasks := asyncio.all_tasks() - {asyncio.current_task()}:
             for task in tasks:
                 task.cancel()
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -14,8 +14,8 @@
     last_served: float
     # The longest time without a response for any client of the zone, in seconds.
     longest_outage: float = 0.0
-    # Flows that balancers opened across the cut: from the zone, into the zone, and the time of the last one in
-    # seconds after the start.
+    # Flows that balancers opened across the cut: from the zone, into the zone, and the time of the
+    # last one in seconds after the start.
     openings_out: int = 0
     openings_in: int = 0
     last_opening_after: float = 0.0
@@ -34,9 +34,9 @@
             self.openings_in += 1
 
     def __str__(self):
-        return (f"{self.zone} was isolated for {now() - self.started_at:.2f} s: {self.openings_out} opening packets out "
-                f"of it and {self.openings_in} into it, the last after {self.last_opening_after:.2f} s; longest time "
-                f"without a response for its clients: {self.longest_outage:.2f} s")
+        return (f"{self.zone} was isolated for {now() - self.started_at:.2f} s: {self.openings_out} opening packets "
+                f"out of it and {self.openings_in} into it, the last after {self.last_opening_after:.2f} s; "
+                f"longest time without a response for its clients: {self.longest_outage:.2f} s")
 
 
 class ZonePaths:
@@ -59,7 +59,7 @@
         return cut
 
     def is_open(self, one, other):
-        """True when two zones can reach each other. None stands for a place outside of all zones."""
+        """True when two zones can reach each other. None is a place outside of all zones."""
         return one == other or None in (one, other) or not (one in self.cuts or other in self.cuts)
 
     def is_undisturbed(self, one, other):
--- a/tests/platform/test_announcements.py
+++ b/tests/platform/test_announcements.py
@@ -1,4 +1,4 @@
-"""Target announcements with real processes: at any replica, across incarnations, and with invalid input."""
+"""Target announcements with real processes: any replica, new incarnations, invalid input."""
 
 import json
 import sys
@@ -45,7 +45,8 @@
         for number, ip in enumerate(self.replicas, start=0xb0):
             status, _, location = self.announce(ip, 1, target=f"i-{number:016x}")
             self.assertEqual((status, location), (200, ""))
-        self.wait_until("the balancer knows all targets", lambda: self.metric(self.balancer, "targets") == 1 + len(self.replicas))
+        self.wait_until("the balancer knows all targets",
+                        lambda: self.metric(self.balancer, "targets") == 1 + len(self.replicas))
         for number, ip in enumerate(reversed(self.replicas), start=0xb0):
             status, _, location = call("DELETE", f"http://{ip}:{CONTROL_PORT}/-/instances/i-{number:016x}")
             self.assertEqual((status, location), (200, ""))
@@ -97,7 +98,8 @@
         self.kill(leader)
         for number, ip in enumerate(others, start=0xc0):
             self.wait_until_acknowledged(lambda ip=ip, number=number: self.announce(ip, 1, target=f"i-{number:016x}"))
-        self.wait_until("the balancer knows all targets", lambda: self.metric(self.balancer, "targets") == 1 + len(others))
+        self.wait_until("the balancer knows all targets",
+                        lambda: self.metric(self.balancer, "targets") == 1 + len(others))
 
 
 if __name__ == "__main__":
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -13,7 +13,7 @@
     network = "127.93"
 
     def send_command(self, method, zone):
-        """Sends a command to the replicas in turn, following redirects. Returns status and body of the decision."""
+        """Sends a command to the replicas in turn. Returns status and body of the decision."""
         deadline = time.monotonic() + TIMEOUT
         attempt = 0
         url = None
--- a/tests/platform/test_soak_parts.py
+++ b/tests/platform/test_soak_parts.py
@@ -138,7 +138,8 @@
             self.addCleanup(patch.stop)
         self.disturbances = Disturbances()
         self.checker = RuleChecker(self.disturbances)
-        world = types.SimpleNamespace(checker=self.checker, disturbances=self.disturbances, start_time=0.0, zones=("a", "b"))
+        world = types.SimpleNamespace(checker=self.checker, disturbances=self.disturbances, start_time=0.0,
+                                      zones=("a", "b"))
         self.evacuations = evacuations.Evacuations(world)
         self.evacuations.evacuated_since["a"] = self.evacuations.changed_at = self.time
         self.evacuations.maybe_evacuated.add("a")
