--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -19,8 +19,7 @@
 
 
 def run_load(fleet, first, second, drained, seconds):
-    """Returns the client results, the target records, and how long the drained target received new
-    work."""
+    """Returns client results, target records, and how long the drained target got new work."""
     load = {"seconds": seconds, "pause_ms": 100}
     mixed = fleet.start_clients("mixed", first, 21000, feeds=60, updates=40, lookups=40, **load)
     bulk = fleet.start_clients("bulk", second, 22000, downloads=20, **load)
--- a/scripts/endurance.py
+++ b/scripts/endurance.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Runs an example deployment as real processes for some minutes under changes and failures, and
-writes a report with plots. The invariants of the simulation must hold; flows may break only after a
-failure.
+writes a report with plots. The invariants of the simulation must hold; only failures may break
+flows.
 
     scripts/endurance.py --seconds=180 --seed=1 [--planned] mu-north
 """
--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -65,7 +65,7 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.bind(parse_address(public))
         sock.setblocking(False)
-        self._watch(sock, lambda: self._datagram(sock, public, private))
+        self._watch(sock, lambda: self._forward_datagram(sock, public, private))
 
     def start(self):
         self.thread.start()
@@ -110,7 +110,7 @@
     def _is_cut(self, sender, receiver):
         return self.cuts[sender, receiver] > 0
 
-    def _datagram(self, sock, public, private):
+    def _forward_datagram(self, sock, public, private):
         try:
             data, _ = sock.recvfrom(65536)
         except OSError:
--- a/tests/platform/soak/contact.py
+++ b/tests/platform/soak/contact.py
@@ -1,5 +1,4 @@
-"""Tracks which machines were disturbed recently. Rules with a time limit apply only to the
-others.
+"""Tracks disturbances of machines. Rules with a time limit apply only to undisturbed ones.
 
 A machine is undisturbed when for SETTLE_TIME seconds no fault affected it, its links or the core.
 The core is the set of control replicas and their connections; a fault in another balancer does not
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -51,8 +51,7 @@
         return True
 
     async def restore(self, zone):
-        """Returns True when the command was acknowledged. Flows are allowed from the first call
-        on."""
+        """Returns True when acknowledged. Flows are allowed again from the first call on."""
         self.evacuated_since.pop(zone, None)
         started_at = now()
         outcome = Outcome.UNKNOWN
--- a/tests/platform/soak/link_faults.py
+++ b/tests/platform/soak/link_faults.py
@@ -69,7 +69,7 @@
 
     async def cut_zone(self):
         """Isolates a zone: its machines and targets reach no other zone, its clients still reach
-        its balancers. Never together with a lost disk, which is outside of the fault model."""
+        its balancers. Not combined with a lost disk: the fault model excludes both at once."""
         zone = self.random.choice(self.world.zones)
         async with self.control_lock:
             with contextlib.ExitStack() as stack:
--- a/tests/platform/soak/source_filter.py
+++ b/tests/platform/soak/source_filter.py
@@ -7,8 +7,7 @@
 SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27
 INSTRUCTION = struct.Struct("HBBI")
 PROGRAM = struct.Struct("HL")
-# Opcodes: load a word, jump if equal, return. The offset selects the source address in the IPv4
-# header.
+# Opcodes: load a word, jump if equal, return. SOURCE_ADDRESS is the offset in the IPv4 header.
 LOAD, JUMP_IF_EQUAL, RETURN = 0x20, 0x15, 0x06
 SOURCE_ADDRESS = 0xFFF00000 + 12
 ACCEPT, DROP = 0xFFFFFFFF, 0
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -14,8 +14,8 @@
     last_served: float
     # The longest time without a response for any client of the zone, in seconds.
     longest_outage: float = 0.0
-    # Flows that balancers opened across the cut: from the zone, into the zone, and the time of the
-    # last one in seconds after the start.
+    # Opening packets that balancers sent across the cut, by direction, and the time of the last one
+    # in seconds after the start.
     openings_out: int = 0
     openings_in: int = 0
     last_opening_after: float = 0.0
