--- a/tests/integration/test_planned_changes.py
+++ b/tests/integration/test_planned_changes.py
@@ -47,7 +47,7 @@
         time.sleep(1)
         code, output = self.fleet.run_cli("evacuate", "zone-b")
         self.assertEqual(code, 0, output)
-        ordered_at = time.monotonic()
+        evacuated_at = time.monotonic()
         since = self.status()["evacuated_zones"][0]["since_revision"]
         code, output = self.fleet.run_cli("evacuate", "zone-b")
         self.assertEqual(code, 0, output)
@@ -62,12 +62,12 @@
         results = [self.fleet.client_result(process, 60) for process in clients]
         self.check_invariants(results)
         self.check_no_disruption(results)
-        since_order_ms = (time.monotonic() - ordered_at) * 1000
+        since_evacuation_ms = (time.monotonic() - evacuated_at) * 1000
         records = self.fleet.target_records()
         # Targets 1 and 4 of the service are in zone-b.
         for name in ("main-1", "main-4"):
-            after_order_ms = since_order_ms - records[name]["last_new_work_ms_ago"]
-            self.assertLess(after_order_ms, 3000)
+            after_evacuation_ms = since_evacuation_ms - records[name]["last_new_work_ms_ago"]
+            self.assertLess(after_evacuation_ms, 3000)
 
         code, output = self.fleet.run_cli("evacuate", "zone-c")
         self.assertEqual(code, 0, output)
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -44,7 +44,7 @@
     async def evacuate(self, zone):
         """Returns True when the command was acknowledged."""
         self.maybe_evacuated.add(zone)
-        if await self._order("POST", zone) != Outcome.ACKNOWLEDGED:
+        if await self._send_command("POST", zone) != Outcome.ACKNOWLEDGED:
             return False
         self.evacuated_since[zone] = self.changed_at = now()
         self.world.checker.counts["evacuations"] += 1
@@ -56,14 +56,14 @@
         started_at = now()
         outcome = Outcome.UNKNOWN
         while outcome == Outcome.UNKNOWN and now() - started_at < RESTORE_TIMEOUT:
-            outcome = await self._order("DELETE", zone)
+            outcome = await self._send_command("DELETE", zone)
         if outcome == Outcome.ACKNOWLEDGED:
             self.maybe_evacuated.discard(zone)
             self.changed_at = now()
             self.world.checker.counts["zones restored"] += 1
         return outcome == Outcome.ACKNOWLEDGED
 
-    async def _order(self, method, zone):
+    async def _send_command(self, method, zone):
         """Sends a command, with retries for up to ACKNOWLEDGE_LIMIT seconds."""
         checker, random = self.world.checker, self.world.random
         started_at, pause, responses_lost = now(), INITIAL_BACKOFF, False
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -103,20 +103,20 @@
     async def wipe_control(self):
         """Deletes the disk of one replica, only when all others have caught up."""
         async with self.control_lock:
-            if await self.world.wait_control(10):
+            if await self.world.wait_control_ready(10):
                 machine = self.random.choice(self.world.controls)
                 async with self.locked(machine):
                     machine.kill()
                     machine.lose_disk()
                     await asyncio.sleep(self.random.uniform(0.1, 2))
                     machine.start()
-                await self.world.wait_control(20)
+                await self.world.wait_control_ready(20)
                 await asyncio.sleep(CATCH_UP_TIME)
 
     async def replace_control(self):
         """Replaces a replica by an empty one at another address, and updates all seeds."""
         async with self.control_lock:
-            if not await self.world.wait_control(10):
+            if not await self.world.wait_control_ready(10):
                 return
             old = self.random.choice(self.world.controls)
             new = self.world.make_control(old.zone)
@@ -126,7 +126,7 @@
                 await asyncio.sleep(self.random.uniform(0.5, 2))
                 new.start()
             await self.new_settings()
-            await self.world.wait_control(20)
+            await self.world.wait_control_ready(20)
             await asyncio.sleep(CATCH_UP_TIME)
 
     async def lose_all_disks(self):
--- a/tests/platform/soak/operator_calls.py
+++ b/tests/platform/soak/operator_calls.py
@@ -25,7 +25,7 @@
         self.extra_routes = []
         self.all_extra_routes = []
         self.response_loss = 0.0
-        self.counter = 0
+        self.route_counter = 0
 
     def routes(self):
         """Returns the services that each frontend may use."""
@@ -60,9 +60,9 @@
     def change(self):
         """Changes the extra routes and increases the version."""
         self.version += self.world.random.randint(1, 3)
-        self.counter += 1
+        self.route_counter += 1
         self.extra_routes = self.extra_routes[1:] if len(self.extra_routes) > 3 else self.extra_routes
-        added = (EXTRA_HOST, FIRST_EXTRA_ROUTE + self.counter)
+        added = (EXTRA_HOST, FIRST_EXTRA_ROUTE + self.route_counter)
         self.extra_routes = self.extra_routes + [added]
         self.all_extra_routes.append(added)
 
--- a/tests/platform/soak/route_probes.py
+++ b/tests/platform/soak/route_probes.py
@@ -53,7 +53,7 @@
     async def probe_routes_forever(self, machine):
         """Probes one balancer until cancelled."""
         while True:
-            await asyncio.sleep(INTERVAL * self.world.slowness * (0.5 + self.world.random.random()))
+            await asyncio.sleep(INTERVAL * self.world.interval_factor * (0.5 + self.world.random.random()))
             routes = self.world.operator.recent_routes(RECENT_ROUTES)
             if routes and self.world.router.is_in_rotation(machine):
                 self.world.spawn(self.probe_route(machine, self.world.random.choice(routes)))
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -84,8 +84,8 @@
             continue
         print(f"{now() - world.start_time:7.1f} s  evacuation of {zone}", flush=True)
         await evacuations.evacuate(zone)
-        lasts = world.random.uniform(EVACUATION_LIMIT, LONGEST_EVACUATION)
-        await asyncio.sleep(max(0.0, min(lasts, until - now())))
+        duration = world.random.uniform(EVACUATION_LIMIT, LONGEST_EVACUATION)
+        await asyncio.sleep(max(0.0, min(duration, until - now())))
         if now() >= until and world.random.random() < FINAL_EVACUATION_SHARE:
             return
         print(f"{now() - world.start_time:7.1f} s  restoring {zone}", flush=True)
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -50,7 +50,7 @@
                 self.check_version(metric_value(metrics, VERSION_METRIC), asked_at)
                 self.world.evacuations.on_evacuated_count(
                     self.machine, metric_value(metrics, EVACUATED_ZONES_METRIC), asked_at)
-            await asyncio.sleep(INTERVAL * self.world.slowness)
+            await asyncio.sleep(INTERVAL * self.world.interval_factor)
 
     def check_version(self, applied_version, asked_at):
         if applied_version is None:
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -76,7 +76,7 @@
         self.zones_by_ip.update({machine.ip: machine.zone for machine in self.balancers})
         self.links = {machine.ip: LinkShaper(float(self.link_rate)) for machine in self.balancers}
         # Factor for polling intervals: this program has one thread for all balancers.
-        self.slowness = balancers_per_zone / BALANCERS_PER_ZONE
+        self.interval_factor = balancers_per_zone / BALANCERS_PER_ZONE
         self.version_watches = [VersionWatch(self, machine) for machine in self.balancers]
 
     def ip(self, group, number):
@@ -239,7 +239,7 @@
         response = await http_call.request_with_redirects(address, "GET", "/-/config")
         return response is not None and response[0] == 200
 
-    async def wait_control(self, time_limit):
+    async def wait_control_ready(self, time_limit):
         """Waits until every replica serves reads. Returns False after `time_limit` seconds."""
         started_at = now()
         while now() - started_at < time_limit:
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -80,7 +80,7 @@
             self.cuts[zone].on_served()
 
     def summary(self):
-        placed = max((cut.last_opening_after for cut in self.past_cuts), default=0.0)
+        last_opening = max((cut.last_opening_after for cut in self.past_cuts), default=0.0)
         waited = max((cut.longest_outage for cut in self.past_cuts), default=0.0)
-        return (f"{len(self.past_cuts)} isolated zones, last opening packet across after {placed:.2f} s, "
+        return (f"{len(self.past_cuts)} isolated zones, last opening packet across after {last_opening:.2f} s, "
                 f"at most {waited:.2f} s without a response")
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -47,13 +47,13 @@
     def test_an_order_holds_after_a_replica_lost_its_disk_and_another_one_is_gone(self):
         self.assertEqual(self.send_command("POST", "zone-b")[0], 200)
         self.wait_for_evacuated(1)
-        wiped, gone = self.replicas[0], self.replicas[1]
+        wiped, killed = self.replicas[0], self.replicas[1]
         self.kill(wiped)
         shutil.rmtree(self.data_directory(wiped))
         self.start(wiped)
         self.wait_until("the wiped replica is a member again", lambda: self.metric(wiped, "replicas") == 3)
         self.wait_for_evacuated(1)
-        self.kill(gone)
+        self.kill(killed)
         self.assertEqual(self.send_command("POST", "zone-b")[0], 200)
         self.wait_for_evacuated(1, (wiped, self.replicas[2], self.balancer))
 
--- a/tests/platform/test_soak_parts.py
+++ b/tests/platform/test_soak_parts.py
@@ -37,10 +37,10 @@
 
     def test_paced_packets_pass_at_the_rate_of_the_link(self):
         link = LinkShaper(2.0)
-        time_of_one = FULL_PACKET_BYTES / 250_000
-        departures = [link.departure(FULL_PACKET_BYTES, i * time_of_one) for i in range(100)]
+        transmission_time = FULL_PACKET_BYTES / 250_000
+        departures = [link.departure(FULL_PACKET_BYTES, i * transmission_time) for i in range(100)]
         self.assertNotIn(None, departures)
-        self.assertAlmostEqual(departures[-1], 100 * time_of_one)
+        self.assertAlmostEqual(departures[-1], 100 * transmission_time)
 
 
 class StreamsTest(unittest.IsolatedAsyncioTestCase):
