--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -63,7 +63,6 @@
         self.longest_lag = max(self.longest_lag, lag)
         if lag > APPLY_LIMIT and self.reported_version != applied_version:
             self.reported_version = applied_version
-            self.world.checker.report("CONFIG", f"{self.machine.name} still applies version {applied_version}, "
-                                                f"{lag:.2f} s after a newer one was acknowledged, "
+            self.world.checker.report("CONFIG", f"{self.machine.name} lags by {lag:.2f} s with version {applied_version}, "
                                                 f"{now() - self.world.start_time:.1f} s after the start")
 
