--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -45,7 +45,7 @@
         self.delay = 0.0
         self.delayed = []
         self.delay_sequence = itertools.count()
-        self.connections = []
+        self.pairs = []
         self.datagram_loss = 0.0
         self.datagram_duplication = 0.0
         self.dropped = 0
@@ -88,14 +88,14 @@
 
     def reset_connections(self, addresses):
         """Resets all TCP connections to and from processes with these public addresses."""
-        for connection in list(self.connections):
+        for connection in list(self.pairs):
             if connection.public in addresses or connection.client_address in addresses:
                 connection.reset_requested = True
 
     def silence_connections(self, share, direction):
         """Drops all further data of a random share of the open connections, which stay open. The
         direction is `up` (from the client), `down` or `both`."""
-        for connection in list(self.connections):
+        for connection in list(self.pairs):
             if self.random.random() < share:
                 connection.silenced_directions = {"up", "down"} if direction == "both" else {direction}
 
@@ -133,8 +133,8 @@
         except OSError:
             client.close()
             return
-        connection = ProxiedConnection(self, client, server, public)
-        self.connections.append(connection)
+        connection = Pair(self, client, server, public)
+        self.pairs.append(connection)
         for sock in (client, server):
             sock.setblocking(False)
             self._watch(sock, lambda sock=sock, connection=connection: connection.on_readable(sock))
@@ -160,11 +160,11 @@
             for key, _ in self.selector.select(wait):
                 key.data()
             self._run_delayed()
-            for connection in [connection for connection in self.connections if connection.reset_requested]:
+            for connection in [connection for connection in self.pairs if connection.reset_requested]:
                 connection.reset()
 
 
-class ProxiedConnection:
+class Pair:
     """A connection from a client to one process, forwarded frame by frame."""
 
     def __init__(self, proxy, client, server, public):
@@ -234,7 +234,7 @@
 
     def close(self):
         self.closed = True
-        if self in self.proxy.connections:
-            self.proxy.connections.remove(self)
+        if self in self.proxy.pairs:
+            self.proxy.pairs.remove(self)
         for sock in self.peer:
             self.proxy.close_socket(sock)
--- a/tests/platform/soak/caller.py
+++ b/tests/platform/soak/caller.py
@@ -78,7 +78,7 @@
         await asyncio.wait({self.opened, self.ended}, timeout=max(0.0, started_at + OPENING_TIMEOUT - now()),
                            return_when=asyncio.FIRST_COMPLETED)
         if self.ended.done() and not self.opened.done() and self.ended.result() == "system":
-            self.client.world.checker.on_refused_route(self.frontend, started_at)
+            self.client.world.promises.on_refused_route(self.frontend, started_at)
         return self.opened.done() and not self.ended.done()
 
     def on_packet(self, packet, sender):
@@ -110,7 +110,7 @@
             world = self.client.world
             holder = world.holder_of(self.key)
             if holder is None or world.paths.is_undisturbed(world.zone_of(sender), holder.zone):
-                world.checker.on_client_reset(self.key, self.frontend, holder)
+                world.promises.on_client_reset(self.key, self.frontend, holder)
         if not self.ended.done():
             self.ended.set_result("system" if by_system else "target")
         self.sender.stop()
@@ -173,10 +173,10 @@
             return
         packet = packets.decode(datagram)
         if packet is None:
-            self.world.checker.on_corrupted_packet(self.ip, packet)
+            self.world.promises.on_corrupted_packet(self.ip, packet)
             return
         if not packet.is_balancer_reset() and not packets.has_valid_checksum(packet):
-            self.world.checker.on_corrupted_packet(self.ip, packet)
+            self.world.promises.on_corrupted_packet(self.ip, packet)
             return
         flow = self.flows.get(packet.destination[1])
         if flow is not None and packet.source == flow.frontend:
@@ -232,10 +232,10 @@
             return False, None
         head, response_body = response
         if head["id"] != request_id or response_body != messages.body_of(request_id, kind.size):
-            self.world.checker.report("MIXED", f"{request_id} got the response to {head['id']}")
+            self.world.promises.report("MIXED", f"{request_id} got the response to {head['id']}")
         if (head["got"], head["digest"]) != (len(body), messages.digest(body)):
-            self.world.checker.report("MIXED", f"{request_id} sent {len(body)} bytes, "
-                                               f"the target received {head['got']}")
+            self.world.promises.report("MIXED", f"{request_id} sent {len(body)} bytes, "
+                                                f"the target received {head['got']}")
         if head["closes"]:
             flow.close()
             flow = None
@@ -243,7 +243,7 @@
 
     def record_result(self, kind, done, started_at, flows):
         """Records the outcome of a request; for a failed one, also packet drops on its flows."""
-        self.world.checker.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
+        self.world.promises.counts[f"{kind.name} {'served' if done else 'failed'}"] += 1
         if done:
             self.world.paths.on_served(self.zone)
             return
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -47,7 +47,7 @@
         if await self._send_command("POST", zone) != Outcome.ACKNOWLEDGED:
             return False
         self.evacuated_since[zone] = self.changed_at = now()
-        self.world.checker.counts["evacuations"] += 1
+        self.world.promises.counts["evacuations"] += 1
         return True
 
     async def restore(self, zone):
@@ -60,19 +60,18 @@
         if outcome == Outcome.ACKNOWLEDGED:
             self.maybe_evacuated.discard(zone)
             self.changed_at = now()
-            self.world.checker.counts["zones restored"] += 1
+            self.world.promises.counts["zones restored"] += 1
         return outcome == Outcome.ACKNOWLEDGED
 
     async def _send_command(self, method, zone):
         """Sends a command, with retries for up to ACKNOWLEDGE_LIMIT seconds."""
-        checker, random = self.world.checker, self.world.random
+        checker, random = self.world.promises, self.world.random
         started_at, pause, responses_lost = now(), INITIAL_BACKOFF, False
         while now() - started_at < ACKNOWLEDGE_LIMIT:
             address = random.choice(self.world.control_addresses())
             lost = random.random() < self.world.operator.response_loss
             responses_lost = responses_lost or lost
-            response = await http_call.request_with_redirects(address, method, f"/-/evacuate/{zone}",
-                                                              discard_response=lost)
+            response = await http_call.following(address, method, f"/-/evacuate/{zone}", answer_is_lost=lost)
             if response is not None and 200 <= response[0] < 300:
                 return Outcome.ACKNOWLEDGED
             if response is not None and response[0] in REJECTION_STATUSES:
@@ -95,7 +94,7 @@
     # Checks of what targets and balancers report.
     def on_opening(self, target, machine, at):
         """Checks a SYN that a target received from a balancer."""
-        checker = self.world.checker
+        checker = self.world.promises
         self.last_opening[target.zone] = at
         since = self.evacuated_since.get(target.zone)
         if since is None or machine is None or at - since <= EVACUATION_LIMIT:
@@ -104,7 +103,7 @@
         if self.world.disturbances.was_undisturbed(machine.name, now()):
             checker.report("EVAC", f"{machine.name} opened a flow at {target.name} in {target.zone}, "
                                    f"{at - since:.1f} s after its evacuation was acknowledged, "
-                                   f"{now() - self.world.start_time:.1f} s after the start")
+                                   f"{now() - self.world.began:.1f} s after the start")
 
     def on_evacuated_count(self, machine, evacuated_count, asked_at):
         """Checks the number of evacuated zones in a balancer's metrics."""
@@ -113,16 +112,16 @@
         is_known = set(self.evacuated_since) == self.maybe_evacuated and asked_at - self.changed_at > EVACUATION_LIMIT
         if not is_known or not self.world.disturbances.was_undisturbed(machine.name, asked_at):
             return
-        self.world.checker.counts["checks of zones_evacuated"] += 1
+        self.world.promises.counts["checks of zones_evacuated"] += 1
         mismatch = (machine.name, self.changed_at)
         if evacuated_count != len(self.evacuated_since) and mismatch not in self.reported_mismatches:
             self.reported_mismatches.add(mismatch)
-            self.world.checker.report("EVAC", f"{machine.name} reports {evacuated_count} evacuated zones "
-                                              f"{asked_at - self.changed_at:.1f} s after the last command; expected: "
-                                              f"{sorted(self.evacuated_since)}")
+            self.world.promises.report("EVAC", f"{machine.name} reports {evacuated_count} evacuated zones "
+                                               f"{asked_at - self.changed_at:.1f} s after the last command; expected: "
+                                               f"{sorted(self.evacuated_since)}")
 
     def check_at_end(self, started_at):
         """Zones that are not evacuated must have received flows."""
         for zone in self.world.zones:
             if zone not in self.maybe_evacuated and self.last_opening.get(zone, 0.0) < started_at:
-                self.world.checker.report("EVAC", f"{zone} got no flow although no fault was active")
+                self.world.promises.report("EVAC", f"{zone} got no flow although no fault was active")
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -88,7 +88,7 @@
             while machine.is_running and now() - started_at < STOP_TIME:
                 await asyncio.sleep(0.05)
             if machine.is_running:
-                self.world.checker.report("FAULT", f"{machine.name} did not stop within {STOP_TIME} s")
+                self.world.promises.report("FAULT", f"{machine.name} did not stop within {STOP_TIME} s")
             machine.kill()
             machine.start()
 
--- a/tests/platform/soak/http_call.py
+++ b/tests/platform/soak/http_call.py
@@ -6,15 +6,15 @@
 MAX_REDIRECTS = 2
 
 
-async def request(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
+async def once(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
     """Returns status, Location and body; None on an error, a timeout or a malformed response."""
     try:
-        return await asyncio.wait_for(_call(address, method, path, body, discard_response), timeout)
+        return await asyncio.wait_for(_call(address, method, path, body, answer_is_lost), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
         return None
 
 
-async def _call(address, method, path, body, discard_response):
+async def _call(address, method, path, body, answer_is_lost):
     host, port = address.rsplit(":", 1)
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -24,7 +24,7 @@
         writer.write(head.encode() + raw)
         await writer.drain()
         response = await reader.read()
-        if discard_response:
+        if answer_is_lost:
             return None
         head, _, rest = response.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
@@ -34,10 +34,10 @@
         writer.close()
 
 
-async def request_with_redirects(address, method, path, body="", timeout=TIMEOUT, discard_response=False):
-    """Like `request`, but follows redirects with status 307."""
+async def following(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
+    """Like `once`, but follows redirects with status 307."""
     for _ in range(MAX_REDIRECTS + 1):
-        response = await request(address, method, path, body, timeout, discard_response)
+        response = await once(address, method, path, body, timeout, answer_is_lost)
         if response is None or response[0] != 307 or not response[1]:
             return response
         address, _, rest = response[1].removeprefix("http://").partition("/")
--- a/tests/platform/soak/operator_calls.py
+++ b/tests/platform/soak/operator_calls.py
@@ -73,18 +73,17 @@
     async def submit(self, time_limit=30.0):
         """Sends the current configuration, with retries. Returns True when it was acknowledged."""
         version, body = self.version, self.body(self.version)
-        self.world.checker.on_sent(version, self.routes())
+        self.world.promises.on_sent(version, self.routes())
         started_at, pause = now(), 0.1
         while now() - started_at < time_limit:
             address = self.world.random.choice(self.world.control_addresses())
             lost = self.world.random.random() < self.response_loss
-            response = await http_call.request_with_redirects(address, "PUT", "/-/config", body,
-                                                              discard_response=lost)
+            response = await http_call.following(address, "PUT", "/-/config", body, answer_is_lost=lost)
             if response is not None and response[0] == 200:
-                self.world.checker.on_acknowledged(version)
+                self.world.promises.on_acknowledged(version)
                 return True
             if response is not None and response[0] in (400, 409, 412, 413, 422):
-                self.world.checker.report("CONFIG", f"version {version} was rejected with status {response[0]}")
+                self.world.promises.report("CONFIG", f"version {version} was rejected with status {response[0]}")
                 return False
             await asyncio.sleep(pause)
             pause = min(2 * pause, 1.0)
@@ -108,14 +107,14 @@
         text = self.body(self.version + 1)
         for body in (text[:len(text) // 2], text.replace('"service": "archive"', '"service": "nobody"')):
             for address in self.world.control_addresses():
-                response = await http_call.request_with_redirects(address, "PUT", "/-/config", body)
+                response = await http_call.following(address, "PUT", "/-/config", body)
                 if response is not None and response[0] == 200:
-                    self.world.checker.report("CONFIG", "an invalid configuration was acknowledged")
+                    self.world.promises.report("CONFIG", "an invalid configuration was acknowledged")
 
     async def read(self, address):
         """Returns the version that a node reports; None when it does not reply."""
         sent_at = now()
-        response = await http_call.request_with_redirects(address, "GET", "/-/config")
+        response = await http_call.following(address, "GET", "/-/config")
         if response is None or response[0] != 200:
             return None
         config = json.loads(response[2])
@@ -123,7 +122,7 @@
         for route in config["routes"]:
             frontend = (route["host"], int(route["path_prefix"].strip("/")))
             routes[frontend] = {part["service"] for part in route.get("backends", [])} or {route["service"]}
-        self.world.checker.on_read(sent_at, config["version"], routes)
+        self.world.promises.on_read(sent_at, config["version"], routes)
         return config["version"]
 
     async def read_forever(self):
@@ -137,7 +136,7 @@
         while now() - started_at < time_limit:
             for address in self.world.control_addresses():
                 version = await self.read(address)
-                if version is not None and version >= self.world.checker.acknowledged_before(now() - APPLY_LIMIT):
+                if version is not None and version >= self.world.promises.acknowledged_before(now() - APPLY_LIMIT):
                     return
             await asyncio.sleep(0.3)
-        self.world.checker.report("CONFIG", "no node returned the newest acknowledged version at the end")
+        self.world.promises.report("CONFIG", "no node returned the newest acknowledged version at the end")
--- a/tests/platform/soak/route_probes.py
+++ b/tests/platform/soak/route_probes.py
@@ -73,4 +73,4 @@
         await asyncio.wait({outcome}, timeout=max(0.0, started_at + OPENING_TIMEOUT - now()))
         del self.outcomes[port]
         if outcome.done() and outcome.result() is not None:
-            self.world.checker.on_probe(machine.name, frontend, started_at, outcome.result())
+            self.world.promises.on_probe(machine.name, frontend, started_at, outcome.result())
--- a/tests/platform/soak/router.py
+++ b/tests/platform/soak/router.py
@@ -20,8 +20,8 @@
         """Checks the readiness of one balancer until cancelled."""
         self.failed_probes.setdefault(machine.ip, UNHEALTHY_THRESHOLD)
         while True:
-            response = await http_call.request(f"{machine.ip}:{self.world.readiness_port}", "GET", "/-/ready",
-                                          timeout=PROBE_INTERVAL)
+            response = await http_call.once(f"{machine.ip}:{self.world.readiness_port}", "GET", "/-/ready",
+                                            timeout=PROBE_INTERVAL)
             is_in_rotation = response is not None and response[0] == 200
             self.failed_probes[machine.ip] = 0 if is_in_rotation else self.failed_probes[machine.ip] + 1
             await asyncio.sleep(PROBE_INTERVAL)
--- a/tests/platform/soak/soak.py
+++ b/tests/platform/soak/soak.py
@@ -50,15 +50,15 @@
     """Runs random actions one after the other, with pauses."""
     while now() < until:
         action = world.random.choice([action for action in actions if action.__name__ not in world.excluded_actions])
-        print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
+        print(f"{now() - world.began:7.1f} s  {action.__name__}", flush=True)
         planned = action in faults.planned()
         if not planned:
-            world.checker.begin_fault()
+            world.promises.begin_fault()
         try:
             await action()
         finally:
             if not planned:
-                world.checker.end_fault()
+                world.promises.end_fault()
         is_long = world.random.random() < LONG_PAUSE_SHARE
         await asyncio.sleep(LONG_PAUSE if is_long else world.random.uniform(0.1, SHORT_PAUSE))
 
@@ -67,11 +67,11 @@
     """Injects one fault after the other, with pauses in which the system settles."""
     while now() < until - STORM_PAUSE:
         action = world.random.choice(faults.storm_faults())
-        print(f"{now() - world.start_time:7.1f} s  {action.__name__}", flush=True)
-        world.checker.begin_fault()
+        print(f"{now() - world.began:7.1f} s  {action.__name__}", flush=True)
+        world.promises.begin_fault()
         await action()
         await asyncio.sleep(STORM_PAUSE)
-        world.checker.end_fault()
+        world.promises.end_fault()
 
 
 async def run_evacuations(world, until):
@@ -82,13 +82,13 @@
         zone = world.random.choice(world.zones)
         if not evacuations.can_evacuate(zone):
             continue
-        print(f"{now() - world.start_time:7.1f} s  evacuation of {zone}", flush=True)
+        print(f"{now() - world.began:7.1f} s  evacuation of {zone}", flush=True)
         await evacuations.evacuate(zone)
         duration = world.random.uniform(EVACUATION_LIMIT, LONGEST_EVACUATION)
         await asyncio.sleep(max(0.0, min(duration, until - now())))
         if now() >= until and world.random.random() < FINAL_EVACUATION_SHARE:
             return
-        print(f"{now() - world.start_time:7.1f} s  restoring {zone}", flush=True)
+        print(f"{now() - world.began:7.1f} s  restoring {zone}", flush=True)
         await evacuations.restore(zone)
 
 
@@ -115,16 +115,17 @@
     await asyncio.sleep(CHECK_TIME)
     unserved = [failure for failure in world.failures if planned_only or failure[0] >= started_at]
     if unserved:
-        world.checker.report("RECOVER", f"{len(unserved)} requests failed although no fault was active: {unserved[:3]}")
+        world.promises.report("RECOVER", f"{len(unserved)} requests failed although no fault was active: "
+                                         f"{unserved[:3]}")
     for kind in REQUEST_KINDS:
-        if world.checker.counts[f"{kind.name} served"] == 0:
-            world.checker.report("RECOVER", f"no {kind.name} was served")
+        if world.promises.counts[f"{kind.name} served"] == 0:
+            world.promises.report("RECOVER", f"no {kind.name} was served")
     world.evacuations.check_at_end(started_at)
     await world.operator.read_at_end(10)
 
 
 async def run_scenario(world, arguments):
-    world.start_time = now()
+    world.began = now()
     await world.start()
     until = now() + arguments.seconds
     if arguments.storm:
@@ -166,19 +167,19 @@
     try:
         asyncio.run(act())
     except RuntimeError as error:
-        world.checker.report("START", str(error))
+        world.promises.report("START", str(error))
     finally:
         proxy.stop()
-    counts = ", ".join(f"{name} {count}" for name, count in sorted(world.checker.counts.items()))
+    counts = ", ".join(f"{name} {count}" for name, count in sorted(world.promises.counts.items()))
     max_lag = max(watch.longest_lag for watch in world.version_watches)
     counts += f"; longest configuration lag {max_lag:.2f} s"
     counts += f"; {world.paths.summary()}"
     dropped = sum(link.dropped for link in world.links.values())
     passed = sum(link.passed for link in world.links.values())
     counts += f"; links of {world.link_rate} Mbit/s dropped {dropped} of {passed + dropped}"
-    violation_count = len(world.checker.violations)
+    violation_count = len(world.promises.violations)
     print(f"seed {seed}, {controls} replicas: {violation_count} violations; {counts}", flush=True)
-    (directory / "violations").write_text("\n".join(world.checker.violations) + "\n")
+    (directory / "violations").write_text("\n".join(world.promises.violations) + "\n")
     if violation_count == 0 and not arguments.keep_logs:
         shutil.rmtree(directory)
     return violation_count == 0
--- a/tests/platform/soak/target.py
+++ b/tests/platform/soak/target.py
@@ -49,7 +49,7 @@
 
     def __init__(self, world, service, address, zone):
         self.world = world
-        self.checker = world.checker
+        self.checker = world.promises
         self.service = service
         self.address = address
         self.zone = zone
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -34,8 +34,8 @@
         self.reported_version = None
 
     async def metrics(self):
-        response = await http_call.request(f"{self.machine.ip}:{self.world.readiness_port}", "GET", "/metrics",
-                                      timeout=RESPONSE_TIMEOUT)
+        response = await http_call.once(f"{self.machine.ip}:{self.world.readiness_port}", "GET", "/metrics",
+                                        timeout=RESPONSE_TIMEOUT)
         return response[2] if response is not None and response[0] == 200 else None
 
     def undisturbed_since(self):
@@ -55,7 +55,7 @@
     def check_version(self, applied_version, asked_at):
         if applied_version is None:
             return
-        missing = [at for at, version in self.world.checker.acknowledged if version > applied_version]
+        missing = [at for at, version in self.world.promises.acknowledged if version > applied_version]
         undisturbed = self.undisturbed_since()
         if not missing or undisturbed is None:
             return
@@ -63,6 +63,6 @@
         self.longest_lag = max(self.longest_lag, lag)
         if lag > APPLY_LIMIT and self.reported_version != applied_version:
             self.reported_version = applied_version
-            self.world.checker.report("CONFIG", f"{self.machine.name} lags by {lag:.2f} s with version {applied_version}, "
-                                                f"{now() - self.world.start_time:.1f} s after the start")
+            self.world.promises.report("CONFIG", f"{self.machine.name} lags by {lag:.2f} s with version "
+                                                 f"{applied_version}, {now() - self.world.began:.1f} s after the start")
 
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -46,7 +46,7 @@
         self.proxy = proxy
         self.zones = ZONES
         self.disturbances = Disturbances()
-        self.checker = RuleChecker(self.disturbances)
+        self.promises = RuleChecker(self.disturbances)
         self.router = Router(self)
         self.operator = Operator(self)
         self.evacuations = Evacuations(self)
@@ -122,7 +122,7 @@
         return self.proxy.cut(*sides)
 
     def end_cut(self, zone, cut):
-        print(f"{now() - self.start_time:7.1f} s  {self.paths.end_cut(zone)}", flush=True)
+        print(f"{now() - self.began:7.1f} s  {self.paths.end_cut(zone)}", flush=True)
         self.update_target_filters()
         self.proxy.heal(cut)
 
@@ -215,7 +215,7 @@
             started_at = now()
             await asyncio.sleep(interval)
             if now() - started_at > interval + MAX_LOOP_STALL:
-                self.checker.counts["event loop stalls"] += 1
+                self.promises.counts["event loop stalls"] += 1
                 self.disturbances.record(Disturbances.ALL)
 
     async def wait_ready(self, time_limit=20.0):
@@ -230,13 +230,13 @@
         while True:
             for machine in self.machines:
                 if machine.exited_unexpectedly():
-                    self.checker.report("FAULT", f"{machine.name} exited unexpectedly "
-                                                 f"with code {machine.popen.returncode}")
+                    self.promises.report("FAULT", f"{machine.name} exited unexpectedly "
+                                                  f"with code {machine.popen.returncode}")
                     machine.start()
             await asyncio.sleep(0.2)
 
     async def is_serving(self, address):
-        response = await http_call.request_with_redirects(address, "GET", "/-/config")
+        response = await http_call.following(address, "GET", "/-/config")
         return response is not None and response[0] == 200
 
     async def wait_control_ready(self, time_limit):
--- a/tests/platform/test_soak_parts.py
+++ b/tests/platform/test_soak_parts.py
@@ -138,7 +138,7 @@
             self.addCleanup(patch.stop)
         self.disturbances = Disturbances()
         self.checker = RuleChecker(self.disturbances)
-        world = types.SimpleNamespace(checker=self.checker, disturbances=self.disturbances, start_time=0.0,
+        world = types.SimpleNamespace(promises=self.checker, disturbances=self.disturbances, began=0.0,
                                       zones=("a", "b"))
         self.evacuations = evacuations.Evacuations(world)
         self.evacuations.evacuated_since["a"] = self.evacuations.changed_at = self.time
