--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -1,9 +1,9 @@
-"""Stands between the system's own processes and puts faults on the way.
+"""Proxy between the processes of the system that injects network faults.
 
-Every process binds a private address and is known by its public one; the proxy listens on the public
-addresses. TCP frames and UDP messages name their sender inside (see src/codec/envelope.h), so the proxy
-knows both ends of each message. A cut drops messages in silence, both ways or one way; connections stay
-open. TCP frames can be delayed, and connections reset.
+Each process binds a private address and is reached at its public one, where the proxy listens. TCP
+frames and UDP messages contain their sender (see src/codec/envelope.h), so the proxy knows both
+ends of each message. A cut silently drops messages in one or both directions while connections stay
+open. TCP frames can also be delayed, and connections reset.
 """
 
 import collections
@@ -21,13 +21,13 @@
 SEND_TIMEOUT = 0.5
 
 
-def parse(address):
+def parse_address(address):
     host, port = address.rsplit(":", 1)
     return host, int(port)
 
 
 def sender_of(message):
-    """The sender that a sealed message names, as "ip:port"; None for other datagrams."""
+    """Returns the sender in an authenticated message as "ip:port"; None for other datagrams."""
     if len(message) < 36 or not message.startswith(b"GVM"):
         return None
     port = struct.unpack("!H", message[SENDER_OFFSET + 4:SENDER_OFFSET + 6])[0]
@@ -35,16 +35,16 @@
 
 
 class FaultProxy:
-    """One thread that forwards for all processes."""
+    """Forwards the traffic of all processes in one thread."""
 
     def __init__(self, seed=1):
         self.selector = selectors.DefaultSelector()
         self.random = random.Random(seed)
-        # How many cuts drop messages from a sender to a receiver. Replaced as a whole: two threads use it.
+        # Number of cuts per (sender, receiver). Replaced, never modified: two threads use it.
         self.cuts = collections.Counter()
         self.delay = 0.0
         self.delayed = []
-        self.delay_order = itertools.count()
+        self.delay_sequence = itertools.count()
         self.pairs = []
         self.datagram_loss = 0.0
         self.datagram_duplication = 0.0
@@ -56,16 +56,16 @@
     def forward_tcp(self, public, private):
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listener.bind(parse(public))
+        listener.bind(parse_address(public))
         listener.listen(64)
         listener.setblocking(False)
         self._watch(listener, lambda: self._accept(listener, public, private))
 
     def forward_udp(self, public, private):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.bind(parse(public))
+        sock.bind(parse_address(public))
         sock.setblocking(False)
-        self._watch(sock, lambda: self._datagram(sock, public, private))
+        self._watch(sock, lambda: self._forward_datagram(sock, public, private))
 
     def start(self):
         self.thread.start()
@@ -77,30 +77,30 @@
             sock.close()
 
     def cut(self, group, others):
-        """Drops all messages between two groups of public addresses, both ways. Gives what `heal` takes."""
+        """Drops all messages between two groups of public addresses. Returns the cut for `heal`."""
         return self.cut_one_way(group, others) + self.cut_one_way(others, group)
 
     def cut_one_way(self, senders, receivers):
-        """Drops all messages from one group of public addresses to another. Gives what `heal` takes."""
+        """Like `cut`, but only for messages from `senders` to `receivers`."""
         cut = collections.Counter((a, b) for a in senders for b in receivers)
         self.cuts = self.cuts + cut
         return cut
 
     def reset_connections(self, addresses):
-        """Resets the TCP connections that processes with these public addresses have or serve."""
-        for pair in list(self.pairs):
-            if pair.public in addresses or pair.client_name in addresses:
-                pair.reset_wanted = True
-
-    def silence_connections(self, share, way):
-        """From now on a share of the open connections carries nothing `up` (from the client), `down`, or `both`
-        ways, for good; they stay open."""
-        for pair in list(self.pairs):
+        """Resets all TCP connections to and from processes with these public addresses."""
+        for connection in list(self.pairs):
+            if connection.public in addresses or connection.client_address in addresses:
+                connection.reset_requested = True
+
+    def silence_connections(self, share, direction):
+        """Drops all further data of a random share of the open connections, which stay open. The
+        direction is `up` (from the client), `down` or `both`."""
+        for connection in list(self.pairs):
             if self.random.random() < share:
-                pair.silent_ways = {"up", "down"} if way == "both" else {way}
+                connection.silenced_directions = {"up", "down"} if direction == "both" else {direction}
 
     def heal(self, cut=None):
-        """Ends one cut, while others last; without it, all of them."""
+        """Ends one cut, or all of them."""
         self.cuts = self.cuts - cut if cut is not None else collections.Counter()
 
     def _watch(self, sock, action):
@@ -110,7 +110,7 @@
     def _is_cut(self, sender, receiver):
         return self.cuts[sender, receiver] > 0
 
-    def _datagram(self, sock, public, private):
+    def _forward_datagram(self, sock, public, private):
         try:
             data, _ = sock.recvfrom(65536)
         except OSError:
@@ -121,7 +121,7 @@
             return
         copies = 2 if self.random.random() < self.datagram_duplication else 1
         for _ in range(copies):
-            sock.sendto(data, parse(private))
+            sock.sendto(data, parse_address(private))
 
     def _accept(self, listener, public, private):
         try:
@@ -129,26 +129,26 @@
         except OSError:
             return
         try:
-            server = socket.create_connection(parse(private), timeout=1)
+            server = socket.create_connection(parse_address(private), timeout=1)
         except OSError:
             client.close()
             return
-        pair = Pair(self, client, server, public)
-        self.pairs.append(pair)
+        connection = Pair(self, client, server, public)
+        self.pairs.append(connection)
         for sock in (client, server):
             sock.setblocking(False)
-            self._watch(sock, lambda sock=sock, pair=pair: pair.on_readable(sock))
+            self._watch(sock, lambda sock=sock, connection=connection: connection.on_readable(sock))
 
-    def forget(self, sock):
+    def close_socket(self, sock):
         try:
             self.selector.unregister(sock)
         except (KeyError, ValueError):
             pass
         sock.close()
 
-    def later(self, action):
-        """Runs an action after the present delay, in order."""
-        heapq.heappush(self.delayed, (time.monotonic() + self.delay, next(self.delay_order), action))
+    def schedule(self, action):
+        """Runs an action after the current delay, in order."""
+        heapq.heappush(self.delayed, (time.monotonic() + self.delay, next(self.delay_sequence), action))
 
     def _run_delayed(self):
         while self.delayed and self.delayed[0][0] <= time.monotonic():
@@ -160,19 +160,19 @@
             for key, _ in self.selector.select(wait):
                 key.data()
             self._run_delayed()
-            for pair in [pair for pair in self.pairs if pair.reset_wanted]:
-                pair.reset()
+            for connection in [connection for connection in self.pairs if connection.reset_requested]:
+                connection.reset()
 
 
 class Pair:
-    """A connection from a client to one process, frame by frame."""
+    """A connection from a client to one process, forwarded frame by frame."""
 
     def __init__(self, proxy, client, server, public):
         self.proxy = proxy
         self.public = public
-        self.client_name = None
-        self.reset_wanted = False
-        self.silent_ways = set()
+        self.client_address = None
+        self.reset_requested = False
+        self.silenced_directions = set()
         self.closed = False
         self.peer = {client: server, server: client}
         self.client = client
@@ -201,15 +201,15 @@
             return False
         frame, self.buffers[sock] = buffer[:size], buffer[size:]
         if sock is self.client:
-            self.client_name = sender_of(frame[FRAME_LENGTH:])
-        ends = (self.client_name, self.public)
-        sender, receiver = ends if sock is self.client else reversed(ends)
-        way = "up" if sock is self.client else "down"
-        if way in self.silent_ways or self.proxy._is_cut(sender, receiver):
+            self.client_address = sender_of(frame[FRAME_LENGTH:])
+        endpoints = (self.client_address, self.public)
+        sender, receiver = endpoints if sock is self.client else reversed(endpoints)
+        direction = "up" if sock is self.client else "down"
+        if direction in self.silenced_directions or self.proxy._is_cut(sender, receiver):
             self.proxy.dropped += 1
             return True
         if self.proxy.delay > 0 or self.proxy.delayed:
-            self.proxy.later(lambda: self._send(sock, frame))
+            self.proxy.schedule(lambda: self._send(sock, frame))
             return True
         return self._send(sock, frame)
 
@@ -217,7 +217,7 @@
         if self.closed:
             return False
         try:
-            # A peer that does not read for longer loses its connection, and nobody else waits.
+            # Closes the connection to a peer that does not read, so that others are not blocked.
             self.peer[sock].settimeout(SEND_TIMEOUT)
             self.peer[sock].sendall(frame)
             self.peer[sock].setblocking(False)
@@ -227,7 +227,7 @@
         return True
 
     def reset(self):
-        """Ends both connections with a reset."""
+        """Resets the connections to both sides."""
         for sock in self.peer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
@@ -237,4 +237,4 @@
         if self in self.proxy.pairs:
             self.proxy.pairs.remove(self)
         for sock in self.peer:
-            self.proxy.forget(sock)
+            self.proxy.close_socket(sock)
--- a/scripts/recovery.py
+++ b/scripts/recovery.py
@@ -1,10 +1,11 @@
 #!/usr/bin/env python3
-"""Plays one day with several seeds and prints, for each loss of all machines, when each step of the recovery came.
+"""Runs one day with several seeds and prints the recovery timeline after each loss of all machines.
 
 Usage: scripts/recovery.py --bench PATH --tree FOLDER [--seeds N] [--jobs N] SITE DAY
 
-Times are seconds after the loss: balancers and replicas that listen, elections won, and balancers whose state was
-confirmed, from when on new flows are placed. The journal entries stay in FOLDER/journal.
+Times are seconds after the loss: when balancers and replicas started, when a leader was elected,
+and when balancers had their state confirmed and could open flows. The journal entries stay in
+FOLDER/journal.
 """
 import argparse
 import concurrent.futures
@@ -15,18 +16,18 @@
 
 LOSS = re.compile(r"^\s+([\d.]+) s to .*(?:power_off_all|kill_all|closing)", re.M)
 LINE = re.compile(r"\s+([\d.]+) (\S+) (\{.*)")
-# A recovery is looked at for this long, in seconds.
+# Time after a loss in which events are counted, in seconds.
 WINDOW_S = 5
 
 
 def events_of(text: str):
-    """Time, node and fields of each line of the log."""
+    """Yields time, node and fields of each log line."""
     for line in text.splitlines():
-        found = LINE.match(line)
-        if not found:
+        line_match = LINE.match(line)
+        if not line_match:
             continue
         try:
-            yield float(found[1]), found[2], json.loads(found[3])
+            yield float(line_match[1]), line_match[2], json.loads(line_match[3])
         except json.JSONDecodeError:
             continue
 
@@ -38,10 +39,10 @@
 
 
 def recoveries(text: str):
-    """One line for each loss of all machines in what the bench printed."""
+    """Yields one line for each loss of all machines in the output of the bench."""
     events = list(events_of(text))
-    for found in LOSS.finditer(text):
-        loss = float(found[1])
+    for line_match in LOSS.finditer(text):
+        loss = float(line_match[1])
         steps: dict[str, list[float]] = {}
         for at, node, fields in events:
             if loss < at < loss + WINDOW_S:
@@ -54,7 +55,7 @@
                f"confirmed {describe(steps.get('revision_confirmed', []))}")
 
 
-def play(arguments: argparse.Namespace, seed: int) -> list[str]:
+def run_day(arguments: argparse.Namespace, seed: int) -> list[str]:
     done = subprocess.run(
         [arguments.bench, "run", arguments.site, arguments.day, "--seed", str(seed), "--no-cpu", "--log", "all",
          "--why", "timeline of the recovery after a loss of all"],
@@ -74,7 +75,7 @@
     parser.add_argument("day")
     arguments = parser.parse_args()
     with concurrent.futures.ThreadPoolExecutor(max_workers=min(arguments.jobs, 4)) as pool:
-        for lines in pool.map(lambda seed: play(arguments, seed), range(1, arguments.seeds + 1)):
+        for lines in pool.map(lambda seed: run_day(arguments, seed), range(1, arguments.seeds + 1)):
             print("\n".join(lines), flush=True)
 
 
--- a/tests/integration/support.py
+++ b/tests/integration/support.py
@@ -1,4 +1,4 @@
-"""What the integration tests share: a small deployment of real processes on loopback."""
+"""Common base of the integration tests: a small deployment of real processes on loopback."""
 
 import os
 import pathlib
@@ -17,7 +17,7 @@
 
 
 def settings_text(network, draining=(), extra=""):
-    """A deployment of two services with six and two targets in three zones."""
+    """Settings with two services, of six and two targets, in three zones."""
     lines = ["schema = 1", f'deployment = "test-{network}"', extra]
     for number, (name, count) in enumerate((("main", 6), ("archive", 2)), start=1):
         lines += ["[[service]]", f'name = "{name}"', f'address = "127.{network}.0.{number}:5683"']
@@ -31,22 +31,22 @@
 
 
 class FleetTest(unittest.TestCase):
-    """Starts a fleet for each test. Every test class has a loopback network of its own."""
+    """Starts a fleet for each test. Every test class has its own loopback network."""
 
     network = None
     balancers_per_zone = 1
-    forwarded = False
+    proxied = False
     fabric_flags = ()
 
     def setUp(self):
-        folder = tempfile.TemporaryDirectory()
-        self.addCleanup(folder.cleanup)
-        self.folder = pathlib.Path(folder.name)
+        directory = tempfile.TemporaryDirectory()
+        self.addCleanup(directory.cleanup)
+        self.directory = pathlib.Path(directory.name)
         self.settings_path = self.write_settings("settings.toml")
-        self.fleet = fleets.Fleet(self.settings_path, self.folder, BUILD, self.network,
+        self.fleet = fleets.Fleet(self.settings_path, self.directory, BUILD, self.network,
                                   balancers_per_zone=self.balancers_per_zone,
-                                  forwarded=self.forwarded, fabric_flags=self.fabric_flags)
-        if self.forwarded:
+                                  proxied=self.proxied, fabric_flags=self.fabric_flags)
+        if self.proxied:
             self.proxy = FaultProxy()
             self.addCleanup(self.proxy.stop)
             for i in self.fleet.control_numbers:
@@ -59,17 +59,17 @@
         self.fleet.start()
 
     def write_settings(self, name, **options):
-        path = self.folder / name
+        path = self.directory / name
         path.write_text(settings_text(self.network, **options))
         return path
 
     def start_load(self, seconds, name="load", service="main", **counts):
         port = {"main": 21000, "archive": 22000}[service]
         counts = counts or {"feeds": 10, "updates": 10, "lookups": 10}
-        return self.fleet.start_callers(name, service, port, seconds=seconds, pause_ms=100, **counts)
+        return self.fleet.start_clients(name, service, port, seconds=seconds, pause_ms=100, **counts)
 
-    def check_promises(self, results):
-        """What must hold whatever fails."""
+    def check_invariants(self, results):
+        """Checks what must hold under any failure."""
         records = self.fleet.target_records()
         self.assertEqual(fleets.check_updates(results, records), [])
         self.assertEqual(sum(r["foreign"] for r in records.values()), 0)
@@ -78,8 +78,8 @@
             self.assertEqual(result["verdicts_without_time"], 0)
             self.assertGreater(result["answers"], 0)
 
-    def check_nothing_cut(self, results):
-        """What must hold besides when a change was planned."""
+    def check_no_disruption(self, results):
+        """Checks what must also hold during planned changes."""
         for result in results:
             self.assertEqual(result["broken_flows"], 0)
             self.assertEqual(result["timeouts"], 0)
--- a/tests/platform/soak/contact.py
+++ b/tests/platform/soak/contact.py
@@ -1,46 +1,46 @@
-"""Which machines are in touch: the rules with a time bound hold for those, one by one.
+"""Tracks disturbances of machines. Rules with a time limit apply only to undisturbed ones.
 
-A machine is in touch when for CONTACT seconds nothing was done to it or to its links, and nothing to the core: no
-replica was killed, stopped, started, frozen, thawed or cut off, and no connection was reset or silenced. What was done
-to another balancer does not matter.
+A machine is undisturbed when for SETTLE_TIME seconds no fault affected it, its links or the core.
+The core is the set of control replicas and their connections; a fault in another balancer does not
+count.
 """
 
-from promises import CONTACT, now
+from promises import SETTLE_TIME, now
 
-# A turn of this program's own loop that takes longer says that the whole machine was too busy to judge times.
-STALL = 0.4
+# Longest stall of the event loop, in seconds. After a longer one, no time limit is checked.
+MAX_LOOP_STALL = 0.4
 
 
-class Contact:
-    """Remembers disturbances by the name of a machine; CORE and ALL stand for groups."""
+class Disturbances:
+    """Disturbances by machine name; CORE and ALL are groups of machines."""
 
     CORE = "the core"
     ALL = "all machines"
 
     def __init__(self):
-        self.lasting = {}
+        self.active = {}
         self.ended_at = {}
 
-    def begin(self, name):
-        """Something begins that lasts until `end`."""
-        self.lasting[name] = self.lasting.get(name, 0) + 1
+    def begin(self, scope):
+        """Starts a disturbance that lasts until `end`."""
+        self.active[scope] = self.active.get(scope, 0) + 1
 
-    def end(self, name):
-        self.lasting[name] = max(0, self.lasting.get(name, 0) - 1)
-        self.note(name)
+    def end(self, scope):
+        self.active[scope] = max(0, self.active.get(scope, 0) - 1)
+        self.record(scope)
 
-    def note(self, name):
-        """Something happened in this moment."""
-        self.ended_at[name] = now()
+    def record(self, scope):
+        """Records a momentary disturbance."""
+        self.ended_at[scope] = now()
 
-    def since(self, name, with_core=True):
-        """Since when a machine has been undisturbed, and the core if that counts; None while one is disturbed."""
-        names = (name, self.ALL, self.CORE) if with_core else (name, self.ALL)
-        if any(self.lasting.get(one, 0) for one in names):
+    def since(self, scope, with_core=True):
+        """Time since which a machine (and the core) is undisturbed; None during a disturbance."""
+        scopes = (scope, self.ALL, self.CORE) if with_core else (scope, self.ALL)
+        if any(self.active.get(each, 0) for each in scopes):
             return None
-        return max(self.ended_at.get(one, 0.0) for one in names)
+        return max(self.ended_at.get(each, 0.0) for each in scopes)
 
-    def is_in_touch(self, name, moment):
-        """True when a machine was in touch from CONTACT seconds before a moment until now."""
-        since = self.since(name)
-        return since is not None and since <= moment - CONTACT
+    def was_undisturbed(self, scope, moment):
+        """True when undisturbed from SETTLE_TIME seconds before `moment` until now."""
+        since = self.since(scope)
+        return since is not None and since <= moment - SETTLE_TIME
--- a/tests/platform/soak/evacuations.py
+++ b/tests/platform/soak/evacuations.py
@@ -1,126 +1,127 @@
-"""The operator empties zones and takes them back, and it is judged whether balancers obey.
+"""Evacuates and restores zones, and checks that balancers comply.
 
-From the acknowledgement of an evacuation plus EVACUATE until the first call that takes the zone back, no opening
-packet may reach a target there from a balancer in touch, whatever happens to processes meanwhile.
+From EVACUATION_LIMIT seconds after an evacuation was acknowledged until the first call to restore
+the zone, no undisturbed balancer may open a flow at a target of the zone.
 """
 
 import asyncio
 import enum
 
 import http_call
-from contact import Contact
+from contact import Disturbances
 from promises import now
 
-ACKNOWLEDGE = 6.0
-EVACUATE = 5.0
-# A zone that was not taken back stays so for the rest of a run; the others are left alone then.
-RESTORE_PATIENCE = 30.0
-FIRST_PAUSE, LAST_PAUSE = 0.1, 1.0
-REFUSALS = (400, 404, 405, 409, 412, 413, 422)
-# Targets of each service that stay in other zones.
-SPARE_TARGETS = 2
+ACKNOWLEDGE_LIMIT = 6.0
+EVACUATION_LIMIT = 5.0
+# After this time the zone stays evacuated for the rest of the run, and no other zone is evacuated.
+RESTORE_TIMEOUT = 30.0
+INITIAL_BACKOFF, MAX_BACKOFF = 0.1, 1.0
+REJECTION_STATUSES = (400, 404, 405, 409, 412, 413, 422)
+# Targets of each service that must remain in other zones.
+MIN_OTHER_TARGETS = 2
 
 
 class Outcome(enum.Enum):
-    """What became of an order; without an acknowledgement it may be in force or not."""
+    """Outcome of a command. When it is UNKNOWN, the command may or may not be effective."""
 
     ACKNOWLEDGED = 0
-    REFUSED = 1
+    REJECTED = 1
     UNKNOWN = 2
 
 
 class Evacuations:
-    """Orders of one operator, one zone at a time."""
+    """Evacuation commands of one operator, one zone at a time."""
 
     def __init__(self, world):
         self.world = world
-        self.in_force = {}
-        self.perhaps = set()
+        self.evacuated_since = {}
+        self.maybe_evacuated = set()
         self.last_opening = {}
         self.changed_at = 0.0
-        self.told_figures = set()
+        self.reported_mismatches = set()
 
-    # Orders.
+    # Commands.
     async def evacuate(self, zone):
-        """True when the order was acknowledged."""
-        self.perhaps.add(zone)
-        if await self._order("POST", zone) != Outcome.ACKNOWLEDGED:
+        """Returns True when the command was acknowledged."""
+        self.maybe_evacuated.add(zone)
+        if await self._send_command("POST", zone) != Outcome.ACKNOWLEDGED:
             return False
-        self.in_force[zone] = self.changed_at = now()
+        self.evacuated_since[zone] = self.changed_at = now()
         self.world.promises.counts["evacuations"] += 1
         return True
 
     async def restore(self, zone):
-        """True when the order was acknowledged. From now on openings may reach the zone."""
-        self.in_force.pop(zone, None)
-        begun = now()
+        """Returns True when acknowledged. Flows are allowed again from the first call on."""
+        self.evacuated_since.pop(zone, None)
+        started_at = now()
         outcome = Outcome.UNKNOWN
-        while outcome == Outcome.UNKNOWN and now() - begun < RESTORE_PATIENCE:
-            outcome = await self._order("DELETE", zone)
+        while outcome == Outcome.UNKNOWN and now() - started_at < RESTORE_TIMEOUT:
+            outcome = await self._send_command("DELETE", zone)
         if outcome == Outcome.ACKNOWLEDGED:
-            self.perhaps.discard(zone)
+            self.maybe_evacuated.discard(zone)
             self.changed_at = now()
-            self.world.promises.counts["zones taken back"] += 1
+            self.world.promises.counts["zones restored"] += 1
         return outcome == Outcome.ACKNOWLEDGED
 
-    async def _order(self, method, zone):
-        """Sends an order for the time that is allowed for one."""
-        promises, random = self.world.promises, self.world.random
-        begun, pause, answers_lost = now(), FIRST_PAUSE, False
-        while now() - begun < ACKNOWLEDGE:
+    async def _send_command(self, method, zone):
+        """Sends a command, with retries for up to ACKNOWLEDGE_LIMIT seconds."""
+        checker, random = self.world.promises, self.world.random
+        started_at, pause, responses_lost = now(), INITIAL_BACKOFF, False
+        while now() - started_at < ACKNOWLEDGE_LIMIT:
             address = random.choice(self.world.control_addresses())
-            lost = random.random() < self.world.operator.loses_answers
-            answers_lost = answers_lost or lost
-            answer = await http_call.following(address, method, f"/-/evacuate/{zone}", answer_is_lost=lost)
-            if answer is not None and 200 <= answer[0] < 300:
+            lost = random.random() < self.world.operator.response_loss
+            responses_lost = responses_lost or lost
+            response = await http_call.following(address, method, f"/-/evacuate/{zone}", answer_is_lost=lost)
+            if response is not None and 200 <= response[0] < 300:
                 return Outcome.ACKNOWLEDGED
-            if answer is not None and answer[0] in REFUSALS:
-                promises.violate("EVAC", f"{method} of {zone} was refused with {answer[0]}: {answer[2][:200]}")
-                return Outcome.REFUSED
+            if response is not None and response[0] in REJECTION_STATUSES:
+                checker.report("EVAC", f"{method} of {zone} was rejected with status {response[0]}: "
+                                       f"{response[2][:200]}")
+                return Outcome.REJECTED
             await asyncio.sleep(pause)
-            pause = min(2 * pause, LAST_PAUSE)
-        if self.world.contact.is_in_touch(Contact.CORE, begun) and not answers_lost:
-            promises.violate("ACK", f"{method} of {zone} has no acknowledgement after {now() - begun:.1f} s")
+            pause = min(2 * pause, MAX_BACKOFF)
+        if self.world.disturbances.was_undisturbed(Disturbances.CORE, started_at) and not responses_lost:
+            checker.report("ACK", f"{method} of {zone} was not acknowledged within {now() - started_at:.1f} s")
         return Outcome.UNKNOWN
 
-    def can_spare(self, zone):
-        """True when the other zones have enough targets of each service, and no zone is emptied yet."""
+    def can_evacuate(self, zone):
+        """True when no zone is evacuated and the others have enough targets of each service."""
         services = {target.service for target in self.world.targets}
-        return not self.perhaps and all(
+        return not self.maybe_evacuated and all(
             sum(t.service == service and t.state == "ready" and t.zone != zone for t in self.world.targets)
-            >= SPARE_TARGETS for service in services)
+            >= MIN_OTHER_TARGETS for service in services)
 
-    # What targets see.
+    # Checks of what targets and balancers report.
     def on_opening(self, target, machine, at):
-        """An opening packet arrived from a balancer at that time."""
-        promises = self.world.promises
+        """Checks a SYN that a target received from a balancer."""
+        checker = self.world.promises
         self.last_opening[target.zone] = at
-        since = self.in_force.get(target.zone)
-        if since is None or machine is None or at - since <= EVACUATE:
+        since = self.evacuated_since.get(target.zone)
+        if since is None or machine is None or at - since <= EVACUATION_LIMIT:
             return
-        promises.counts["openings in emptied zones"] += 1
-        if self.world.contact.is_in_touch(machine.name, now()):
-            promises.violate("EVAC", f"{machine.name} opened a flow at {target.name} in {target.zone}, "
-                                     f"{at - since:.1f} s after its evacuation was acknowledged, "
-                                     f"{now() - self.world.began:.1f} s after the start")
-
-    def on_figure(self, machine, emptied_zones, asked_at):
-        """A balancer says how many zones are emptied."""
+        checker.counts["openings in evacuated zones"] += 1
+        if self.world.disturbances.was_undisturbed(machine.name, now()):
+            checker.report("EVAC", f"{machine.name} opened a flow at {target.name} in {target.zone}, "
+                                   f"{at - since:.1f} s after its evacuation was acknowledged, "
+                                   f"{now() - self.world.began:.1f} s after the start")
+
+    def on_evacuated_count(self, machine, evacuated_count, asked_at):
+        """Checks the number of evacuated zones in a balancer's metrics."""
         if self.changed_at == 0.0:
             return
-        is_settled = set(self.in_force) == self.perhaps and asked_at - self.changed_at > EVACUATE
-        if not is_settled or not self.world.contact.is_in_touch(machine.name, asked_at):
+        is_known = set(self.evacuated_since) == self.maybe_evacuated and asked_at - self.changed_at > EVACUATION_LIMIT
+        if not is_known or not self.world.disturbances.was_undisturbed(machine.name, asked_at):
             return
-        self.world.promises.counts["figures of emptied zones"] += 1
-        told = (machine.name, self.changed_at)
-        if emptied_zones != len(self.in_force) and told not in self.told_figures:
-            self.told_figures.add(told)
-            self.world.promises.violate("EVAC", f"{machine.name} says that {emptied_zones} zones are emptied, "
-                                                f"{asked_at - self.changed_at:.1f} s after it became "
-                                                f"{sorted(self.in_force)}")
-
-    def check_at_end(self, begun):
-        """Zones that were taken back get flows again."""
+        self.world.promises.counts["checks of zones_evacuated"] += 1
+        mismatch = (machine.name, self.changed_at)
+        if evacuated_count != len(self.evacuated_since) and mismatch not in self.reported_mismatches:
+            self.reported_mismatches.add(mismatch)
+            self.world.promises.report("EVAC", f"{machine.name} reports {evacuated_count} evacuated zones "
+                                               f"{asked_at - self.changed_at:.1f} s after the last command; expected: "
+                                               f"{sorted(self.evacuated_since)}")
+
+    def check_at_end(self, started_at):
+        """Zones that are not evacuated must have received flows."""
         for zone in self.world.zones:
-            if zone not in self.perhaps and self.last_opening.get(zone, 0.0) < begun:
-                self.world.promises.violate("EVAC", f"{zone} got no flow while nothing was wrong")
+            if zone not in self.maybe_evacuated and self.last_opening.get(zone, 0.0) < started_at:
+                self.world.promises.report("EVAC", f"{zone} got no flow although no fault was active")
--- a/tests/platform/soak/faults.py
+++ b/tests/platform/soak/faults.py
@@ -1,5 +1,4 @@
-"""What is done to a running deployment: planned work, and faults put in from outside. Each action ends by
-undoing what it did."""
+"""Planned changes and injected faults for a running deployment. Each action reverts its effect."""
 
 import asyncio
 import contextlib
@@ -8,17 +7,17 @@
 from machine import STOP_TIME
 from promises import now
 
-REUSE_AFTER = 2.0
-CATCH_UP = 4.0
+ADDRESS_REUSE_DELAY = 2.0
+CATCH_UP_TIME = 4.0
 
 
 class Faults(LinkFaults):
-    """Actions on one world, each a coroutine without arguments."""
+    """Actions on one deployment, each a coroutine without arguments."""
 
     def planned(self):
         return [self.roll_balancers, self.stop_control, self.change_configuration, self.storm,
-                self.storm_from_several, self.race, self.lost_answers, self.invalid_configuration, self.release, self.leave_without_notice,
-                self.new_settings]
+                self.storm_from_several, self.race, self.lost_answers, self.invalid_configuration, self.release,
+                self.leave_without_notice, self.new_settings]
 
     def unplanned(self):
         return [self.kill_balancer, self.freeze_balancer, self.kill_control, self.freeze_control,
@@ -28,31 +27,31 @@
                 self.silence_connections, self.lose_packets, self.fill_disk, self.crash_target,
                 self.reuse_address, self.slow_target]
 
-    def about_zones(self):
-        """What meets evacuations, cut zones and uploads; one stream has only zones that are cut off."""
+    def zone_actions(self):
+        """Two concurrent streams of actions for --zones: isolated zones, and all other faults."""
         return [[self.cut_zone],
                 [self.narrow_link, self.kill_balancer, self.freeze_balancer, self.kill_control, self.freeze_control,
                  self.kill_all_controls, self.kill_everything, self.cut_control, self.cut_balancer_one_way,
                  self.reset_connections, self.crash_target, self.slow_target]]
 
-    def beside_storm(self):
-        """What comes one after the other beside changes without pause."""
+    def storm_faults(self):
+        """Faults for --storm, one at a time during a burst of configuration changes."""
         return [self.kill_control, self.kill_control, self.freeze_control, self.kill_balancer,
                 self.cut_balancer, self.cut_balancer_one_way, self.reset_connections,
                 self.silence_connections, self.cut_control, self.cut_control_one_way]
 
     # Machines.
     @contextlib.asynccontextmanager
-    async def held(self, machine):
-        """No other action handles the machine meanwhile; False when it was replaced before."""
+    async def locked(self, machine):
+        """Locks a machine against other actions. Yields False when it has been replaced."""
         async with machine.lock:
             yield machine in self.world.machines
 
-    async def restart(self, machine, dark):
-        async with self.held(machine) as is_there:
-            if is_there:
+    async def restart(self, machine, downtime):
+        async with self.locked(machine) as is_current:
+            if is_current:
                 machine.kill()
-                await asyncio.sleep(dark)
+                await asyncio.sleep(downtime)
                 machine.start()
 
     async def kill_balancer(self):
@@ -68,7 +67,7 @@
         await asyncio.gather(*(self.restart(m, self.random.uniform(0.1, 0.8)) for m in self.world.machines))
 
     async def freeze(self, machine):
-        async with self.held(machine):
+        async with self.locked(machine):
             machine.freeze()
             await asyncio.sleep(self.random.uniform(0.5, 5))
             machine.thaw()
@@ -80,16 +79,16 @@
         await self.freeze(self.random.choice(self.world.controls))
 
     async def stop(self, machine):
-        """A planned stop and a start."""
-        async with self.held(machine) as is_there:
-            if not is_there:
+        """Stops a machine as planned and starts it again."""
+        async with self.locked(machine) as is_current:
+            if not is_current:
                 return
             machine.terminate()
-            begun = now()
-            while machine.is_running and now() - begun < STOP_TIME:
+            started_at = now()
+            while machine.is_running and now() - started_at < STOP_TIME:
                 await asyncio.sleep(0.05)
             if machine.is_running:
-                self.world.promises.violate("FAULT", f"{machine.name} did not stop in {STOP_TIME} s")
+                self.world.promises.report("FAULT", f"{machine.name} did not stop within {STOP_TIME} s")
             machine.kill()
             machine.start()
 
@@ -102,36 +101,36 @@
         await self.stop(self.random.choice(self.world.controls))
 
     async def wipe_control(self):
-        """A disk is lost; one at a time, and only while all the others have caught up."""
+        """Deletes the disk of one replica, only when all others have caught up."""
         async with self.control_lock:
-            if await self.world.wait_control(10):
+            if await self.world.wait_control_ready(10):
                 machine = self.random.choice(self.world.controls)
-                async with self.held(machine):
+                async with self.locked(machine):
                     machine.kill()
                     machine.lose_disk()
                     await asyncio.sleep(self.random.uniform(0.1, 2))
                     machine.start()
-                await self.world.wait_control(20)
-                await asyncio.sleep(CATCH_UP)
+                await self.world.wait_control_ready(20)
+                await asyncio.sleep(CATCH_UP_TIME)
 
     async def replace_control(self):
-        """A machine is gone for good; an empty one comes at another address, and seeds change."""
+        """Replaces a replica by an empty one at another address, and updates all seeds."""
         async with self.control_lock:
-            if not await self.world.wait_control(10):
+            if not await self.world.wait_control_ready(10):
                 return
             old = self.random.choice(self.world.controls)
             new = self.world.make_control(old.zone)
-            async with self.held(old), self.held(new):
+            async with self.locked(old), self.locked(new):
                 old.kill()
                 self.world.controls[self.world.controls.index(old)] = new
                 await asyncio.sleep(self.random.uniform(0.5, 2))
                 new.start()
             await self.new_settings()
-            await self.world.wait_control(20)
-            await asyncio.sleep(CATCH_UP)
+            await self.world.wait_control_ready(20)
+            await asyncio.sleep(CATCH_UP_TIME)
 
     async def lose_all_disks(self):
-        """More than any page allows: for the check that the rules can be seen to break."""
+        """Exceeds the fault model, to verify that the checks detect violations."""
         for machine in self.world.machines:
             machine.kill()
         for machine in self.world.controls:
@@ -141,12 +140,12 @@
 
     async def new_settings(self):
         for machine in self.world.machines:
-            machine.hang_up()
+            machine.reload_settings()
             await asyncio.sleep(0.02)
 
     async def fill_disk(self):
         machine = self.random.choice(self.world.controls)
-        async with self.held(machine):
+        async with self.locked(machine):
             machine.fill_disk()
             await asyncio.sleep(self.random.uniform(1, 5))
             machine.free_disk()
@@ -162,11 +161,11 @@
             await asyncio.sleep(0.2)
 
     async def storm_from_several(self):
-        """For some seconds."""
+        """Several senders submit configurations concurrently for some seconds."""
         await self.world.operator.storm_from_several(now() + self.random.uniform(4, 10))
 
     async def race(self):
-        """Two versions at once: the higher one holds."""
+        """Submits two versions concurrently; the higher one must win."""
         operator = self.world.operator
         operator.change()
         first = asyncio.create_task(operator.submit())
@@ -175,45 +174,45 @@
         await asyncio.gather(first, operator.submit())
 
     async def lost_answers(self):
-        self.world.operator.loses_answers = 0.7
+        self.world.operator.response_loss = 0.7
         await self.change_configuration()
         await self.change_configuration()
-        self.world.operator.loses_answers = 0.0
+        self.world.operator.response_loss = 0.0
 
     async def invalid_configuration(self):
         await self.world.operator.submit_invalid()
 
     # Targets.
-    def some_target(self):
-        ready = [t for t in self.world.targets if t.state == "ready" and self.has_peers(t)]
+    def pick_target(self):
+        ready = [t for t in self.world.targets if t.state == "ready" and self.has_alternatives(t)]
         return self.random.choice(ready) if ready else None
 
-    def has_peers(self, target):
-        emptied = self.world.evacuations.perhaps
-        return sum(t.service == target.service and t.state == "ready" and t.zone not in emptied
+    def has_alternatives(self, target):
+        evacuated = self.world.evacuations.maybe_evacuated
+        return sum(t.service == target.service and t.state == "ready" and t.zone not in evacuated
                    for t in self.world.targets) > 2
 
-    async def release(self, says_draining=True):
-        """The new one starts first, then the old one leaves."""
-        old = self.some_target()
+    async def release(self, announce_draining=True):
+        """Starts a new target, then stops an old one of the same service and zone."""
+        old = self.pick_target()
         if old is not None:
             self.world.start_target(old.service, old.zone)
             await asyncio.sleep(0.5)
-            await old.leave(says_draining)
+            await old.leave(announce_draining)
 
     async def leave_without_notice(self):
-        await self.release(says_draining=False)
+        await self.release(announce_draining=False)
 
     async def crash_target(self):
-        old = self.some_target()
+        old = self.pick_target()
         if old is not None:
             old.end()
             await asyncio.sleep(1)
             self.world.start_target(old.service, old.zone)
 
     async def reuse_address(self):
-        """A target ends, and a target of the other service gets its address."""
-        old = self.some_target()
+        """Stops a target and starts one of the other service at its address."""
+        old = self.pick_target()
         if old is None:
             return
         self.world.start_target(old.service, old.zone)
@@ -221,13 +220,13 @@
             await old.leave()
         else:
             old.end()
-        await asyncio.sleep(REUSE_AFTER)
+        await asyncio.sleep(ADDRESS_REUSE_DELAY)
         other = "archive" if old.service == "main" else "main"
         self.world.start_target(other, old.zone, old.address)
 
     async def slow_target(self):
-        target = self.some_target()
+        target = self.pick_target()
         if target is not None:
             target.slowness = 5
-            await self.for_a_while()
+            await self.wait_random_time()
             target.slowness = 1
--- a/tests/platform/soak/http_call.py
+++ b/tests/platform/soak/http_call.py
@@ -1,4 +1,4 @@
-"""Calls to the system's control processes, as the platform's callers make them."""
+"""HTTP requests to control processes, as targets and operators of the platform send them."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 
 
 async def once(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
-    """Status, location and body of one call; None without a clear answer."""
+    """Returns status, Location and body; None on an error, a timeout or a malformed response."""
     try:
         return await asyncio.wait_for(_call(address, method, path, body, answer_is_lost), timeout)
     except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, ValueError, IndexError):
@@ -23,10 +23,10 @@
                 f"Content-Length: {len(raw)}\r\nConnection: close\r\n\r\n")
         writer.write(head.encode() + raw)
         await writer.drain()
-        answer = await reader.read()
+        response = await reader.read()
         if answer_is_lost:
             return None
-        head, _, rest = answer.partition(b"\r\n\r\n")
+        head, _, rest = response.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
         fields = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:])}
         return int(lines[0].split()[1]), fields.get("location"), rest.decode()
@@ -35,11 +35,11 @@
 
 
 async def following(address, method, path, body="", timeout=TIMEOUT, answer_is_lost=False):
-    """The same, following redirects."""
+    """Like `once`, but follows redirects with status 307."""
     for _ in range(MAX_REDIRECTS + 1):
-        answer = await once(address, method, path, body, timeout, answer_is_lost)
-        if answer is None or answer[0] != 307 or not answer[1]:
-            return answer
-        address, _, rest = answer[1].removeprefix("http://").partition("/")
+        response = await once(address, method, path, body, timeout, answer_is_lost)
+        if response is None or response[0] != 307 or not response[1]:
+            return response
+        address, _, rest = response[1].removeprefix("http://").partition("/")
         path = "/" + rest
     return None
--- a/tests/platform/soak/target_sockets.py
+++ b/tests/platform/soak/target_sockets.py
@@ -1,5 +1,4 @@
-"""The sockets of a target: datagrams from balancers, each with the time of its arrival, and connections that balancers
-open to see whether anything listens there."""
+"""The sockets of a target: UDP with receive timestamps, and TCP for probes of balancers."""
 
 import asyncio
 import socket
@@ -11,58 +10,58 @@
 
 BACKLOG = 128
 MAX_DATAGRAM = 2048
-# The kernel's own time of arrival: this program may read late, and what comes over a narrow link is told by time.
+# Kernel receive timestamps: the link shaper needs exact times although this program may read late.
 SO_TIMESTAMPNS = 35
 TIMESTAMP = struct.Struct("qq")
 NANOSECONDS = 1e9
 
 
 class TargetSockets:
-    """Both sockets at one address. `on_datagram` takes the octets, the sender's IP and the time of arrival."""
+    """Both sockets at one address. `on_datagram` takes data, sender IP and receive time."""
 
     def __init__(self, address, on_datagram):
         self.on_datagram = on_datagram
-        self.silent_ips = []
+        self.blocked_ips = []
         self.loop = asyncio.get_running_loop()
         self.datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.datagrams.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        for one in (self.datagrams, self.listener):
-            one.bind(address)
-            one.setblocking(False)
+        for sock in (self.datagrams, self.listener):
+            sock.bind(address)
+            sock.setblocking(False)
         self.listener.listen(BACKLOG)
         self.loop.add_reader(self.datagrams, self._on_readable)
         self.loop.add_reader(self.listener, self._on_connection)
 
-    def send(self, octets, address):
+    def send(self, datagram, address):
         try:
-            self.datagrams.sendto(octets, address)
+            self.datagrams.sendto(datagram, address)
         except BlockingIOError:
-            # As any datagram that meets a full queue; the other end asks again.
+            # The send buffer is full: the datagram is lost, and the client retransmits.
             pass
 
-    def leave_silent(self, ips):
-        """Connections from these addresses get no answer; from an empty list on, all do."""
-        if ips or self.silent_ips:
-            source_filter.leave_silent(self.listener, ips)
-        self.silent_ips = ips
+    def block_sources(self, ips):
+        """Drops connections from these addresses; an empty list accepts all."""
+        if ips or self.blocked_ips:
+            source_filter.block_sources(self.listener, ips)
+        self.blocked_ips = ips
 
     def close(self):
-        for one in (self.datagrams, self.listener):
-            self.loop.remove_reader(one)
-            one.close()
+        for sock in (self.datagrams, self.listener):
+            self.loop.remove_reader(sock)
+            sock.close()
 
     def _on_readable(self):
         try:
-            octets, extra, _, sender = self.datagrams.recvmsg(MAX_DATAGRAM, socket.CMSG_SPACE(TIMESTAMP.size))
+            datagram, ancillary, _, sender = self.datagrams.recvmsg(MAX_DATAGRAM, socket.CMSG_SPACE(TIMESTAMP.size))
         except BlockingIOError:
             return
-        self.on_datagram(octets, sender[0], self._arrived_at(extra))
+        self.on_datagram(datagram, sender[0], self._arrived_at(ancillary))
 
     @staticmethod
-    def _arrived_at(extra):
-        for level, kind, value in extra:
+    def _arrived_at(ancillary):
+        for level, kind, value in ancillary:
             if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
                 seconds, nanoseconds = TIMESTAMP.unpack(value)
                 return now() - max(0.0, time.time() - seconds - nanoseconds / NANOSECONDS)
