--- a/src/core/control/balancer_ranking.cc
+++ b/src/core/control/balancer_ranking.cc
@@ -11,16 +11,16 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kRankHashSalt = 0x706c61636500ULL;
-/// A balancer that was not heard here for this long reports to another replica, or is lost.
+/// A balancer without a heartbeat to this replica for this long uses another replica or has failed.
 constexpr Duration kLocalExpiry = seconds(4);
-/// A lost balancer keeps its number for this long: its turns go unused, which harms nobody, while a
-/// smaller count would let others take more before all of them know it.
+/// A failed balancer keeps its rank for this long. Its share of a budget stays unused, whereas a
+/// smaller count would let balancers exceed the budget until all of them have received it.
 constexpr Duration kRankExpiry = seconds(60);
-/// A new leader has heard of all balancers after this time: three reports of its followers. Until
-/// then it would number too few of them.
+/// Three report intervals, after which a new leader knows all balancers. Earlier ranks would have
+/// too small a count.
 constexpr Duration kElectionGracePeriod = seconds(3);
 constexpr Duration kRankingInterval = seconds(1);
-/// A replica that did not hear from the leader for this long tells nothing, either.
+/// Ranks expire on a replica without an update from the leader for this long.
 constexpr Duration kRankLifetime = seconds(10);
 
 }  // namespace
@@ -44,7 +44,7 @@
   std::erase_if(local_last_seen_,
                 [&](const auto& entry) { return now - entry.second > kRankExpiry; });
   if (told.empty()) {
-    // A new leader has not numbered anybody yet: what the one before told holds for a while.
+    // A new leader has not assigned ranks yet; keep those of the previous leader.
     return;
   }
   ranks_.clear();
@@ -74,7 +74,8 @@
   std::erase_if(local_last_seen_,
                 [&](const auto& entry) { return now - entry.second > kRankExpiry; });
   std::erase_if(last_seen_, [&](const auto& entry) { return now - entry.second > kRankExpiry; });
-  // By hash, so that those of one zone, which are cut off or restarted together, are spread.
+  // Ranks follow the order of hashes, which spreads the balancers of one zone, as they often fail
+  // or restart together.
   std::vector<std::pair<std::uint64_t, Endpoint>> order;
   order.reserve(last_seen_.size());
   for (const auto& [balancer, heard_at] : last_seen_) {
--- a/src/core/control/balancer_ranking.h
+++ b/src/core/control/balancer_ranking.h
@@ -1,6 +1,6 @@
-/// Gives each balancer a place among all of them, for what they share by turns. The leader numbers
-/// the balancers that it and its followers heard; a follower passes on what it was told. Memory
-/// only: a new leader numbers them again.
+/// Assigns each balancer a rank among all balancers, for budgets that they share. The leader ranks
+/// the balancers that sent heartbeats to any replica; followers relay the ranks to the balancers
+/// that they serve. Not persisted; a new leader assigns ranks again.
 #pragma once
 
 #include <map>
@@ -13,31 +13,31 @@
 
 class BalancerRanking {
  public:
-  /// A balancer that gets updates from this replica reported.
+  /// Records a heartbeat of a balancer that receives updates from this replica.
   void on_heartbeat(const Endpoint& balancer, Instant now);
 
-  /// Balancers that reported to this replica lately, for its report to the leader.
+  /// Balancers that recently sent a heartbeat to this replica, for a report to the leader.
   [[nodiscard]] std::vector<Endpoint> local_balancers(Instant now) const;
-  /// What a follower was told of the balancers that it serves.
+  /// Stores the ranks that the leader sent to this follower.
   void on_ranks_received(const std::vector<RankedBalancer>& told, Instant now);
 
-  /// This replica leads from now on.
+  /// Called when this replica becomes the leader.
   void on_elected(Instant now);
-  /// Balancers that a follower serves.
+  /// Records the balancers that a follower serves.
   void on_reported(const std::vector<Endpoint>& balancers, Instant now);
-  /// Numbers the balancers that were heard; to be called while this replica leads.
+  /// Assigns ranks to all known balancers; called periodically on the leader.
   void assign_ranks(Instant now);
-  /// The places of the balancers that a follower reported.
+  /// Returns the ranks of the balancers that a follower reported.
   [[nodiscard]] std::vector<RankedBalancer> ranks_of(const std::vector<Endpoint>& balancers,
                                                      Instant now) const;
 
-  /// Place of one balancer; a count of 0 while it is not known, or was not confirmed for long.
+  /// Returns the rank of one balancer; its count is 0 if the rank is unknown or has expired.
   [[nodiscard]] BalancerRank rank_of(const Endpoint& balancer, Instant now) const;
 
  private:
-  /// When each balancer was heard here.
+  /// Time of the last heartbeat to this replica, by balancer.
   std::map<Endpoint, Instant> local_last_seen_;
-  /// When each balancer was heard anywhere, at the leader.
+  /// Time of the last heartbeat to any replica, by balancer; complete on the leader only.
   std::map<Endpoint, Instant> last_seen_;
   std::map<Endpoint, BalancerRank> ranks_;
   Instant ranks_updated_at_;
--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -11,16 +11,16 @@
 
 constexpr std::size_t kMaxPendingReports = 16;
 constexpr Duration kNodeExpiry = std::chrono::seconds(60);
-/// A balancer that waits to hear that this replica is current asks again within this time.
+/// A balancer that waits for an up-to-date replica repeats its heartbeat within this time.
 constexpr Duration kWaitingExpiry = std::chrono::seconds(2);
-/// A follower whose reports no leader confirmed for this long answers neither targets nor members:
-/// the leader would take them for silent. Three reports.
+/// A follower without an acknowledged report for this long rejects announcements and does not serve
+/// members: the leader may time out what it serves. Equals three report intervals.
 constexpr Duration kReportTimeout = 3 * control_timing::kHeartbeatInterval;
-/// Pause between two editions of the figures about targets.
+/// Interval between two versions of target health.
 constexpr Duration kHealthInterval = std::chrono::milliseconds(2000);
-/// The same, and between two reports, while a target has just refused a flow.
+/// Interval between two versions, and between two reports to the leader, after a target failure.
 constexpr Duration kFailureReportInterval = std::chrono::milliseconds(100);
-/// Editions of one term.
+/// Low bits of a version that count the versions of one term.
 constexpr unsigned kHealthVersionBits = 32;
 
 }  // namespace
@@ -34,7 +34,7 @@
       replica_(std::make_unique<Replica>(std::move(config), std::move(first_replicas),
                                          std::move(stored), storage, output, state_, now)),
       publisher_(state_, nodes_, output_),
-      // Replies to reports of an earlier life at this address match none of this one.
+      // A random start keeps replies to an earlier process at this address from matching.
       report_sequence_(config_.random_seed) {}
 
 void ControlNode::on_replica_message(const ReplicaMessage& message, Instant now) {
@@ -58,7 +58,7 @@
 }
 
 HeartbeatReply ControlNode::reply_to(const NodeHeartbeat& heartbeat, Instant now) const {
-  // A lease is for members only: whoever is not in the members, or was removed, has none.
+  // Only current members are granted a lease.
   const auto& members = state_.fleet().members;
   const bool is_member = std::any_of(members.begin(), members.end(), [&](const Member& member) {
     return member.address == heartbeat.member.address &&
@@ -71,8 +71,8 @@
   reply.may_stop = may_stop_.contains(heartbeat.member.address) ||
                    (!is_member && heartbeat.member.state == MemberState::kLeaving);
   reply.revision = state_.fleet().revision;
-  // A balancer that holds more proves that this replica is behind, whatever it hears. Members need
-  // the leader's word for their lease; observers need the state only.
+  // A balancer with a newer revision proves that this replica lags behind. Members need the
+  // leader's acknowledgement for their lease; observers only need the state.
   const bool is_served = heartbeat.member.state == MemberState::kObserver || reaches_leader(now);
   reply.is_current = replica_->is_current(now) && is_served && heartbeat.revision <= reply.revision;
   reply.zone = zone_;
@@ -91,7 +91,8 @@
   std::erase_if(waiting_nodes_, [&](const auto& one) {
     const auto& [address, waiting] = one;
     const HeartbeatReply reply = reply_to(waiting.heartbeat, now);
-    // Not yet for a balancer that holds more, or for a member whose report has no answer.
+    // Keep waiting if the balancer has a newer revision, or if the leader has not yet acknowledged
+    // a report.
     if (reply.is_current) {
       output_.send_node(address, reply);
     }
@@ -271,7 +272,7 @@
   health_evaluated_at_ = now;
   std::vector<TargetHealth> figures = health_aggregator_.evaluate(state_.fleet().steering, now);
   if (figures != target_health_.targets) {
-    // Editions are told apart, not ordered; those of two leaders differ by their terms.
+    // Versions are compared for equality only. The term makes those of two leaders differ.
     const std::uint64_t first_of_term = (replica_->term() << kHealthVersionBits) + 1;
     apply_target_health({std::max(target_health_.version + 1, first_of_term), std::move(figures)});
   }
@@ -292,8 +293,8 @@
 }
 
 bool ControlNode::is_committed(const EvacuationCommand& command, Instant now) const {
-  // A leader with a lease has committed all entries of earlier terms, so what may be under way is
-  // what it proposed itself.
+  // A leader with a lease has committed all entries of earlier terms, so only its own proposals can
+  // be uncommitted.
   const bool is_decided = last_evacuation_.term != replica_->term() ||
                           last_evacuation_.index <= replica_->commit_index();
   return replica_->has_lease(now) && is_decided &&
@@ -307,7 +308,7 @@
 }
 
 ProposalStatus ControlNode::status(const Proposal& proposal) const {
-  // A leader never replaces its own entries, so while it leads the same term, its index tells.
+  // A leader never overwrites its own entries, so the index identifies the entry within the term.
   if (!replica_->is_leader() || replica_->term() != proposal.term) {
     return ProposalStatus::kUnknown;
   }
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -1,5 +1,5 @@
-/// One control process without its sockets: a replica of the log, the state it drives, and the
-/// sessions with balancers and other replicas.
+/// Control plane node without network I/O: a replica of the control log, the state machine that the
+/// log drives, and the sessions with balancers and other replicas.
 #pragma once
 
 #include <map>
@@ -22,12 +22,12 @@
 
 namespace gorsevalve {
 
-/// Answer to a submission or a read.
+/// Status of a submission or a read.
 enum class ControlStatus : std::uint8_t {
   kOk = 0,
-  /// This replica is not the leader; ask the one named.
+  /// This replica is not the leader; retry at the named leader.
   kNotLeader = 1,
-  /// Taken, not decided yet: ask again with the same id.
+  /// Accepted, not committed yet; retry with the same id.
   kPending = 2,
 };
 
@@ -37,7 +37,7 @@
   SubmissionOutcome outcome;
 };
 
-/// How far a settings revision has come.
+/// Progress of applying the current settings revision on the members.
 struct RolloutStatus {
   Revision revision = 0;
   std::size_t members = 0;
@@ -45,7 +45,7 @@
   std::vector<Member> lagging;
 };
 
-/// An entry that was appended here, to be asked about until it is decided.
+/// Log entry that was appended on this replica; `status` reports whether it is committed.
 struct Proposal {
   LogIndex index = 0;
   Term term = 0;
@@ -54,19 +54,19 @@
 enum class ProposalStatus : std::uint8_t {
   kPending = 0,
   kCommitted = 1,
-  /// This replica stopped leading: whether the entry is in force may go either way.
+  /// This replica is no longer the leader of that term; the entry may or may not be committed.
   kUnknown = 2,
 };
 
-/// What a replica can say of a target's announcement without the log.
+/// Result of checking a target's announcement against the committed state.
 enum class AnnouncementStatus : std::uint8_t {
-  /// The committed state says the same already.
+  /// The committed state already contains the announcement.
   kCommitted = 0,
-  /// It must go through the log.
+  /// This replica is the leader and must propose the announcement.
   kPropose = 1,
-  /// This replica cannot tell: it neither leads nor reaches a leader.
+  /// This replica is neither the leader nor connected to one.
   kNotLeader = 2,
-  /// It must go through the log, and this follower reaches the leader: `forward` it.
+  /// This replica is a follower and must pass the announcement to `forward`.
   kForward = 3,
 };
 
@@ -80,57 +80,58 @@
   void on_node_message(const Endpoint& from, const NodeMessage& message, Instant now);
   void on_tick(Instant now);
 
-  /// Submits settings, or asks for the outcome of the same submission again.
+  /// Submits settings. Repeating a submission with the same id returns its outcome.
   SubmissionResult submit(const SettingsCommand& command, Instant now);
 
-  /// The outcome of a submission, if this replica has proof of leadership.
+  /// Returns the outcome of a submission; requires that this replica holds the leader lease.
   [[nodiscard]] SubmissionResult outcome(const SubmissionId& id, Instant now) const;
 
-  /// Proposes a steering command; nothing when this replica cannot.
+  /// Appends a command to the log; returns nothing if this replica is not the leader.
   std::optional<Proposal> propose(const SteeringCommand& command, Instant now);
   std::optional<Proposal> propose(const RegistrationCommand& command, Instant now);
   std::optional<Proposal> propose(const EvacuationCommand& command, Instant now);
-  /// True when this replica can prove that the command is in force and that nothing under way
-  /// undoes it: it may be acknowledged without an entry.
+  /// Returns true if this replica holds the leader lease, the command is applied, and no
+  /// uncommitted entry can revert it. The command can then be acknowledged without a new log entry.
   [[nodiscard]] bool is_committed(const EvacuationCommand& command, Instant now) const;
   [[nodiscard]] ProposalStatus status(const Proposal& proposal) const;
-  /// Notes that a target was heard, and tells whether what it said is news. A follower that is
-  /// current answers for what the committed state holds, too, and reports to the leader.
+  /// Records the time of an announcement and checks it against the committed state. A follower that
+  /// is up to date checks it itself and reports the target to the leader.
   AnnouncementStatus on_announcement(const RegisteredTarget& announced, Instant now);
-  /// The life that the end of a target means, where the target need not tell its start. Of a
-  /// target that nothing is known of, all lives that began until now, by the clock of this machine.
+  /// Returns the incarnation that an end message refers to. Without a start time, this is the known
+  /// incarnation; for an unknown target, it is every incarnation up to `unix_now_ms`.
   [[nodiscard]] TargetIncarnation incarnation_to_end(TargetId id,
                                                      std::optional<TargetStart> started_at_ms,
                                                      TargetStart unix_now_ms) const;
-  /// Whether the end of a target's life is news.
+  /// Checks the end of an incarnation against the committed state.
   [[nodiscard]] AnnouncementStatus check_target_end(const TargetIncarnation& life,
                                                     Instant now) const;
-  /// Passes what targets said on to the leader; the log tells what became of it.
+  /// Sends registrations to the leader. There is no reply; the log shows whether they are
+  /// committed.
   void forward(const ForwardedRegistrations& said);
-  /// True when the committed state holds what a target said, or something later.
+  /// Returns true if the committed state contains the argument or supersedes it.
   [[nodiscard]] bool is_committed(const RegisteredTarget& announced) const;
   [[nodiscard]] bool is_committed(const TargetIncarnation& ended) const;
-  /// The leader that this replica heard within an election timeout, by its address; nothing when
-  /// it is this replica or unknown.
+  /// Returns the address of the leader if another replica leads and was heard from within an
+  /// election timeout.
   [[nodiscard]] std::optional<Endpoint> other_leader(Instant now) const;
   void set_seeds(const std::vector<Endpoint>& seeds) { replica_->set_seeds(seeds); }
-  /// Hands leadership over before a planned stop.
+  /// Transfers leadership before a planned stop.
   void prepare_stop(Instant now) { replica_->transfer_leadership(now); }
-  /// Told to balancers, which prefer replicas in their own zone.
+  /// Zone that this replica reports to balancers, which prefer replicas in their own zone.
   void set_zone(std::string zone) { zone_ = std::move(zone); }
   void set_registration_timing(const RegistrationTiming& timing) {
     registrations_ = RegistrationMonitor(timing);
   }
 
-  /// How many members have the present settings in force; meaningful on the leader.
+  /// Counts the members that have applied the current settings; valid only on the leader.
   [[nodiscard]] RolloutStatus rollout_status() const;
 
   [[nodiscard]] const Replica& replica() const { return *replica_; }
   [[nodiscard]] const ControlState& state() const { return state_; }
   [[nodiscard]] const NodeRegistry& nodes() const { return nodes_; }
-  /// How many balancers get updates from this replica.
+  /// Number of balancers that receive updates from this replica.
   [[nodiscard]] std::size_t balancers_served() const { return publisher_.subscriber_count(); }
-  /// What balancers are told of targets.
+  /// Target health as sent to balancers.
   [[nodiscard]] const TargetHealthUpdate& target_health() const { return target_health_; }
 
   void set_faults(const ControlFaults& faults) {
@@ -146,7 +147,7 @@
   void handle(const Endpoint& from, const ReportReply& reply, Instant now);
   std::optional<Proposal> propose_entry(EntryType type, Bytes payload, Instant now);
   [[nodiscard]] HeartbeatReply reply_to(const NodeHeartbeat& heartbeat, Instant now) const;
-  /// Tells balancers that were answered by a replica that was not current that it is now.
+  /// Sends a new reply to balancers that received one while this replica was not up to date.
   void notify_waiting_nodes(Instant now);
   void report_to_leader(Instant now);
   void run_leader_tasks(Instant now);
@@ -154,20 +155,22 @@
   void handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant now);
   void handle(const Endpoint& from, const ForwardedRegistrations& said, Instant now);
   void handle(const Endpoint& from, const RefusingTargets& told, Instant now);
-  /// Passes on which targets refuse probes.
+  /// Sends the targets that refuse probes to replicas and balancers.
   void relay_refusals(Instant now);
-  /// Sends something to all other replicas.
+  /// Sends a message to all other replicas.
   void send_to_replicas(const SharedNodeMessage& message);
-  /// Proposes what followers have forwarded since the last tick, as one entry.
+  /// Proposes all registrations forwarded since the last tick in one log entry.
   void propose_forwarded(Instant now);
-  /// Concludes what balancers should know of each other's observations.
+  /// Evaluates the aggregated observations and publishes a new version if the result changed.
   void update_target_health(Instant now);
-  /// Keeps an edition, and sends it at once when other targets are troubled than before.
+  /// Stores target health; sends it immediately if the set of unhealthy or unreachable targets
+  /// changed.
   void apply_target_health(TargetHealthUpdate figures);
   [[nodiscard]] std::optional<TargetHealthUpdate> health_update_since(std::uint64_t edition) const;
   [[nodiscard]] Duration remaining_lease(Instant now) const;
-  /// True when this replica leads, or when a leader has lately confirmed its reports: hearing the
-  /// leader does not show that the leader hears this replica.
+  /// Returns true if this replica is the leader, or if a leader recently acknowledged its reports.
+  /// Receiving messages from the leader does not prove that the leader receives those of this
+  /// replica.
   [[nodiscard]] bool reaches_leader(Instant now) const;
 
   ReplicaConfig config_;
@@ -186,17 +189,17 @@
   RefusalRelay refusal_relay_;
   TargetHealthUpdate target_health_;
   Instant health_evaluated_at_;
-  /// A target that this follower heard.
+  /// Latest announcement that this follower received from a target.
   struct LastAnnouncement {
     TargetStart started_at_ms = 0;
     Instant received_at;
   };
-  /// Since the last report to the leader.
+  /// Announcements since the last report to the leader.
   std::map<TargetId, LastAnnouncement> unreported_targets_;
-  /// What followers forwarded to this leader since the last tick.
+  /// Registrations that followers forwarded since the last tick.
   RegistrationCommand forwarded_;
   bool was_leader_ = false;
-  /// A balancer that was told that this replica is not current.
+  /// Balancer whose last reply said that this replica is not up to date.
   struct WaitingNode {
     NodeHeartbeat heartbeat;
     Instant at;
@@ -205,12 +208,12 @@
   Instant reported_at_;
   std::uint64_t report_sequence_;
   std::map<std::uint64_t, Instant> reports_sent_;
-  /// Send time of the latest report that a leader with a lease confirmed.
+  /// Send time of the latest report that a leader with a lease acknowledged.
   std::optional<Instant> confirmed_report_;
   std::set<Endpoint> may_stop_;
-  /// Index of the last proposed membership change, until it is committed.
+  /// Index of the last proposed membership change, until it is committed; 0 if there is none.
   LogIndex pending_members_ = 0;
-  /// The last evacuation that was proposed here.
+  /// Last evacuation proposed by this replica.
   Proposal last_evacuation_;
 };
 
--- a/src/core/control/control_node_targets.cc
+++ b/src/core/control/control_node_targets.cc
@@ -1,5 +1,5 @@
-/// The control node's part that hears targets: what of it is news, what the committed state holds,
-/// and what followers pass on to the leader.
+/// Target registration in the control node: checks announcements against the committed state,
+/// forwards them from followers to the leader, and proposes them.
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -10,7 +10,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Pause between two looks at the silence of targets.
+/// Interval between two checks for targets whose heartbeats timed out.
 constexpr Duration kTimeoutCheckInterval = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -22,7 +22,7 @@
   const RegisteredTarget* known = find_target(state_.fleet().steering, announced.id);
   const bool says_news = changes_registration(announced, known);
   const bool leads = replica_->is_leader();
-  // A late copy of an earlier life is no sign of the one that is known.
+  // A late duplicate from an earlier incarnation is no heartbeat of the known one.
   const bool is_believed = says_news || known->incarnation() == announced.incarnation();
   if (is_believed && leads) {
     registrations_.on_announcement(announced.incarnation(), now);
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -1,4 +1,4 @@
-/// What a control process sends about the fleet, and the deliberate faults of a control process.
+/// Messages that a control node sends about the fleet, and fault injection for tests.
 #pragma once
 
 #include <memory>
@@ -8,38 +8,39 @@
 
 namespace gorsevalve {
 
-/// A message that goes to many balancers.
+/// Message that is sent to many balancers.
 using SharedNodeMessage = std::shared_ptr<const NodeMessage>;
 
-/// A balancer did not confirm what was sent to it, so it is sent again.
+/// Update that is retransmitted because the balancer did not acknowledge it.
 struct UpdateRetransmission {
   Endpoint balancer;
-  /// What the balancer has in force, and what was sent to it.
+  /// Revision that the balancer has applied, and the last one sent to it.
   Revision confirmed = 0;
   Revision sent = 0;
-  /// The balancer said that an update before the ones that it got is missing.
+  /// The balancer reported a gap: an update before the received ones is missing.
   bool has_gap = false;
 };
 
-/// What a control process sends about the fleet.
+/// Output interface of a control node.
 class ControlOutput : public ReplicaOutput {
  public:
-  /// To a balancer, or to another replica, by its address. False when the message was dropped for
-  /// certain; true promises nothing.
+  /// Sends a message to a balancer or another replica. Returns false if the message was certainly
+  /// dropped; true does not guarantee delivery.
   virtual bool send_node(const Endpoint& to, const NodeMessage& message) = 0;
-  /// The same for a message that goes to many, which need be encoded once only.
+  /// Same as `send_node`, for a message to many receivers, which is encoded only once.
   virtual bool send_shared(const Endpoint& to, const SharedNodeMessage& message) {
     return send_node(to, *message);
   }
-  /// Told when an update goes to a balancer again.
+  /// Called when an update is retransmitted to a balancer.
   virtual void on_update_retransmitted(const UpdateRetransmission& /*repeated*/) {}
 };
 
-/// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
+/// Faults that a test injects to verify that the invariant checkers detect them. Programs leave all
+/// of them off.
 struct ControlFaults {
   bool accept_before_commit = false;
   bool send_older_revisions = false;
-  /// What was handed to the network counts as under way, whatever the balancer says.
+  /// Treats every sent update as in flight, even if the balancer reports a gap.
   bool assume_sends_delivered = false;
 };
 
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -1,5 +1,5 @@
-/// Messages between balancers and control replicas, and between a follower and the leader about the
-/// balancers that it serves.
+/// Messages about the fleet between balancers and control replicas, and between followers and the
+/// leader.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +15,25 @@
 
 namespace gorsevalve {
 
-/// What a balancer says of itself, once per kHeartbeatInterval to the replica that it has chosen,
-/// and to all while it searches for one.
+/// Status of a balancer. Sent every kHeartbeatInterval to the chosen replica, and to all replicas
+/// while the balancer looks for one.
 struct NodeHeartbeat {
   std::uint64_t sequence = 0;
   Member member;
-  /// Fleet state in force at the balancer.
+  /// Fleet revision that the balancer has applied, and its digest.
   Revision revision = 0;
   std::uint64_t digest = 0;
-  /// Membership revision whose handovers it finished; 0 while one is under way.
+  /// Membership revision whose handovers are complete; 0 while a handover is in progress.
   Revision settled_revision = 0;
-  /// False when only the reply is wanted: the balancer does not follow this replica.
+  /// False if the balancer does not follow this replica and only wants the reply.
   bool wants_update = true;
-  /// What it saw of targets since its last report.
+  /// Observations of targets since the last heartbeat.
   std::vector<TargetObservation> observations{};
-  /// Edition of the figures that it has.
+  /// Version of the target health that the balancer has; 0 for none.
   std::uint64_t health_version = 0;
-  /// An update came that does not follow `revision`: one before it was lost.
+  /// The balancer received an update that does not follow `revision`: an earlier one was lost.
   bool has_gap = false;
-  /// Raised each time the balancer gives a replica up: what replicas sent before may be lost.
+  /// Incremented when the balancer abandons a replica; earlier updates may be lost.
   std::uint32_t session = 0;
 
   template <class Archive>
@@ -45,20 +45,20 @@
 
 struct HeartbeatReply {
   std::uint64_t sequence = 0;
-  /// The balancer may run once-only requests for this long after it sent the heartbeat.
+  /// The balancer may run non-idempotent requests for this long after it sent the heartbeat.
   std::uint32_t lease_ms = 0;
-  /// Set when a leaving balancer may end: all others have settled without it.
+  /// A leaving balancer may stop: all others have completed their handovers.
   bool may_stop = false;
-  /// The replica holds what a living leader has committed; `revision` is what it holds.
+  /// The replica has everything that the current leader has committed, up to `revision`.
   bool is_current = false;
   Revision revision = 0;
-  /// Where replicas listen, for the time after this one.
+  /// Addresses of all replicas, for later connections.
   std::vector<Endpoint> replicas{};
-  /// Zone of the replica that answers; empty when it does not know.
+  /// Zone of the replica; empty if unknown.
   std::string zone{};
-  /// Set when the balancer has another edition.
+  /// Set if the balancer has another version.
   std::optional<TargetHealthUpdate> health{};
-  /// The balancer's place among all of them; a count of 0 while it is not known.
+  /// Rank of the balancer among all balancers; a count of 0 if unknown.
   BalancerRank rank{};
 
   template <class Archive>
@@ -67,12 +67,12 @@
   }
 };
 
-/// Replica to balancer: the changes after its revision, or the whole state.
+/// Replica to balancer: the deltas after the balancer's revision, or a snapshot.
 struct FleetUpdate {
   std::vector<FleetDelta> deltas;
   bool is_snapshot = false;
   FleetState snapshot;
-  /// Digest after all changes.
+  /// Digest of the state after the update.
   std::uint64_t digest = 0;
 
   template <class Archive>
@@ -81,7 +81,7 @@
   }
 };
 
-/// A balancer as its replica last heard it.
+/// Status of a balancer from its last heartbeat.
 struct NodeStatus {
   Member member;
   Revision revision = 0;
@@ -95,10 +95,10 @@
   }
 };
 
-/// A target that a follower heard.
+/// Target that sent an announcement to a follower.
 struct ReportedTarget {
   TargetIncarnation incarnation;
-  /// Time since it was heard last.
+  /// Time since the last announcement.
   std::uint32_t age_ms = 0;
 
   template <class Archive>
@@ -107,19 +107,19 @@
   }
 };
 
-/// Follower to leader, once per kHeartbeatInterval.
+/// Follower to leader, every kHeartbeatInterval.
 struct ReplicaReport {
   std::uint64_t sequence = 0;
-  /// Replica that reports.
+  /// Replica that sends the report.
   Endpoint replica;
   std::vector<NodeStatus> nodes;
-  /// Targets heard since the report before.
+  /// Targets that sent an announcement since the last report.
   std::vector<ReportedTarget> targets{};
-  /// What the balancers that it serves saw of targets since the report before.
+  /// Target observations of the served balancers since the last report.
   std::vector<TargetObservation> observations{};
-  /// Edition of the figures that it has.
+  /// Version of the target health that the follower has; 0 for none.
   std::uint64_t health_version = 0;
-  /// All balancers that it serves, observers too.
+  /// Served balancers, including observers.
   std::vector<Endpoint> balancers{};
 
   template <class Archive>
@@ -128,14 +128,14 @@
   }
 };
 
-/// Leader to follower: the report was taken by a leader that still had its lease.
+/// Leader to follower: acknowledges a report while the leader holds its lease.
 struct ReportReply {
   std::uint64_t sequence = 0;
-  /// Leaving balancers that may end.
+  /// Leaving balancers that may stop.
   std::vector<Endpoint> may_stop;
-  /// Set when the follower has another edition.
+  /// Set if the follower has another version.
   std::optional<TargetHealthUpdate> health{};
-  /// Places of the reported balancers; none while the leader does not know all balancers.
+  /// Ranks of the reported balancers; empty while the leader does not know all balancers.
   std::vector<RankedBalancer> ranks{};
 
   template <class Archive>
@@ -144,8 +144,8 @@
   }
 };
 
-/// Follower to leader: what targets said to the follower that its committed state doesn't hold yet.
-/// There is no answer: the follower sees in its own log what became of it.
+/// Follower to leader: registrations that the follower's committed state does not contain yet.
+/// There is no reply; the follower reads the result from its log.
 struct ForwardedRegistrations {
   std::vector<RegisteredTarget> announced;
   std::vector<TargetIncarnation> ended;
@@ -158,7 +158,7 @@
   }
 };
 
-/// Any message between balancers and replicas about the fleet.
+/// Any message about the fleet between balancers and replicas.
 using NodeMessage =
     std::variant<NodeHeartbeat, HeartbeatReply, FleetUpdate, ReplicaReport, ReportReply,
                  TargetHealthUpdate, ForwardedRegistrations, RefusingTargets>;
--- a/src/core/control/node_registry.h
+++ b/src/core/control/node_registry.h
@@ -1,4 +1,4 @@
-/// The balancers that one replica serves, and on the leader those of all replicas.
+/// Registry of the balancers that a replica serves; on the leader, of those of all replicas.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 
 struct NodeEntry {
   NodeStatus status;
-  /// When the node was last heard, directly or by a report.
+  /// Time of the last heartbeat, received directly or from a follower's report.
   Instant last_seen;
-  /// True when it heartbeats to this replica.
+  /// True if the balancer sends its heartbeats to this replica.
   bool is_local = false;
 };
 
@@ -22,13 +22,13 @@
   void on_heartbeat(const NodeHeartbeat& heartbeat, Instant now);
   void on_report(const ReplicaReport& report, Instant now);
 
-  /// Nodes that heartbeat to this replica and were heard lately, for a report.
+  /// Members that recently sent a heartbeat to this replica, for a report to the leader.
   [[nodiscard]] std::vector<NodeStatus> local_nodes(Instant now) const;
 
   [[nodiscard]] const NodeEntry* find(const Endpoint& address) const;
   [[nodiscard]] const std::map<Endpoint, NodeEntry>& nodes() const { return nodes_; }
 
-  /// Forgets nodes that were not heard for `age`.
+  /// Removes nodes without a heartbeat for longer than `age`.
   void drop_older(Instant now, Duration age);
 
  private:
--- a/src/core/control/refusal_relay.h
+++ b/src/core/control/refusal_relay.h
@@ -1,10 +1,10 @@
-/// Passes on at once which targets refused probes of balancers: from a balancer to its replica,
-/// from there to all replicas, and from each to the balancers that it serves. Needs no leader. The
-/// figures of all balancers tell more, and later. A state machine without sockets or clocks.
+/// Relays the tokens of targets that refused probes: from a balancer to its replica, from there to
+/// all replicas, and from each replica to the balancers that it serves. Works without a leader and
+/// is faster than the target health updates. Deterministic; does no I/O and reads no clock.
 ///
-/// Answers the load of many targets that end at one moment. What is sent grows with the targets
-/// that refuse, not with the balancers that say so: what was passed on lately is not passed on
-/// again, and what comes together goes together.
+/// Bounds the load when many targets end at once: a recently relayed target is not relayed again,
+/// and messages are batched, so the load grows with the number of refusing targets and not with the
+/// number of balancers that report them.
 #pragma once
 
 #include <cstdint>
@@ -22,27 +22,29 @@
 
 class RefusalRelay {
  public:
-  /// What a balancer in a zone, which this replica serves, saw of targets.
+  /// Handles the observations of a balancer that this replica serves.
   void on_observations(const Endpoint& balancer, const std::string& zone,
                        const std::vector<TargetObservation>& observations, Instant now);
-  /// What another replica passed on.
+  /// Handles targets relayed by another replica.
   void on_relayed(const RefusingTargets& told, Instant now);
 
-  /// What is to be passed on now.
+  /// Messages that are ready to be sent.
   struct Outgoing {
-    /// To the other replicas.
+    /// Messages to the other replicas.
     std::vector<RefusingTargets> to_replicas;
-    /// To the balancers that this replica serves.
+    /// Messages to the balancers that this replica serves.
     std::vector<RefusingTargets> to_balancers;
   };
-  /// Gives nothing before the pause after the last time is over.
+  /// Returns the pending messages; empty until `kSendInterval` has passed since the last send.
   [[nodiscard]] Outgoing take_outgoing(Instant now);
 
-  /// Pause between two messages, of which the first goes at once.
+  /// Minimum interval between two sends; the first one is immediate.
   static constexpr Duration kSendInterval = std::chrono::milliseconds(20);
-  /// What was passed on is not passed on again within this time, less than balancers go by it.
+  /// A relayed target is not relayed again within this time. Shorter than the time for which
+  /// balancers avoid the target.
   static constexpr Duration kSuppressionTime = std::chrono::milliseconds(200);
-  /// Targets that one balancer may name within `kReportWindow`: it may be wrong about all of them.
+  /// Targets that one balancer may report within `kReportWindow`; limits the effect of a balancer
+  /// that reports healthy targets.
   static constexpr std::uint32_t kMaxReportedTargets = 32;
   static constexpr Duration kReportWindow = std::chrono::seconds(1);
   /// Targets in one message.
@@ -56,9 +58,9 @@
     std::uint32_t count = 0;
   };
 
-  /// True when the balancer has named fewer targets lately than it may.
+  /// Counts a report; returns false if the balancer exceeded its limit in the current window.
   bool allows_report(const Endpoint& balancer, Instant now);
-  /// Notes that something is passed on; false when it was, lately.
+  /// Marks a target as relayed; returns false if it was relayed recently.
   bool mark_relayed(const std::string& zone, FlowToken token, Instant now);
   void drop_expired(Instant now);
   static std::vector<RefusingTargets> take_messages(Pending& pending);
--- a/src/core/control/registration_delta_builder.cc
+++ b/src/core/control/registration_delta_builder.cc
@@ -8,7 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Multiplier of the Fibonacci hash (Knuth, "The art of computer programming", volume 3, 6.4).
+/// Multiplier of Fibonacci hashing (Knuth, "The Art of Computer Programming", volume 3, section
+/// 6.4).
 constexpr std::uint64_t kTokenMultiplier = 0x9E3779B97F4A7C15ULL;
 
 }  // namespace
--- a/src/core/control/registration_delta_builder.h
+++ b/src/core/control/registration_delta_builder.h
@@ -1,6 +1,5 @@
-/// The change that announcements, ends and conclusions about targets make to the steering state.
-/// Collects what one command says; its work is proportional to the command, not to the number of
-/// targets.
+/// Builds the change of the steering state that one registration command makes. The cost is
+/// proportional to the size of the command, not to the number of targets.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -15,23 +14,23 @@
 
 class RegistrationDeltaBuilder {
  public:
-  /// `tokens` holds the tokens of all targets of `state`.
+  /// `tokens` must index all targets of `state`.
   RegistrationDeltaBuilder(const SteeringState& state, const TokenIndex& tokens)
       : state_(state), tokens_(tokens) {}
 
-  /// Takes an announcement where it is news; a later life replaces what is known of its target, but
-  /// keeps the token: the target itself refuses packets of flows that it doesn't hold, which tells
-  /// their callers sooner than silence would.
+  /// Applies an announcement if it changes the registration. A later incarnation replaces the known
+  /// one but keeps its token, so the new process receives packets of old flows and resets them,
+  /// which clients detect faster than a timeout.
   void announce(RegisteredTarget announced);
-  /// Nothing was heard of a life for too long.
+  /// Marks an incarnation whose heartbeats timed out.
   void mark_silent(const TargetIncarnation& life);
-  /// A life has ended. One that was not known is remembered, so that a late announcement of it is
-  /// refused.
+  /// Marks an incarnation as ended. An unknown incarnation is stored, to reject late announcements
+  /// of it.
   void mark_ended(const TargetIncarnation& life);
-  /// Nothing refers to an ended life any more.
+  /// Removes an ended incarnation that nothing refers to any more.
   void remove(const TargetIncarnation& life);
 
-  /// What has changed; nothing when nothing has.
+  /// Returns the change, or nothing if the state stays the same.
   std::optional<SteeringDelta> take_delta();
 
  private:
@@ -42,9 +41,9 @@
 
   const SteeringState& state_;
   const TokenIndex& tokens_;
-  /// Tokens that this change gives to targets that had none.
+  /// Tokens assigned by this change.
   absl::flat_hash_set<FlowToken> new_tokens_;
-  /// Where a target stands among the changed ones.
+  /// Index of each changed target in `upserted_targets`.
   absl::flat_hash_map<TargetId, std::size_t> changed_index_;
   SteeringDelta delta_;
 };
--- a/src/core/control/registration_monitor.h
+++ b/src/core/control/registration_monitor.h
@@ -1,6 +1,6 @@
-/// The leader's knowledge of when each life of a target was heard last, and the conclusions from
-/// it: lives whose heartbeats stopped, and ended ones that can be forgotten. Kept in memory only; a
-/// new leader begins with a full time-out for each target.
+/// Failure detector of the leader for targets: finds incarnations whose heartbeats timed out, and
+/// ended ones that can be removed. Not persisted; a new leader starts with a full timeout for each
+/// target.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -11,11 +11,11 @@
 namespace gorsevalve {
 
 struct RegistrationTiming {
-  /// A target that was not heard for this long is silent.
+  /// A target without an announcement for this long becomes silent.
   Duration silent_after = std::chrono::milliseconds(4000);
-  /// A silent target that does not come back has ended.
+  /// A silent target without an announcement for this long is considered ended.
   Duration ended_after = std::chrono::seconds(40);
-  /// An ended target is remembered for this long: its open flows may still need it.
+  /// An ended target is kept for this long, because its open flows may still need it.
   Duration remove_after = std::chrono::seconds(120);
 };
 
@@ -23,25 +23,27 @@
  public:
   explicit RegistrationMonitor(const RegistrationTiming& timing) : timing_(timing) {}
 
-  /// Forgets what an earlier leadership heard.
+  /// Clears the records of an earlier term.
   void on_elected(Instant now);
-  /// A target was heard here; its life is the known one, or about to be.
+  /// Records an announcement received by this replica. Its incarnation is the committed one or is
+  /// about to be.
   void on_announcement(const TargetIncarnation& life, Instant now);
-  /// A follower heard a target, and tells of it later. It may be behind, and mean an earlier life.
+  /// Records an announcement reported by a follower. A follower that lags behind may report an
+  /// earlier incarnation.
   void on_follower_report(const TargetIncarnation& life, Instant heard_at);
-  /// What follows from the time that has passed; empty when nothing does.
+  /// Returns the phase changes that are due; empty if there are none.
   [[nodiscard]] RegistrationCommand check_timeouts(const SteeringState& state, Instant now);
 
  private:
-  /// Something that was seen of one life of a target.
+  /// Time of an event of one incarnation.
   struct TimedIncarnation {
     TargetStart started_at_ms = 0;
     Instant at;
   };
 
-  /// When the life was heard last, or this leadership began.
+  /// Time of the last announcement of the incarnation, or of the election if that is later.
   [[nodiscard]] Instant last_seen(const RegisteredTarget& target) const;
-  /// When this leader first saw the life as ended.
+  /// Time at which this leader first found the incarnation ended.
   Instant ended_at(const RegisteredTarget& target, Instant now);
 
   RegistrationTiming timing_;
--- a/src/core/control/steering_commands.cc
+++ b/src/core/control/steering_commands.cc
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// The frontend as it will be held: with the pools that its open flows may be at.
+/// Returns the frontend with the pools of earlier revisions, which its open flows may still use.
 Frontend with_former_pools(Frontend frontend, const Frontend* before) {
   frontend.former_pools.clear();
   if (before == nullptr) {
@@ -25,10 +25,10 @@
   return frontend;
 }
 
-/// A change of more than this share of a list, inverted, is merged as a whole.
+/// Changes to more than 1 / kMergeDivisor of the list are merged in one pass.
 constexpr std::size_t kMergeDivisor = 8;
 
-/// Where a frontend with this address stands, or would stand.
+/// Returns the position of the frontend with this address, or its insertion point.
 template <typename Frontends>
 auto position_of(Frontends& frontends, const Endpoint& address) {
   return std::lower_bound(
@@ -65,8 +65,8 @@
             [](const Frontend& a, const Frontend& b) { return a.address < b.address; });
 }
 
-/// Puts changed frontends among those of a state, which are ordered by address, and takes removed
-/// ones out. A small change of a long list costs little.
+/// Inserts, replaces and removes frontends in a list ordered by address. A small change of a long
+/// list does not rebuild the list.
 void update_frontends(std::vector<Frontend>& frontends, const SteeringDelta& delta) {
   const std::size_t changes = delta.upserted_frontends.size() + delta.removed_frontends.size();
   if (changes * kMergeDivisor < frontends.size()) {
--- a/src/core/control/steering_commands.h
+++ b/src/core/control/steering_commands.h
@@ -1,5 +1,5 @@
-/// Commands of the control log that change the steering state, and how they change it. Pure
-/// functions: every replica and every balancer derives the same state from the same commands.
+/// Log commands that change the steering state, and functions that apply them. The functions are
+/// pure, so every replica and balancer derives the same state from the same commands.
 #pragma once
 
 #include <optional>
@@ -11,10 +11,10 @@
 
 namespace gorsevalve {
 
-/// A whole file submitted under the policy "highest operator version wins".
+/// Settings file submitted by an operator; the highest operator version wins.
 struct SteeringCommand {
   SteeringSettings settings;
-  /// The file as submitted, which reads give back.
+  /// Text of the file as submitted; reads return it unchanged.
   std::string text;
 
   template <class Archive>
@@ -23,15 +23,15 @@
   }
 };
 
-/// What targets said, or what the leader concluded, since the command before.
+/// Registration changes that targets announced or the leader detected.
 struct RegistrationCommand {
-  /// Announcements; `token` is chosen when the command is applied.
+  /// Announcements; `token` is assigned when the command is applied.
   std::vector<RegisteredTarget> announced;
-  /// Lives that ended.
+  /// Incarnations that ended.
   std::vector<TargetIncarnation> ended;
-  /// Lives whose heartbeats stopped.
+  /// Incarnations whose heartbeats timed out.
   std::vector<TargetIncarnation> silent;
-  /// Ended lives that nothing refers to any more.
+  /// Ended incarnations to remove.
   std::vector<TargetIncarnation> removed;
 
   [[nodiscard]] bool empty() const {
@@ -44,22 +44,22 @@
   }
 };
 
-/// The frontend at an address, or nullptr.
+/// Returns the frontend with this address, or nullptr.
 const Frontend* find_frontend(const SteeringSettings& settings, const Endpoint& address);
 
-/// The target with an id, or nullptr.
+/// Returns the target with this id, or nullptr.
 const RegisteredTarget* find_target(const SteeringState& state, TargetId id);
 
-/// The change that a command makes to a state; nothing when it makes none (an older version, an
-/// announcement that is late or says nothing new).
+/// Returns the change that a command makes to a state, or nothing if the command has an older
+/// version, is a late duplicate, or changes nothing.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const SteeringSettings& submitted);
-/// `tokens` are those of the state's targets.
+/// `tokens` must index all targets of `state`.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const RegistrationCommand& command,
                                             const TokenIndex& tokens);
 
-/// Applies a change that was made for this state.
+/// Applies a delta that was computed from this state.
 void apply_steering_delta(SteeringState& state, const SteeringDelta& delta);
 
 }  // namespace gorsevalve
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -9,29 +9,29 @@
 namespace gorsevalve {
 namespace {
 
-/// Time in which what was seen loses half of its weight: long enough to count flows that ask now
-/// and then, short enough to follow targets that come and go.
+/// Half-life of the decayed counters. Requests decay slowly, to include flows that rarely send one;
+/// failures decay quickly, to follow targets that fail and recover.
 constexpr double kRequestHalfLifeUs = 10e6;
 constexpr double kFailureHalfLifeUs = 2e6;
-/// A target is silent when this many openings were left unanswered lately, and this share of all.
+/// A target is unresponsive if this many recent flows, and this share of them, were unanswered.
 constexpr double kUnansweredThreshold = 1.5;
 constexpr double kUnansweredRatio = 0.4;
-/// A target is stalled when this many requests got no answer lately, and this multiple of the mean
-/// of its pool: where all are slow, none is to blame.
+/// A target is stalled if this many recent requests stalled and they exceed the mean of its pool by
+/// this factor. If the whole pool is slow, no target is marked.
 constexpr double kStalledThreshold = 1.8;
 constexpr double kStalledMeanRatio = 1.9;
-/// How long a target stays troubled after the last evidence: longer than a flapping target stays
-/// up.
+/// How long a target stays unhealthy after the last failure; longer than the up phase of a flapping
+/// target.
 constexpr Duration kUnhealthyDuration = std::chrono::seconds(5);
-/// A target whose probes are refused over this time is not full for a moment.
+/// Probes refused for at least this long indicate a failure instead of a target that is full.
 constexpr Duration kMinRefusalDuration = std::chrono::milliseconds(400);
-/// Refusals that are further apart than this are of two moments.
+/// Refusals further apart than this do not belong to the same run.
 constexpr Duration kMaxRefusalGap = std::chrono::seconds(1);
-/// Sums that nothing was added to for this long are dropped.
+/// Counters without an observation for this long are removed.
 constexpr Duration kCounterExpiry = std::chrono::seconds(60);
-/// Pressures within this many percent of the usual one are not told.
+/// Loads within this many percent of the mean are not reported.
 constexpr int kLoadTolerancePercent = 3;
-/// A pool needs this many requests in the sums before pressures mean anything.
+/// Mean requests per target that a pool needs before its loads are significant.
 constexpr double kMinRequestsPerTarget = 8;
 constexpr double kMaxLoadPercent = 250;
 
@@ -40,7 +40,7 @@
          std::abs(int{figure.load_percent} - int{TargetHealth::kMeanLoadPercent});
 }
 
-/// A figure over the targets of a pool.
+/// Total of a counter over the targets of a pool.
 struct PoolTotal {
   double sum = 0;
   double targets = 0;
@@ -76,7 +76,7 @@
     sums.stalled_requests += seen.stalled_requests;
     sums.new_flows += seen.new_flows;
     sums.unanswered_flows += seen.unanswered_flows;
-    // One refusal tells enough; packets without an answer may have been lost on their way.
+    // One reset is sufficient evidence, but unanswered packets may have been lost in the network.
     const bool is_silent = sums.unanswered_flows >= kUnansweredThreshold &&
                            sums.unanswered_flows >= kUnansweredRatio * sums.new_flows;
     const bool is_refusing = seen.refused_probes > 0 && record_refused_probes(sums, now);
--- a/src/core/control/target_health_aggregator.h
+++ b/src/core/control/target_health_aggregator.h
@@ -1,5 +1,5 @@
-/// Adds up what balancers saw of targets, and concludes what they should know of each other's. Held
-/// by the leader for all, by a follower for the balancers that it serves. Memory only.
+/// Aggregates target observations of balancers into target health. The leader aggregates for all
+/// replicas, a follower for the balancers that it serves. Not persisted.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,29 +13,31 @@
 
 class TargetHealthAggregator {
  public:
-  /// Figures in one edition; those that differ most from the usual go first.
+  /// Targets in one update; the ones with the largest deviation take precedence.
   static constexpr std::size_t kMaxTargets = 128;
 
-  /// What a follower's balancers saw since the last call, for the leader.
+  /// Returns and clears the observations collected since the last call, for a report to the leader.
   [[nodiscard]] std::vector<TargetObservation> take_observations(Instant now);
   void add(const std::vector<TargetObservation>& observations, Instant now);
-  /// True when a target was seen in trouble since the last call of `take_observations` or
-  /// `conclude`.
+  /// Returns true if a failure was observed since the last call of `take_observations` or
+  /// `evaluate`.
   [[nodiscard]] bool has_failures() const { return has_failures_; }
-  /// Figures of the targets of `state` that are not as usual.
+  /// Returns the health of the targets of `state` that are unhealthy or have an unusual load.
   [[nodiscard]] std::vector<TargetHealth> evaluate(const SteeringState& state, Instant now);
   void clear();
 
  private:
   struct DecayedCounters {
-    /// The life that this was seen of, once it was looked at; observations name targets only.
+    /// Incarnation that the counters belong to, set at the first evaluation; observations identify
+    /// targets by token only.
     std::optional<TargetStart> started_at_ms;
     double requests = 0;
     double stalled_requests = 0;
     double new_flows = 0;
     double unanswered_flows = 0;
     Instant updated_at;
-    /// Since when probes are refused, without a pause that would tell of a target that was full.
+    /// Start of the current run of refused probes. Gaps end a run: they indicate a target that is
+    /// temporarily full.
     std::optional<Instant> refusals_since;
     Instant last_refusal_at;
     Instant unhealthy_until;
@@ -43,15 +45,16 @@
   };
 
   static void decay(DecayedCounters& sums, Instant now);
-  /// Notes refused probes; true when they show that nothing listens there any more.
+  /// Records refused probes; returns true if they have lasted long enough to indicate that no
+  /// process listens on the target's port.
   static bool record_refused_probes(DecayedCounters& sums, Instant now);
-  /// Drops what was seen of targets before they started again.
+  /// Removes the counters of targets that restarted since.
   void drop_earlier_incarnations(const SteeringState& state);
-  /// Finds targets whose requests stall while those of the rest of their pool do not.
+  /// Marks targets as unhealthy whose requests stall while other targets of their pool respond.
   void detect_stalled_targets(const SteeringState& state, Instant now);
 
   absl::flat_hash_map<FlowToken, DecayedCounters> counters_;
-  /// Since the last call of `take_observations`.
+  /// Observations since the last call of `take_observations`.
   absl::flat_hash_map<FlowToken, TargetObservation> unreported_;
   bool has_failures_ = false;
 };
--- a/src/core/control/target_incarnations.cc
+++ b/src/core/control/target_incarnations.cc
@@ -4,8 +4,8 @@
 namespace {
 
 bool is_same_registration(const RegisteredTarget& announced, const RegisteredTarget& known) {
-  // Whether it is cold is news, not how much of the warm-up is left: two entries a warm-up. Where
-  // more is left than before, it has turned cold again.
+  // The remaining warm-up time is ignored, which limits the log to two entries per warm-up. An
+  // increase means that the target is cold again.
   const bool is_as_warm = (known.warm_up_ms == 0) == (announced.warm_up_ms == 0) &&
                           announced.warm_up_ms <= known.warm_up_ms;
   const bool is_same_place = known.pool == announced.pool && known.address == announced.address &&
@@ -45,10 +45,10 @@
     case IncarnationOrder::kEarlier:
       break;
   }
-  // A target whose clock was set back starts earlier than it did before. Its life is believed once
-  // the known one has been silent: a late copy from before the known life could then only bring
-  // back, for one silence, a target that nobody gets an answer from. Where the known life said that
-  // it leaves or has ended, that was acknowledged, and a late copy must not undo it.
+  // A target whose clock was set back restarts with an earlier start time. It is accepted only
+  // while the known incarnation is silent: a late duplicate can then at most restore an
+  // unresponsive target until the next timeout. A draining or ended phase was acknowledged, so a
+  // late duplicate must not revert it.
   return known->phase == TargetPhase::kSilent;
 }
 
--- a/src/core/control/target_incarnations.h
+++ b/src/core/control/target_incarnations.h
@@ -1,27 +1,27 @@
-/// Which of two lives of a target is believed. A target may start again under the id that it had:
-/// its counts then begin anew, and nothing of its earlier life holds any more. Pure functions, used
-/// by the log's commands, by replicas that answer announcements, and by the leader's monitor. The
-/// table of all cases: docs/design/target-lives.md.
+/// Order of target incarnations. A target may restart under the same id; its sequence numbers then
+/// start again, and the registration of the earlier incarnation is obsolete. Pure functions, used
+/// by log commands, by replicas that check announcements, and by the leader's monitor. All cases:
+/// docs/design/target-lives.md.
 #pragma once
 
 #include "model/steering.h"
 
 namespace gorsevalve {
 
-/// A life beside the one that is known of the same target.
+/// Position of an incarnation relative to the known one of the same target.
 enum class IncarnationOrder : std::uint8_t {
   kEarlier = 0,
   kSame = 1,
   kLater = 2,
 };
 
-/// Orders lives of one target by their starts. One that doesn't tell its start counts as the
-/// earliest: it may be a late copy of anything.
+/// Orders incarnations of one target by start time. An unknown start time (0) is the earliest,
+/// because the message may be a late duplicate from any incarnation.
 [[nodiscard]] IncarnationOrder compare_incarnations(TargetStart start, TargetStart known);
 
-/// True when an announcement changes what is known of its target: it is not late, and says
-/// something else, or begins another life. `known` is nullptr for a target that nothing is known
-/// of.
+/// Returns true if an announcement changes the registration of its target: it is no late duplicate,
+/// and differs from the registration or starts another incarnation. `known` is nullptr for an
+/// unknown target.
 [[nodiscard]] bool changes_registration(const RegisteredTarget& announced,
                                         const RegisteredTarget* known);
 
--- a/src/core/control/token_index.h
+++ b/src/core/control/token_index.h
@@ -1,5 +1,5 @@
-/// The tokens that the targets of a steering state have, kept beside the state from change to
-/// change: a new target gets one that no other has, and looking for it must not walk all targets.
+/// Index of the flow tokens in a steering state, updated with each change, to assign unused tokens
+/// without scanning all targets.
 #pragma once
 
 #include <absl/container/flat_hash_set.h>
@@ -14,7 +14,7 @@
   explicit TokenIndex(const SteeringState& state);
 
   [[nodiscard]] bool contains(FlowToken token) const { return tokens_.contains(token); }
-  /// Follows a change; `before` is the state that it is about to be applied to.
+  /// Applies a change; `before` is the state without the change.
   void apply(const SteeringState& before, const SteeringDelta& delta);
 
  private:
--- a/src/model/balancer_rank.h
+++ b/src/model/balancer_rank.h
@@ -1,4 +1,4 @@
-/// A balancer's place among all balancers that share a budget by turns.
+/// Rank of a balancer among all balancers that share a budget.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace gorsevalve {
 
-/// Numbers run from 0 to `count` - 1, and no two balancers have the same one while all of them have
-/// heard the same leader. A `count` of 0 tells nothing.
+/// Indexes run from 0 to `count` - 1 and are unique among balancers that received their ranks from
+/// the same leader. A `count` of 0 means that the rank is unknown.
 struct BalancerRank {
   std::uint32_t index = 0;
   std::uint32_t count = 0;
@@ -21,7 +21,7 @@
   }
 };
 
-/// The place of one balancer, as the leader tells it to the replica that serves the balancer.
+/// Rank of one balancer, sent by the leader to the replica that serves the balancer.
 struct RankedBalancer {
   Endpoint balancer;
   BalancerRank rank;
--- a/src/model/fleet.h
+++ b/src/model/fleet.h
@@ -1,4 +1,5 @@
-/// The replicated state that every balancer follows: settings and balancer membership.
+/// Replicated state of the fleet that every balancer applies: settings, balancer membership and
+/// steering state.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +12,13 @@
 
 namespace gorsevalve {
 
-/// Whether a member owns partitions.
+/// Determines whether a member owns partitions.
 enum class MemberState : std::uint8_t {
   kActive = 0,
-  /// Asked to leave: owns nothing in the new revision, still hands over and relays.
+  /// Asked to leave; owns no partitions in the new revision but still hands over and relays.
   kLeaving = 1,
-  /// Follows the state and owns nothing, now or later: a balancer that steers by reflected tokens.
+  /// Receives the state but never owns partitions; used by balancers that steer by reflected
+  /// tokens.
   kObserver = 2,
 };
 
@@ -24,9 +26,9 @@
 struct Member {
   std::string name;
   std::string zone;
-  /// Address for datagrams from the fabric, from targets and from peers.
+  /// Address for datagrams from the fabric, targets and peers.
   Endpoint address;
-  /// Random number drawn at process start: a restarted process is a different member.
+  /// Random number chosen at process start; distinguishes a restarted process.
   std::uint64_t incarnation = 0;
   MemberState state = MemberState::kActive;
 
@@ -38,24 +40,24 @@
   }
 };
 
-/// Ownership partitions of a new cluster.
+/// Number of ownership partitions in a new cluster.
 constexpr std::uint32_t kDefaultPartitions = 256;
 
 /// State after applying the control log up to `revision`.
 struct FleetState {
-  /// Last change of any kind.
+  /// Revision of the last change.
   Revision revision = 0;
-  /// Last change of the settings.
+  /// Revision of the last settings change.
   Revision settings_revision = 0;
-  /// Last change of the members: the epoch of partition ownership.
+  /// Revision of the last membership change; the epoch of partition ownership.
   Revision members_revision = 0;
   /// Number of membership changes so far.
   std::uint32_t members_epoch = 0;
-  /// Ownership partitions of the flow space. Fixed when the cluster is created.
+  /// Number of ownership partitions of the flow space; fixed at cluster creation.
   std::uint32_t partitions = kDefaultPartitions;
   Settings settings;
   std::vector<Member> members;
-  /// Members before the last membership change: whom a new owner asks for its state.
+  /// Members before the last membership change, from which a new owner requests state.
   std::vector<Member> previous_members;
   SteeringState steering;
 
--- a/src/model/steering.h
+++ b/src/model/steering.h
@@ -1,6 +1,5 @@
-/// State of flow steering by reflected tokens: frontends with weighted pools, as operators submit
-/// them, and the targets that announced themselves. Replicated to every balancer; see
-/// docs/PLATFORM.md.
+/// State of flow steering by reflected tokens: frontends with weighted pools, submitted by
+/// operators, and registered targets. Replicated to every balancer; see docs/PLATFORM.md.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -16,17 +15,17 @@
 
 namespace gorsevalve {
 
-/// Number that a target goes by in packets. A restarted target mostly has another one, but it may
-/// keep the one that it had: TargetIncarnation tells the two starts apart.
+/// Identifies a target in packets. A restarted target may keep its id; TargetIncarnation
+/// distinguishes the two processes.
 using TargetId = std::uint64_t;
-/// When a target started, in Unix milliseconds by its own machine's clock; 0 when it didn't tell.
+/// Start time of a target in Unix milliseconds by the clock of its machine; 0 if unknown.
 using TargetStart = std::uint64_t;
-/// Short name of a target that both ends of a flow reflect; never 0 for a target.
+/// Short identifier of a target that both ends of a flow reflect; never 0 for a target.
 using FlowToken = std::uint32_t;
-/// Version that the operator gives to a whole file; the highest one holds.
+/// Version that an operator assigns to a settings file; the highest one wins.
 using OperatorVersion = std::uint64_t;
 
-/// A share of a frontend's new flows that goes to one pool.
+/// Share of a frontend's new flows that goes to one pool.
 struct WeightedPool {
   std::string pool;
   std::uint32_t weight = 0;
@@ -39,32 +38,33 @@
   }
 };
 
-/// What the requests of a frontend are like, as far as balancing depends on it.
+/// Properties of a frontend's requests that affect balancing.
 enum class RequestClass : std::uint8_t {
-  /// Short both ways; callers may send it again.
+  /// Short messages in both directions; clients may retry.
   kIdempotent = 0,
-  /// Short both ways; runs at most once. The most careful class: unknown ones count as it.
+  /// Short messages in both directions; a request runs at most once. Default for unknown classes,
+  /// as it is the most restrictive.
   kNonIdempotent = 1,
-  /// The target sends much; callers may send it again.
+  /// Large responses; clients may retry.
   kDownload = 2,
-  /// The caller sends much; runs at most once.
+  /// Large requests, which run at most once.
   kUpload = 3,
 };
 
 /// Name of a class in logs and metrics.
 std::string_view to_string(RequestClass request_class);
 
-/// An address that callers open flows to.
+/// Address to which clients open flows.
 struct Frontend {
   std::string name;
   Endpoint address;
   std::vector<WeightedPool> pools;
-  /// Pools of earlier revisions of this frontend: flows that opened then stay there.
+  /// Pools of earlier revisions of this frontend, which the flows opened then still use.
   std::vector<std::string> former_pools;
   std::uint32_t timeout_ms = 0;
   std::uint32_t latency_objective_ms = 0;
   RequestClass request_class = RequestClass::kIdempotent;
-  /// 0 is served first.
+  /// 0 is the highest priority.
   std::uint32_t priority = 0;
 
   friend bool operator==(const Frontend&, const Frontend&) = default;
@@ -76,13 +76,14 @@
   }
 };
 
-/// Interchangeable targets.
+/// Group of interchangeable targets.
 struct Pool {
   std::string name;
   std::uint32_t max_connections = 0;
-  /// How long a target that has just started is cold.
+  /// How long a target warms up after its start.
   std::uint32_t warm_up_ms = 0;
-  /// New flows that one cold target takes in 1,000 s, from all balancers together; 0 for no bound.
+  /// Limit of new flows to one target that is warming up, over all balancers, in flows per 1,000 s;
+  /// 0 for no limit.
   std::uint32_t cold_flows_per_1000_s = 0;
 
   friend bool operator==(const Pool&, const Pool&) = default;
@@ -93,12 +94,12 @@
   }
 };
 
-/// One whole file of an operator.
+/// Content of one settings file of an operator.
 struct SteeringSettings {
   OperatorVersion version = 0;
   std::vector<Frontend> frontends;
   std::vector<Pool> pools;
-  /// A flow may be forgotten when it has rested for this long.
+  /// A flow that was idle for this long may expire.
   std::uint32_t idle_timeout_ms = 0;
 
   friend bool operator==(const SteeringSettings&, const SteeringSettings&) = default;
@@ -109,20 +110,20 @@
   }
 };
 
-/// How far a target is in its life. Phases only grow within one life, except that a silent target
-/// that announces itself again is ready again.
+/// Lifecycle phase of a target. Within one incarnation a phase only moves forward, except that a
+/// silent target becomes ready again when it announces itself.
 enum class TargetPhase : std::uint8_t {
   kReady = 0,
-  /// Heartbeats stopped: no new flows while there is another target.
+  /// Heartbeats timed out; no new flows while other targets are available.
   kSilent = 1,
-  /// Asked to leave: keeps its flows, gets no new ones.
+  /// Asked to leave; keeps its flows but receives no new ones.
   kDraining = 2,
-  /// Said that it leaves for good. Its open flows may go on for some time.
+  /// Announced its end. Its open flows may continue for some time.
   kEnded = 3,
 };
 
-/// One life of a target, from one start to the end of that process. A later life holds nothing of
-/// an earlier one, and counts its announcements anew.
+/// One run of a target process. A later incarnation keeps no state of an earlier one and restarts
+/// its sequence numbers.
 struct TargetIncarnation {
   TargetId id = 0;
   TargetStart started_at_ms = 0;
@@ -135,7 +136,7 @@
   }
 };
 
-/// A target as it announced itself last.
+/// Target as of its latest announcement.
 struct RegisteredTarget {
   TargetId id = 0;
   TargetStart started_at_ms = 0;
@@ -145,9 +146,9 @@
   std::string zone;
   std::uint32_t slots = 1;
   TargetPhase phase = TargetPhase::kReady;
-  /// Rises with each announcement of one life.
+  /// Increases with each announcement of an incarnation.
   std::uint64_t sequence = 0;
-  /// How long the target stays slow, from its announcement on; 0 when it is warm.
+  /// Remaining warm-up time at the announcement; 0 for a warm target.
   std::uint32_t warm_up_ms = 0;
 
   [[nodiscard]] TargetIncarnation incarnation() const { return {id, started_at_ms}; }
@@ -160,10 +161,10 @@
   }
 };
 
-/// A zone whose targets get no new flows, by an operator's order.
+/// Zone whose targets receive no new flows because of an operator's evacuation command.
 struct EvacuatedZone {
   std::string zone;
-  /// When the order came into force.
+  /// Revision at which the evacuation became effective.
   Revision since = 0;
 
   friend bool operator==(const EvacuatedZone&, const EvacuatedZone&) = default;
@@ -174,18 +175,18 @@
   }
 };
 
-/// Targets in the order of their ids. A tree, since a change of one target must not move others: in
-/// a sorted array a new one moved half of them, 1,999 of 4,000, at each replica and each balancer.
+/// Targets ordered by id. A tree, because an insertion into a sorted array would move the targets
+/// behind it.
 using TargetMap = absl::btree_map<TargetId, RegisteredTarget>;
 
-/// Everything that steering depends on. Frontends are ordered by address, targets by id, evacuated
-/// zones by name.
+/// Complete steering state. Frontends are ordered by address, targets by id, evacuated zones by
+/// name.
 struct SteeringState {
   SteeringSettings settings;
   TargetMap targets;
   std::vector<EvacuatedZone> evacuated_zones;
 
-  /// Adds a target, or replaces the one that has its id.
+  /// Adds a target, or replaces the one with the same id.
   void put(RegisteredTarget target) {
     const TargetId id = target.id;
     targets.insert_or_assign(id, std::move(target));
@@ -201,7 +202,7 @@
   }
 
  private:
-  /// As a list, each target with its id: octet by octet what a vector of them would be.
+  /// Writes a list of targets with the same encoding as a vector.
   template <class Archive>
   void serialize_targets(Archive& archive) {
     std::uint64_t count = targets.size();
@@ -221,9 +222,9 @@
   }
 };
 
-/// What changed between two revisions of the steering state.
+/// Difference between two revisions of the steering state.
 struct SteeringDelta {
-  /// Set when the settings changed; the fields up to `removed_frontends` are then valid.
+  /// Set if the settings changed; the fields up to `removed_frontends` are valid only then.
   bool has_settings = false;
   OperatorVersion version = 0;
   std::uint32_t idle_timeout_ms = 0;
@@ -232,7 +233,7 @@
   std::vector<Endpoint> removed_frontends;
   std::vector<RegisteredTarget> upserted_targets;
   std::vector<TargetId> removed_targets;
-  /// Set when the evacuated zones changed; `evacuated_zones` then has all of them.
+  /// Set if the evacuated zones changed; `evacuated_zones` then contains all of them.
   bool has_evacuations = false;
   std::vector<EvacuatedZone> evacuated_zones;
 
--- a/src/model/target_health.h
+++ b/src/model/target_health.h
@@ -1,6 +1,5 @@
-/// Figures about targets that balancers and control replicas exchange: what a balancer saw, and
-/// what all of them saw together. They steer new flows only; nothing that must survive depends on
-/// them.
+/// Target health exchanged between balancers and control replicas: observations of single balancers
+/// and their aggregate. Used only to place new flows; correctness does not depend on it.
 #pragma once
 
 #include <cstdint>
@@ -11,22 +10,22 @@
 
 namespace gorsevalve {
 
-/// What one balancer saw of a target since its last report.
+/// Observations of one target by one balancer since its last report.
 struct TargetObservation {
   FlowToken token = 0;
-  /// Requests that went to the target.
+  /// Requests sent to the target.
   std::uint32_t requests = 0;
-  /// Of those, the ones without an answer for a time that answers should not take.
+  /// Requests without a response within the expected time.
   std::uint32_t stalled_requests = 0;
-  /// Flows that were placed at the target.
+  /// Flows placed at the target.
   std::uint32_t new_flows = 0;
-  /// Of those, the ones that nothing followed, not even a copy: the target reset them.
+  /// New flows without any later packet, not even a retransmission; the target reset them.
   std::uint32_t refused_flows = 0;
-  /// Of those, the ones of which copies were sent.
+  /// New flows whose opening packet was retransmitted.
   std::uint32_t unanswered_flows = 0;
-  /// How often the balancer concluded from probes that it cannot reach the target.
+  /// Number of times that the balancer's probes found the target unreachable.
   std::uint32_t unreachable = 0;
-  /// Probes that the target refused: it takes no flow just now.
+  /// Probes that the target refused because it accepts no flows at the moment.
   std::uint32_t refused_probes = 0;
 
   friend bool operator==(const TargetObservation&, const TargetObservation&) = default;
@@ -38,17 +37,19 @@
   }
 };
 
-/// What all balancers saw of a target lately. Targets without a figure are as usual.
+/// Recent health of a target as observed by all balancers. Targets without an entry are healthy and
+/// have an average load.
 struct TargetHealth {
-  /// Pressure of a target that gets its share of the pool's requests, in percent.
+  /// Load of a target that receives its share of the pool's requests, in percent.
   static constexpr std::uint8_t kMeanLoadPercent = 100;
 
   FlowToken token = 0;
-  /// Requests compared with the mean of the pool, in percent.
+  /// Requests relative to the mean of the pool, in percent.
   std::uint8_t load_percent = kMeanLoadPercent;
-  /// It refuses flows, leaves opening packets or requests unanswered.
+  /// The target refuses flows, or does not respond to opening packets or requests.
   bool is_unhealthy = false;
-  /// A balancer could not reach it: those with open flows there should look for themselves.
+  /// A balancer cannot reach the target; balancers with open flows to it should probe it
+  /// themselves.
   bool is_unreachable = false;
 
   friend bool operator==(const TargetHealth&, const TargetHealth&) = default;
@@ -59,14 +60,14 @@
   }
 };
 
-/// One edition of the figures, told apart by its number; 0 is none.
+/// One version of the target health. Versions are compared for equality only; 0 means none.
 struct TargetHealthUpdate {
   std::uint64_t version = 0;
   std::vector<TargetHealth> targets;
 
-  /// Tokens of the targets in trouble, in order.
+  /// Tokens of the unhealthy targets, in ascending order.
   [[nodiscard]] std::vector<FlowToken> unhealthy() const;
-  /// Tokens of the targets that some balancer could not reach, in order.
+  /// Tokens of the targets that some balancer cannot reach, in ascending order.
   [[nodiscard]] std::vector<FlowToken> unreachable() const;
 
   template <class Archive>
@@ -75,9 +76,9 @@
   }
 };
 
-/// Targets that refused probes of balancers in one zone just now. Where paths are cut, something on
-/// the way may refuse in a target's place, so it counts for balancers in that zone, and for all
-/// where it is the target's own.
+/// Targets that recently refused probes of balancers in one zone. If a network path fails, a device
+/// on the path may refuse in place of the target. Therefore the report counts for balancers of that
+/// zone, and for all others only if the zone is the target's own.
 struct RefusingTargets {
   std::string zone;
   std::vector<FlowToken> targets;
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -18,8 +18,8 @@
 
 TEST_SUITE("control_node") {
   TEST_CASE("a balancer that missed one update catches up although changes keep coming") {
-    // Found on large/ccsc-valve-large, day trouble-1: with nine revisions a second one balancer
-    // stayed behind for 9 s, since each later update counted as under way and did not fit.
+    // Guards against a balancer that stays behind after one lost update because each later update
+    // counts as in flight.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     SubscribedBalancer balancer(cluster);
@@ -29,7 +29,7 @@
       if (turn % 5 == 0) {
         REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
       }
-      // Updates of a tenth of a second get lost, once.
+      // Drops the updates of a short interval, once.
       balancer.drops_updates = turn >= 150 && turn < 156;
       cluster.run(milliseconds(20));
       balancer.exchange();
@@ -57,7 +57,7 @@
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
-    // Ten seconds: about once in each 1.5 s or more.
+    // One request per retry interval of at least 1.5 s, within 10 s.
     CHECK(balancer.behind_events >= 3);
     CHECK(balancer.behind_events <= 7);
     balancer.drops_updates = false;
@@ -69,7 +69,7 @@
   }
 
   TEST_CASE("followers answer for what is committed and report it; news goes to the leader") {
-    // Measured by a sweep: with all announcements at the leader, 3,000 targets took all of it.
+    // Guards against announcements that all have to be processed by the leader.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -79,7 +79,7 @@
             AnnouncementStatus::kPropose);
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
-    // From now on the target is heard by a follower only, and stays ready for long.
+    // Only a follower receives announcements from here on; the target stays ready.
     for (std::uint64_t sequence = 2; sequence < 20; ++sequence) {
       CHECK(cluster.node(follower).on_announcement(make_announcement(sequence), cluster.now()) ==
             AnnouncementStatus::kCommitted);
@@ -87,13 +87,13 @@
     }
     const auto& state = cluster.node(leader).state().fleet().steering;
     CHECK(find_target(state, 5)->phase == TargetPhase::kReady);
-    // Then it is heard by nobody.
+    // No replica receives announcements from here on.
     cluster.run(std::chrono::seconds(7));
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
   TEST_CASE("what followers forward becomes one entry, which tells them what became of it") {
-    // Before: each target was sent to the leader, which then had the connections of all of them.
+    // Guards against one connection to the leader, and one log entry, per forwarded target.
     for (const TargetId targets : {50U, 100U, 200U}) {
       Cluster cluster;
       const std::uint32_t leader = cluster.elect();
@@ -138,7 +138,7 @@
     CHECK(cluster.node(follower).is_committed(life));
     CHECK(cluster.node(follower).check_target_end(life, cluster.now()) ==
           AnnouncementStatus::kCommitted);
-    // A late copy of the announcement does not bring it back.
+    // A late duplicate of the announcement does not restore the target.
     cluster.node(follower).forward({{make_announcement(9)}, {}});
     cluster.run(milliseconds(200));
     CHECK(cluster.node(leader).is_committed(life));
@@ -188,7 +188,7 @@
           AnnouncementStatus::kPropose);
     CHECK(cluster.node(leader).incarnation_to_end(5, std::nullopt, 7) == TargetIncarnation{5, 200});
     CHECK(cluster.node(leader).incarnation_to_end(6, std::nullopt, 7) == TargetIncarnation{6, 7});
-    // Only copies of the earlier life come from now on.
+    // Only duplicates of the earlier incarnation arrive from here on.
     for (std::uint64_t sequence = 901; sequence < 904; ++sequence) {
       CHECK(cluster.node(leader).on_announcement(announce_life(100, sequence), cluster.now()) ==
             AnnouncementStatus::kCommitted);
@@ -316,7 +316,7 @@
     }
     CHECK(cluster.output(leader).shared.size() == 50);
     CHECK(distinct(cluster.output(leader).shared) == 1);
-    // A change goes to all of them as one message, too.
+    // A delta is sent to all of them as one shared message, too.
     cluster.output(leader).shared.clear();
     REQUIRE(register_target(cluster.node(leader), 6, cluster.now()));
     cluster.run(milliseconds(200));
@@ -347,7 +347,7 @@
     CHECK(updates_after(milliseconds(100)) == 0);
     CHECK(updates_after(milliseconds(100)) == 0);
     CHECK(updates_after(milliseconds(700)) == 1);
-    // A restarted node gets it at once.
+    // A restarted node receives the snapshot immediately.
     heartbeat.member.incarnation = 10;
     CHECK(updates_after(milliseconds(20)) == 1);
   }
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -71,7 +71,7 @@
   }
 
   TEST_CASE("messages grow with the targets that refuse, not with the balancers that say so") {
-    // A third of 300 targets, each refusing each of 985 balancers within 100 ms.
+    // 100 targets, which refuse 985 balancers within 100 ms.
     RefusalRelay relay;
     std::size_t messages = 0;
     std::size_t targets = 0;
--- a/tests/unit/test_registration_monitor.cc
+++ b/tests/unit/test_registration_monitor.cc
@@ -48,7 +48,7 @@
     SteeringState state = with_target(TargetPhase::kReady);
     state.targets.at(5).started_at_ms = 200;
     monitor.on_announcement({5, 200}, kStart + seconds(1));
-    // A follower that is behind still hears the earlier life.
+    // A follower that lags behind still receives the earlier incarnation.
     monitor.on_follower_report({5, 100}, kStart + seconds(4));
     CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).silent.size() == 1);
     monitor.on_follower_report({5, 200}, kStart + seconds(4));
--- a/tests/unit/test_steering_commands.cc
+++ b/tests/unit/test_steering_commands.cc
@@ -42,7 +42,7 @@
   return steering_delta(state, command, TokenIndex(state));
 }
 
-/// Applies a command when it changes something; tells whether it did.
+/// Applies a command; returns true if it changed the state.
 template <typename Command>
 bool apply(SteeringState& state, const Command& command) {
   const auto delta = delta_of(state, command);
@@ -136,8 +136,7 @@
     SteeringState state;
     apply(state, announced(announce(1, 1)));
     const FlowToken first = find_target(state, 1)->token;
-    // An id whose hash has the same upper half: the multiplier is odd, so such ids exist; here the
-    // state is made to hold the token already.
+    // Forces a hash collision: target 1 is given the token that target 2 hashes to.
     state.targets.at(1).token = static_cast<FlowToken>((2 * 0x9E3779B97F4A7C15ULL) >> 32U);
     apply(state, announced(announce(2, 1)));
     CHECK(find_target(state, 2)->token != find_target(state, 1)->token);
@@ -149,8 +148,7 @@
   }
 
   TEST_CASE("one more target moves and allocates as much among many targets as among few") {
-    // Among 1,000, 2,000 and 4,000 targets, before: 499, 999 and 1,999 others moved; 1,023, 2,023
-    // and 4,023 allocations. Now: at most 64 moved, and 27 allocations.
+    // Guards against a cost of one registration that grows with the number of targets.
     for (const TargetId count : {1000U, 2000U, 4000U}) {
       ControlState state(8);
       RegistrationCommand many;
@@ -181,7 +179,7 @@
   TEST_CASE("each kept delta is found by the revision that it is based on") {
     ControlState state(8);
     for (LogIndex index = 1; index <= ControlState::kMaxDeltas + 40; ++index) {
-      // Entries that change nothing leave gaps between revisions.
+      // Entries without a change leave gaps between revisions.
       state.apply(
           {1, 3 * index, EntryType::kRegistrations, encode_archive(announced(announce(index, 1)))});
     }
--- a/tests/unit/test_target_health_aggregator.cc
+++ b/tests/unit/test_target_health_aggregator.cc
@@ -10,7 +10,7 @@
 
 constexpr Instant kStart{seconds(1000)};
 
-/// A pool of targets with the tokens 1 to `count`.
+/// Returns the state of a pool whose targets have the tokens 1 to `count`.
 SteeringState pool_of(FlowToken count) {
   SteeringState state;
   for (FlowToken token = 1; token <= count; ++token) {
@@ -74,7 +74,7 @@
     };
     CHECK_FALSE(troubled_after({0, 1, 2}));
     CHECK(troubled_after({0, 250, 500}));
-    // A target that is full now and then.
+    // A target that is temporarily full at intervals.
     CHECK_FALSE(troubled_after({0, 1200, 2400}));
   }
 
@@ -97,7 +97,7 @@
     CHECK(figures[0].is_unreachable);
     CHECK(figures[0].is_unhealthy);
     CHECK_FALSE(figures[1].is_unreachable);
-    // A follower passes it on.
+    // A follower reports it to the leader.
     board.add({unreachable}, kStart);
     CHECK(board.take_observations(kStart).back().unreachable == 1);
   }
@@ -146,7 +146,7 @@
     REQUIRE(figures.size() == 2);
     CHECK(figures[0] == TargetHealth{1, 150, false});
     CHECK(figures[1] == TargetHealth{3, 50, false});
-    // What was seen loses half of its weight in 10 s; the shares stay.
+    // Counters halve within 10 s; ratios do not change.
     board.add({requests(1, 5), requests(2, 10), requests(3, 15)}, kStart + seconds(10));
     CHECK(board.evaluate(state, kStart + seconds(10)).empty());
   }
--- a/tests/unit/test_target_incarnations.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -1,5 +1,5 @@
-/// Lives of targets: one that starts again under its id, in every order in which messages of both
-/// lives can arrive.
+/// Restart of a target under the same id, for every order in which messages of both incarnations
+/// can arrive.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -24,7 +24,7 @@
   target.id = life.id;
   target.started_at_ms = life.started_at_ms;
   target.pool = "alpha";
-  // Each life has a port of its own, so that what is believed shows.
+  // Each incarnation has its own port, which shows the one that was accepted.
   target.address = {10, static_cast<std::uint16_t>(life.started_at_ms == kFirstStart ? 1 : 2)};
   target.zone = "z";
   target.sequence = sequence;
@@ -62,7 +62,7 @@
   }
 }
 
-/// The state after all these, one after the other.
+/// Returns the state after applying the commands in order.
 SteeringState state_after(const std::vector<RegistrationCommand>& commands) {
   SteeringState state;
   for (const auto& command : commands) {
@@ -71,7 +71,7 @@
   return state;
 }
 
-/// All that the two lives and the leader may say, but for what only follows from a silence.
+/// All messages about the two incarnations, except those that only a timeout causes.
 const std::array<RegistrationCommand, 9> kMessages = {
     announced(announcement(kFirstIncarnation, 1)),
     announced(announcement(kFirstIncarnation, 2)),
@@ -84,7 +84,7 @@
     removed(kFirstIncarnation),
 };
 
-/// Runs all orders of some messages, given by their places.
+/// Visits all permutations of some indexes of messages.
 template <typename Visitor>
 void for_each_permutation(std::vector<std::size_t> order, const Visitor& visit) {
   std::sort(order.begin(), order.end());
@@ -152,7 +152,7 @@
         has_second = has_second || is_second;
         latest = is_second ? target->phase : TargetPhase::kReady;
       }
-      // The end of the second life was among them.
+      // The messages include the end of the second incarnation.
       undone += find_target(state, kId)->phase == TargetPhase::kEnded ? 0 : 1;
     });
     constexpr std::size_t kOrders = 362880;  // 9!
@@ -183,7 +183,7 @@
       REQUIRE(find_target(state, kId) != nullptr);
       CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     }
-    // Also within one entry.
+    // The same holds within one log entry.
     RegistrationCommand both = second;
     both.ended.push_back(kFirstIncarnation);
     CHECK(find_target(state_after({first, both}), kId)->phase == TargetPhase::kReady);
