--- a/src/core/control/balancer_ranking.cc
+++ b/src/core/control/balancer_ranking.cc
@@ -40,17 +40,17 @@
   return balancers;
 }
 
-void BalancerRanking::on_ranks_received(const std::vector<RankedBalancer>& told, Instant now) {
+void BalancerRanking::on_ranks_received(const std::vector<RankedBalancer>& ranks, Instant now) {
   std::erase_if(local_last_seen_,
                 [&](const auto& entry) { return now - entry.second > kRankExpiry; });
-  if (told.empty()) {
+  if (ranks.empty()) {
     // A new leader has not assigned ranks yet; keep those of the previous leader.
     return;
   }
   ranks_.clear();
   ranks_updated_at_ = now;
-  for (const auto& one : told) {
-    ranks_[one.balancer] = one.rank;
+  for (const auto& ranked : ranks) {
+    ranks_[ranked.balancer] = ranked.rank;
   }
 }
 
@@ -93,9 +93,9 @@
                                                       Instant now) const {
   std::vector<RankedBalancer> result;
   for (const auto& balancer : balancers) {
-    const BalancerRank place = rank_of(balancer, now);
-    if (place.count > 0) {
-      result.push_back({balancer, place});
+    const BalancerRank current_rank = rank_of(balancer, now);
+    if (current_rank.count > 0) {
+      result.push_back({balancer, current_rank});
     }
   }
   return result;
@@ -103,8 +103,8 @@
 
 BalancerRank BalancerRanking::rank_of(const Endpoint& balancer, Instant now) const {
   const auto found = ranks_.find(balancer);
-  const bool is_told = found != ranks_.end() && now - ranks_updated_at_ < kRankLifetime;
-  return is_told ? found->second : BalancerRank{};
+  const bool is_known = found != ranks_.end() && now - ranks_updated_at_ < kRankLifetime;
+  return is_known ? found->second : BalancerRank{};
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/balancer_ranking.h
+++ b/src/core/control/balancer_ranking.h
@@ -19,7 +19,7 @@
   /// Balancers that recently sent a heartbeat to this replica, for a report to the leader.
   [[nodiscard]] std::vector<Endpoint> local_balancers(Instant now) const;
   /// Stores the ranks that the leader sent to this follower.
-  void on_ranks_received(const std::vector<RankedBalancer>& told, Instant now);
+  void on_ranks_received(const std::vector<RankedBalancer>& ranks, Instant now);
 
   /// Called when this replica becomes the leader.
   void on_elected(Instant now);
--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -66,8 +66,9 @@
   });
   HeartbeatReply reply;
   reply.sequence = heartbeat.sequence;
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(remaining_lease(now));
-  reply.lease_ms = is_member ? static_cast<std::uint32_t>(left.count()) : 0;
+  const auto remaining =
+      std::chrono::duration_cast<std::chrono::milliseconds>(remaining_lease(now));
+  reply.lease_ms = is_member ? static_cast<std::uint32_t>(remaining.count()) : 0;
   reply.may_stop = may_stop_.contains(heartbeat.member.address) ||
                    (!is_member && heartbeat.member.state == MemberState::kLeaving);
   reply.revision = state_.fleet().revision;
@@ -88,8 +89,8 @@
   if (waiting_nodes_.empty() || !replica_->is_current(now)) {
     return;
   }
-  std::erase_if(waiting_nodes_, [&](const auto& one) {
-    const auto& [address, waiting] = one;
+  std::erase_if(waiting_nodes_, [&](const auto& item) {
+    const auto& [address, waiting] = item;
     const HeartbeatReply reply = reply_to(waiting.heartbeat, now);
     // Keep waiting if the balancer has a newer revision, or if the leader has not yet acknowledged
     // a report.
@@ -144,17 +145,18 @@
                         ranking_.ranks_of(report.balancers, now)});
 }
 
-void ControlNode::handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant /*now*/) {
+void ControlNode::handle(const Endpoint& from, const TargetHealthUpdate& new_health,
+                         Instant /*now*/) {
   if (!replica_->is_leader() && from == replica_->leader_address()) {
-    apply_target_health(figures);
+    apply_target_health(new_health);
   }
 }
 
-void ControlNode::apply_target_health(TargetHealthUpdate figures) {
-  const bool is_urgent = figures.unhealthy() != target_health_.unhealthy() ||
-                         figures.unreachable() != target_health_.unreachable();
-  target_health_ = std::move(figures);
-  if (!is_urgent) {
+void ControlNode::apply_target_health(TargetHealthUpdate new_health) {
+  const bool has_changed = new_health.unhealthy() != target_health_.unhealthy() ||
+                           new_health.unreachable() != target_health_.unreachable();
+  target_health_ = std::move(new_health);
+  if (!has_changed) {
     return;
   }
   const auto shared = std::make_shared<const NodeMessage>(target_health_);
@@ -172,22 +174,22 @@
   }
 }
 
-void ControlNode::handle(const Endpoint& from, const RefusingTargets& told, Instant now) {
+void ControlNode::handle(const Endpoint& from, const RefusingTargets& refusing, Instant now) {
   const auto& replicas = replica_->replicas().replicas;
   const bool is_replica = std::any_of(replicas.begin(), replicas.end(),
                                       [&](const auto& replica) { return replica.address == from; });
   if (is_replica) {
-    refusal_relay_.on_relayed(told, now);
+    refusal_relay_.on_relayed(refusing, now);
     relay_refusals(now);
   }
 }
 
 void ControlNode::relay_refusals(Instant now) {
-  const RefusalRelay::Outgoing due = refusal_relay_.take_outgoing(now);
-  for (const auto& message : due.to_replicas) {
+  const RefusalRelay::Outgoing outgoing = refusal_relay_.take_outgoing(now);
+  for (const auto& message : outgoing.to_replicas) {
     send_to_replicas(std::make_shared<const NodeMessage>(message));
   }
-  for (const auto& message : due.to_balancers) {
+  for (const auto& message : outgoing.to_balancers) {
     publisher_.broadcast(std::make_shared<const NodeMessage>(message));
   }
 }
@@ -213,10 +215,10 @@
 
 void ControlNode::report_to_leader(Instant now) {
   const std::optional<Endpoint> leader = replica_->leader_address();
-  const Duration pause = health_aggregator_.has_failures()
-                             ? kFailureReportInterval
-                             : Duration(control_timing::kHeartbeatInterval);
-  if (now - reported_at_ < pause || !leader || replica_->is_leader()) {
+  const Duration interval = health_aggregator_.has_failures()
+                                ? kFailureReportInterval
+                                : Duration(control_timing::kHeartbeatInterval);
+  if (now - reported_at_ < interval || !leader || replica_->is_leader()) {
     return;
   }
   reported_at_ = now;
@@ -224,9 +226,11 @@
   report.observations = health_aggregator_.take_observations(now);
   report.health_version = target_health_.version;
   report.balancers = ranking_.local_balancers(now);
-  for (const auto& [id, heard] : std::exchange(unreported_targets_, {})) {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - heard.received_at);
-    report.targets.push_back({{id, heard.started_at_ms}, static_cast<std::uint32_t>(age.count())});
+  for (const auto& [id, announcement] : std::exchange(unreported_targets_, {})) {
+    const auto age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - announcement.received_at);
+    report.targets.push_back(
+        {{id, announcement.started_at_ms}, static_cast<std::uint32_t>(age.count())});
   }
   reports_sent_[report.sequence] = now;
   if (reports_sent_.size() > kMaxPendingReports) {
@@ -250,9 +254,9 @@
   check_target_timeouts(now);
   update_target_health(now);
   ranking_.assign_ranks(now);
-  const std::vector<Endpoint> stop =
+  const std::vector<Endpoint> stoppable =
       MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
-  may_stop_ = std::set<Endpoint>(stop.begin(), stop.end());
+  may_stop_ = std::set<Endpoint>(stoppable.begin(), stoppable.end());
   if (pending_members_ > replica_->commit_index()) {
     return;
   }
@@ -264,17 +268,18 @@
 }
 
 void ControlNode::update_target_health(Instant now) {
-  const Duration pause =
+  const Duration interval =
       health_aggregator_.has_failures() ? kFailureReportInterval : kHealthInterval;
-  if (now - health_evaluated_at_ < pause) {
+  if (now - health_evaluated_at_ < interval) {
     return;
   }
   health_evaluated_at_ = now;
-  std::vector<TargetHealth> figures = health_aggregator_.evaluate(state_.fleet().steering, now);
-  if (figures != target_health_.targets) {
+  std::vector<TargetHealth> new_health = health_aggregator_.evaluate(state_.fleet().steering, now);
+  if (new_health != target_health_.targets) {
     // Versions are compared for equality only. The term makes those of two leaders differ.
     const std::uint64_t first_of_term = (replica_->term() << kHealthVersionBits) + 1;
-    apply_target_health({std::max(target_health_.version + 1, first_of_term), std::move(figures)});
+    apply_target_health(
+        {std::max(target_health_.version + 1, first_of_term), std::move(new_health)});
   }
 }
 
@@ -295,9 +300,9 @@
 bool ControlNode::is_committed(const EvacuationCommand& command, Instant now) const {
   // A leader with a lease has committed all entries of earlier terms, so only its own proposals can
   // be uncommitted.
-  const bool is_decided = last_evacuation_.term != replica_->term() ||
-                          last_evacuation_.index <= replica_->commit_index();
-  return replica_->has_lease(now) && is_decided &&
+  const bool is_resolved = last_evacuation_.term != replica_->term() ||
+                           last_evacuation_.index <= replica_->commit_index();
+  return replica_->has_lease(now) && is_resolved &&
          is_already_applied(state_.fleet().steering, command);
 }
 
@@ -317,8 +322,8 @@
 }
 
 bool ControlNode::reaches_leader(Instant now) const {
-  const bool is_heard = confirmed_report_ && now - *confirmed_report_ < kReportTimeout;
-  return replica_->is_leader() || is_heard;
+  const bool is_acknowledged = confirmed_report_ && now - *confirmed_report_ < kReportTimeout;
+  return replica_->is_leader() || is_acknowledged;
 }
 
 std::optional<Endpoint> ControlNode::other_leader(Instant now) const {
@@ -343,7 +348,7 @@
   publisher_.push(now);
   notify_waiting_nodes(now);
   std::erase_if(waiting_nodes_,
-                [&](const auto& one) { return now - one.second.at >= kWaitingExpiry; });
+                [&](const auto& item) { return now - item.second.at >= kWaitingExpiry; });
 }
 
 SubmissionResult ControlNode::submit(const SettingsCommand& command, Instant now) {
@@ -387,8 +392,8 @@
   for (const auto& member : state_.fleet().members) {
     ++status.members;
     const NodeEntry* entry = nodes_.find(member.address);
-    const bool in_force = entry != nullptr && entry->status.revision >= status.revision;
-    if (in_force) {
+    const bool is_up_to_date = entry != nullptr && entry->status.revision >= status.revision;
+    if (is_up_to_date) {
       ++status.up_to_date;
     } else {
       status.lagging.push_back(member);
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -103,11 +103,11 @@
                                                      std::optional<TargetStart> started_at_ms,
                                                      TargetStart unix_now_ms) const;
   /// Checks the end of an incarnation against the committed state.
-  [[nodiscard]] AnnouncementStatus check_target_end(const TargetIncarnation& life,
+  [[nodiscard]] AnnouncementStatus check_target_end(const TargetIncarnation& target_incarnation,
                                                     Instant now) const;
   /// Sends registrations to the leader. There is no reply; the log shows whether they are
   /// committed.
-  void forward(const ForwardedRegistrations& said);
+  void forward(const ForwardedRegistrations& registrations);
   /// Returns true if the committed state contains the argument or supersedes it.
   [[nodiscard]] bool is_committed(const RegisteredTarget& announced) const;
   [[nodiscard]] bool is_committed(const TargetIncarnation& ended) const;
@@ -152,9 +152,9 @@
   void report_to_leader(Instant now);
   void run_leader_tasks(Instant now);
   void check_target_timeouts(Instant now);
-  void handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant now);
-  void handle(const Endpoint& from, const ForwardedRegistrations& said, Instant now);
-  void handle(const Endpoint& from, const RefusingTargets& told, Instant now);
+  void handle(const Endpoint& from, const TargetHealthUpdate& new_health, Instant now);
+  void handle(const Endpoint& from, const ForwardedRegistrations& registrations, Instant now);
+  void handle(const Endpoint& from, const RefusingTargets& refusing, Instant now);
   /// Sends the targets that refuse probes to replicas and balancers.
   void relay_refusals(Instant now);
   /// Sends a message to all other replicas.
@@ -165,7 +165,7 @@
   void update_target_health(Instant now);
   /// Stores target health; sends it immediately if the set of unhealthy or unreachable targets
   /// changed.
-  void apply_target_health(TargetHealthUpdate figures);
+  void apply_target_health(TargetHealthUpdate new_health);
   [[nodiscard]] std::optional<TargetHealthUpdate> health_update_since(std::uint64_t edition) const;
   [[nodiscard]] Duration remaining_lease(Instant now) const;
   /// Returns true if this replica is the leader, or if a leader recently acknowledged its reports.
--- a/src/core/control/control_node_targets.cc
+++ b/src/core/control/control_node_targets.cc
@@ -20,16 +20,16 @@
     return AnnouncementStatus::kNotLeader;
   }
   const RegisteredTarget* known = find_target(state_.fleet().steering, announced.id);
-  const bool says_news = changes_registration(announced, known);
+  const bool is_change = changes_registration(announced, known);
   const bool leads = replica_->is_leader();
   // A late duplicate from an earlier incarnation is no heartbeat of the known one.
-  const bool is_believed = says_news || known->incarnation() == announced.incarnation();
-  if (is_believed && leads) {
+  const bool is_accepted = is_change || known->incarnation() == announced.incarnation();
+  if (is_accepted && leads) {
     registrations_.on_announcement(announced.incarnation(), now);
-  } else if (is_believed) {
+  } else if (is_accepted) {
     unreported_targets_[announced.id] = {announced.started_at_ms, now};
   }
-  if (!says_news) {
+  if (!is_change) {
     return AnnouncementStatus::kCommitted;
   }
   return leads ? AnnouncementStatus::kPropose : AnnouncementStatus::kForward;
@@ -45,11 +45,12 @@
   return known == nullptr ? TargetIncarnation{id, unix_now_ms} : known->incarnation();
 }
 
-AnnouncementStatus ControlNode::check_target_end(const TargetIncarnation& life, Instant now) const {
+AnnouncementStatus ControlNode::check_target_end(const TargetIncarnation& target_incarnation,
+                                                 Instant now) const {
   if (!replica_->is_current(now) || !reaches_leader(now)) {
     return AnnouncementStatus::kNotLeader;
   }
-  if (is_committed(life)) {
+  if (is_committed(target_incarnation)) {
     return AnnouncementStatus::kCommitted;
   }
   return replica_->is_leader() ? AnnouncementStatus::kPropose : AnnouncementStatus::kForward;
@@ -70,10 +71,10 @@
          (order == IncarnationOrder::kSame && known->phase == TargetPhase::kEnded);
 }
 
-void ControlNode::forward(const ForwardedRegistrations& said) {
+void ControlNode::forward(const ForwardedRegistrations& registrations) {
   const std::optional<Endpoint> leader = replica_->leader_address();
-  if (leader && !replica_->is_leader() && !said.empty()) {
-    output_.send_node(*leader, said);
+  if (leader && !replica_->is_leader() && !registrations.empty()) {
+    output_.send_node(*leader, registrations);
   }
 }
 
@@ -89,26 +90,29 @@
     return;
   }
   next_timeout_check_ = now + kTimeoutCheckInterval;
-  const RegistrationCommand conclusion =
+  const RegistrationCommand phase_changes =
       registrations_.check_timeouts(state_.fleet().steering, now);
-  if (!conclusion.empty()) {
-    propose(conclusion, now);
+  if (!phase_changes.empty()) {
+    propose(phase_changes, now);
   }
 }
 
-void ControlNode::handle(const Endpoint& /*from*/, const ForwardedRegistrations& said,
+void ControlNode::handle(const Endpoint& /*from*/, const ForwardedRegistrations& registrations,
                          Instant now) {
   if (!replica_->has_lease(now)) {
     return;
   }
-  for (const auto& announced : said.announced) {
+  for (const auto& announced : registrations.announced) {
     if (!is_committed(announced)) {
       registrations_.on_announcement(announced.incarnation(), now);
       forwarded_.announced.push_back(announced);
     }
   }
-  std::copy_if(said.ended.begin(), said.ended.end(), std::back_inserter(forwarded_.ended),
-               [this](const TargetIncarnation& life) { return !is_committed(life); });
+  std::copy_if(registrations.ended.begin(), registrations.ended.end(),
+               std::back_inserter(forwarded_.ended),
+               [this](const TargetIncarnation& target_incarnation) {
+                 return !is_committed(target_incarnation);
+               });
 }
 
 }  // namespace gorsevalve
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -32,7 +32,7 @@
     return send_node(to, *message);
   }
   /// Called when an update is retransmitted to a balancer.
-  virtual void on_update_retransmitted(const UpdateRetransmission& /*repeated*/) {}
+  virtual void on_update_retransmitted(const UpdateRetransmission& /*retransmission*/) {}
 };
 
 /// Faults that a test injects to verify that the invariant checkers detect them. Programs leave all
--- a/src/core/control/node_registry.cc
+++ b/src/core/control/node_registry.cc
@@ -25,8 +25,8 @@
   std::vector<NodeStatus> nodes;
   for (const auto& [address, entry] : nodes_) {
     const Duration age = now - entry.last_seen;
-    const bool counts = entry.status.member.state != MemberState::kObserver;
-    if (counts && entry.is_local && age < control_timing::kMemberTimeout) {
+    const bool is_member = entry.status.member.state != MemberState::kObserver;
+    if (is_member && entry.is_local && age < control_timing::kMemberTimeout) {
       nodes.push_back(entry.status);
       nodes.back().age_ms = static_cast<std::uint32_t>(
           std::chrono::duration_cast<std::chrono::milliseconds>(age).count());
--- a/src/core/control/refusal_relay.cc
+++ b/src/core/control/refusal_relay.cc
@@ -3,11 +3,11 @@
 namespace gorsevalve {
 
 bool RefusalRelay::allows_report(const Endpoint& balancer, Instant now) {
-  ReportWindow& claims = report_windows_[balancer];
-  if (now - claims.started_at >= kReportWindow) {
-    claims = {now, 0};
+  ReportWindow& window = report_windows_[balancer];
+  if (now - window.started_at >= kReportWindow) {
+    window = {now, 0};
   }
-  return ++claims.count <= kMaxReportedTargets;
+  return ++window.count <= kMaxReportedTargets;
 }
 
 bool RefusalRelay::mark_relayed(const std::string& zone, FlowToken token, Instant now) {
@@ -22,27 +22,28 @@
 void RefusalRelay::on_observations(const Endpoint& balancer, const std::string& zone,
                                    const std::vector<TargetObservation>& observations,
                                    Instant now) {
-  for (const auto& seen : observations) {
-    const bool counts = seen.refused_probes > 0 && allows_report(balancer, now);
-    if (counts && mark_relayed(zone, seen.token, now)) {
-      for_replicas_[zone].insert(seen.token);
-      for_balancers_[zone].insert(seen.token);
+  for (const auto& observation : observations) {
+    const bool is_reported = observation.refused_probes > 0 && allows_report(balancer, now);
+    if (is_reported && mark_relayed(zone, observation.token, now)) {
+      for_replicas_[zone].insert(observation.token);
+      for_balancers_[zone].insert(observation.token);
     }
   }
 }
 
-void RefusalRelay::on_relayed(const RefusingTargets& told, Instant now) {
-  for (const FlowToken token : told.targets) {
-    if (mark_relayed(told.zone, token, now)) {
-      for_balancers_[told.zone].insert(token);
+void RefusalRelay::on_relayed(const RefusingTargets& relayed, Instant now) {
+  for (const FlowToken token : relayed.targets) {
+    if (mark_relayed(relayed.zone, token, now)) {
+      for_balancers_[relayed.zone].insert(token);
     }
   }
 }
 
 void RefusalRelay::drop_expired(Instant now) {
-  std::erase_if(relayed_at_, [&](const auto& one) { return now - one.second >= kSuppressionTime; });
+  std::erase_if(relayed_at_,
+                [&](const auto& item) { return now - item.second >= kSuppressionTime; });
   std::erase_if(report_windows_,
-                [&](const auto& one) { return now - one.second.started_at >= kReportWindow; });
+                [&](const auto& item) { return now - item.second.started_at >= kReportWindow; });
 }
 
 std::vector<RefusingTargets> RefusalRelay::take_messages(Pending& pending) {
@@ -54,7 +55,7 @@
     }
     messages.push_back(std::move(message));
   }
-  std::erase_if(pending, [](const auto& one) { return one.second.empty(); });
+  std::erase_if(pending, [](const auto& item) { return item.second.empty(); });
   return messages;
 }
 
--- a/src/core/control/refusal_relay.h
+++ b/src/core/control/refusal_relay.h
@@ -26,7 +26,7 @@
   void on_observations(const Endpoint& balancer, const std::string& zone,
                        const std::vector<TargetObservation>& observations, Instant now);
   /// Handles targets relayed by another replica.
-  void on_relayed(const RefusingTargets& told, Instant now);
+  void on_relayed(const RefusingTargets& relayed, Instant now);
 
   /// Messages that are ready to be sent.
   struct Outgoing {
--- a/src/core/control/registration_delta_builder.cc
+++ b/src/core/control/registration_delta_builder.cc
@@ -31,9 +31,10 @@
   put(std::move(announced));
 }
 
-void RegistrationDeltaBuilder::set_phase(const TargetIncarnation& life, TargetPhase phase) {
-  const RegisteredTarget* known = find_current(life.id);
-  if (known == nullptr || known->incarnation() != life || known->phase >= phase) {
+void RegistrationDeltaBuilder::set_phase(const TargetIncarnation& target_incarnation,
+                                         TargetPhase phase) {
+  const RegisteredTarget* known = find_current(target_incarnation.id);
+  if (known == nullptr || known->incarnation() != target_incarnation || known->phase >= phase) {
     return;
   }
   RegisteredTarget changed = *known;
@@ -41,33 +42,33 @@
   put(std::move(changed));
 }
 
-void RegistrationDeltaBuilder::mark_silent(const TargetIncarnation& life) {
-  set_phase(life, TargetPhase::kSilent);
+void RegistrationDeltaBuilder::mark_silent(const TargetIncarnation& target_incarnation) {
+  set_phase(target_incarnation, TargetPhase::kSilent);
 }
 
-void RegistrationDeltaBuilder::mark_ended(const TargetIncarnation& life) {
-  const RegisteredTarget* known = find_current(life.id);
+void RegistrationDeltaBuilder::mark_ended(const TargetIncarnation& target_incarnation) {
+  const RegisteredTarget* known = find_current(target_incarnation.id);
   const bool is_unknown =
-      known == nullptr ||
-      compare_incarnations(life.started_at_ms, known->started_at_ms) == IncarnationOrder::kLater;
+      known == nullptr || compare_incarnations(target_incarnation.started_at_ms,
+                                               known->started_at_ms) == IncarnationOrder::kLater;
   if (!is_unknown) {
-    set_phase(life, TargetPhase::kEnded);
+    set_phase(target_incarnation, TargetPhase::kEnded);
     return;
   }
   RegisteredTarget ended = known == nullptr ? RegisteredTarget{} : *known;
-  ended.token = known == nullptr ? choose_token(life.id) : known->token;
-  ended.id = life.id;
-  ended.started_at_ms = life.started_at_ms;
+  ended.token = known == nullptr ? choose_token(target_incarnation.id) : known->token;
+  ended.id = target_incarnation.id;
+  ended.started_at_ms = target_incarnation.started_at_ms;
   ended.sequence = 0;
   ended.phase = TargetPhase::kEnded;
   put(std::move(ended));
 }
 
-void RegistrationDeltaBuilder::remove(const TargetIncarnation& life) {
-  const RegisteredTarget* known = find_current(life.id);
-  if (known != nullptr && known->incarnation() == life && known->phase == TargetPhase::kEnded &&
-      !changed_index_.contains(life.id)) {
-    delta_.removed_targets.push_back(life.id);
+void RegistrationDeltaBuilder::remove(const TargetIncarnation& target_incarnation) {
+  const RegisteredTarget* known = find_current(target_incarnation.id);
+  if (known != nullptr && known->incarnation() == target_incarnation &&
+      known->phase == TargetPhase::kEnded && !changed_index_.contains(target_incarnation.id)) {
+    delta_.removed_targets.push_back(target_incarnation.id);
   }
 }
 
@@ -86,12 +87,12 @@
 
 void RegistrationDeltaBuilder::put(RegisteredTarget target) {
   new_tokens_.insert(target.token);
-  const auto [place, is_new] =
+  const auto [position, is_new] =
       changed_index_.try_emplace(target.id, delta_.upserted_targets.size());
   if (is_new) {
     delta_.upserted_targets.push_back(std::move(target));
   } else {
-    delta_.upserted_targets[place->second] = std::move(target);
+    delta_.upserted_targets[position->second] = std::move(target);
   }
 }
 
--- a/src/core/control/registration_delta_builder.h
+++ b/src/core/control/registration_delta_builder.h
@@ -23,19 +23,19 @@
   /// which clients detect faster than a timeout.
   void announce(RegisteredTarget announced);
   /// Marks an incarnation whose heartbeats timed out.
-  void mark_silent(const TargetIncarnation& life);
+  void mark_silent(const TargetIncarnation& target_incarnation);
   /// Marks an incarnation as ended. An unknown incarnation is stored, to reject late announcements
   /// of it.
-  void mark_ended(const TargetIncarnation& life);
+  void mark_ended(const TargetIncarnation& target_incarnation);
   /// Removes an ended incarnation that nothing refers to any more.
-  void remove(const TargetIncarnation& life);
+  void remove(const TargetIncarnation& target_incarnation);
 
   /// Returns the change, or nothing if the state stays the same.
   std::optional<SteeringDelta> take_delta();
 
  private:
   [[nodiscard]] const RegisteredTarget* find_current(TargetId id) const;
-  void set_phase(const TargetIncarnation& life, TargetPhase phase);
+  void set_phase(const TargetIncarnation& target_incarnation, TargetPhase phase);
   [[nodiscard]] FlowToken choose_token(TargetId id) const;
   void put(RegisteredTarget target);
 
--- a/src/core/control/registration_monitor.cc
+++ b/src/core/control/registration_monitor.cc
@@ -10,33 +10,35 @@
   ended_.clear();
 }
 
-void RegistrationMonitor::on_announcement(const TargetIncarnation& life, Instant now) {
-  last_seen_[life.id] = {life.started_at_ms, now};
+void RegistrationMonitor::on_announcement(const TargetIncarnation& target_incarnation,
+                                          Instant now) {
+  last_seen_[target_incarnation.id] = {target_incarnation.started_at_ms, now};
 }
 
-void RegistrationMonitor::on_follower_report(const TargetIncarnation& life, Instant heard_at) {
-  TimedIncarnation& known = last_seen_[life.id];
-  if (life.started_at_ms > known.started_at_ms) {
-    known = {life.started_at_ms, heard_at};
-  } else if (life.started_at_ms == known.started_at_ms) {
-    known.at = std::max(known.at, heard_at);
+void RegistrationMonitor::on_follower_report(const TargetIncarnation& target_incarnation,
+                                             Instant received_at) {
+  TimedIncarnation& known = last_seen_[target_incarnation.id];
+  if (target_incarnation.started_at_ms > known.started_at_ms) {
+    known = {target_incarnation.started_at_ms, received_at};
+  } else if (target_incarnation.started_at_ms == known.started_at_ms) {
+    known.at = std::max(known.at, received_at);
   }
 }
 
 Instant RegistrationMonitor::last_seen(const RegisteredTarget& target) const {
   const auto found = last_seen_.find(target.id);
-  const bool is_heard =
+  const bool is_recorded =
       found != last_seen_.end() && found->second.started_at_ms == target.started_at_ms;
-  return is_heard ? std::max(found->second.at, elected_at_) : elected_at_;
+  return is_recorded ? std::max(found->second.at, elected_at_) : elected_at_;
 }
 
 Instant RegistrationMonitor::ended_at(const RegisteredTarget& target, Instant now) {
-  TimedIncarnation& seen =
+  TimedIncarnation& entry =
       ended_.try_emplace(target.id, TimedIncarnation{target.started_at_ms, now}).first->second;
-  if (seen.started_at_ms != target.started_at_ms) {
-    seen = {target.started_at_ms, now};
+  if (entry.started_at_ms != target.started_at_ms) {
+    entry = {target.started_at_ms, now};
   }
-  return seen.at;
+  return entry.at;
 }
 
 RegistrationCommand RegistrationMonitor::check_timeouts(const SteeringState& state, Instant now) {
@@ -55,9 +57,9 @@
       command.silent.push_back(target.incarnation());
     }
   }
-  for (const TargetIncarnation& life : command.removed) {
-    ended_.erase(life.id);
-    last_seen_.erase(life.id);
+  for (const TargetIncarnation& target_incarnation : command.removed) {
+    ended_.erase(target_incarnation.id);
+    last_seen_.erase(target_incarnation.id);
   }
   return command;
 }
--- a/src/core/control/registration_monitor.h
+++ b/src/core/control/registration_monitor.h
@@ -27,10 +27,10 @@
   void on_elected(Instant now);
   /// Records an announcement received by this replica. Its incarnation is the committed one or is
   /// about to be.
-  void on_announcement(const TargetIncarnation& life, Instant now);
+  void on_announcement(const TargetIncarnation& target_incarnation, Instant now);
   /// Records an announcement reported by a follower. A follower that lags behind may report an
   /// earlier incarnation.
-  void on_follower_report(const TargetIncarnation& life, Instant heard_at);
+  void on_follower_report(const TargetIncarnation& target_incarnation, Instant received_at);
   /// Returns the phase changes that are due; empty if there are none.
   [[nodiscard]] RegistrationCommand check_timeouts(const SteeringState& state, Instant now);
 
--- a/src/core/control/steering_commands.cc
+++ b/src/core/control/steering_commands.cc
@@ -15,11 +15,11 @@
     return frontend;
   }
   std::set<std::string> former(before->former_pools.begin(), before->former_pools.end());
-  for (const auto& part : before->pools) {
-    former.insert(part.pool);
+  for (const auto& weighted_pool : before->pools) {
+    former.insert(weighted_pool.pool);
   }
-  for (const auto& part : frontend.pools) {
-    former.erase(part.pool);
+  for (const auto& weighted_pool : frontend.pools) {
+    former.erase(weighted_pool.pool);
   }
   frontend.former_pools.assign(former.begin(), former.end());
   return frontend;
@@ -58,7 +58,8 @@
   for (const auto& changed : delta.upserted_frontends) {
     replaced.insert(changed.address);
   }
-  std::erase_if(frontends, [&](const Frontend& one) { return replaced.contains(one.address); });
+  std::erase_if(frontends,
+                [&](const Frontend& existing) { return replaced.contains(existing.address); });
   frontends.insert(frontends.end(), delta.upserted_frontends.begin(),
                    delta.upserted_frontends.end());
   std::sort(frontends.begin(), frontends.end(),
@@ -119,20 +120,20 @@
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const RegistrationCommand& command,
                                             const TokenIndex& tokens) {
-  RegistrationDeltaBuilder change(state, tokens);
+  RegistrationDeltaBuilder builder(state, tokens);
   for (const auto& announced : command.announced) {
-    change.announce(announced);
+    builder.announce(announced);
   }
-  for (const TargetIncarnation& life : command.silent) {
-    change.mark_silent(life);
+  for (const TargetIncarnation& incarnation : command.silent) {
+    builder.mark_silent(incarnation);
   }
-  for (const TargetIncarnation& life : command.ended) {
-    change.mark_ended(life);
+  for (const TargetIncarnation& incarnation : command.ended) {
+    builder.mark_ended(incarnation);
   }
-  for (const TargetIncarnation& life : command.removed) {
-    change.remove(life);
+  for (const TargetIncarnation& incarnation : command.removed) {
+    builder.remove(incarnation);
   }
-  return change.take_delta();
+  return builder.take_delta();
 }
 
 void apply_steering_delta(SteeringState& state, const SteeringDelta& delta) {
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -35,9 +35,9 @@
 constexpr double kMinRequestsPerTarget = 8;
 constexpr double kMaxLoadPercent = 250;
 
-int severity(const TargetHealth& figure) {
-  return (figure.is_unreachable ? 2000 : 0) + (figure.is_unhealthy ? 1000 : 0) +
-         std::abs(int{figure.load_percent} - int{TargetHealth::kMeanLoadPercent});
+int severity(const TargetHealth& health) {
+  return (health.is_unreachable ? 2000 : 0) + (health.is_unhealthy ? 1000 : 0) +
+         std::abs(int{health.load_percent} - int{TargetHealth::kMeanLoadPercent});
 }
 
 /// Total of a counter over the targets of a pool.
@@ -50,63 +50,65 @@
 
 }  // namespace
 
-void TargetHealthAggregator::decay(DecayedCounters& sums, Instant now) {
-  const auto passed = static_cast<double>((now - sums.updated_at).count());
-  sums.updated_at = now;
-  const double trouble_left = std::exp2(-passed / kFailureHalfLifeUs);
-  sums.requests *= std::exp2(-passed / kRequestHalfLifeUs);
-  sums.stalled_requests *= trouble_left;
-  sums.new_flows *= trouble_left;
-  sums.unanswered_flows *= trouble_left;
+void TargetHealthAggregator::decay(DecayedCounters& counters, Instant now) {
+  const auto elapsed = static_cast<double>((now - counters.updated_at).count());
+  counters.updated_at = now;
+  const double failure_decay = std::exp2(-elapsed / kFailureHalfLifeUs);
+  counters.requests *= std::exp2(-elapsed / kRequestHalfLifeUs);
+  counters.stalled_requests *= failure_decay;
+  counters.new_flows *= failure_decay;
+  counters.unanswered_flows *= failure_decay;
 }
 
-bool TargetHealthAggregator::record_refused_probes(DecayedCounters& sums, Instant now) {
-  if (!sums.refusals_since || now - sums.last_refusal_at > kMaxRefusalGap) {
-    sums.refusals_since = now;
+bool TargetHealthAggregator::record_refused_probes(DecayedCounters& counters, Instant now) {
+  if (!counters.refusals_since || now - counters.last_refusal_at > kMaxRefusalGap) {
+    counters.refusals_since = now;
   }
-  sums.last_refusal_at = now;
-  return now - *sums.refusals_since >= kMinRefusalDuration;
+  counters.last_refusal_at = now;
+  return now - *counters.refusals_since >= kMinRefusalDuration;
 }
 
 void TargetHealthAggregator::add(const std::vector<TargetObservation>& observations, Instant now) {
-  for (const auto& seen : observations) {
-    DecayedCounters& sums = counters_[seen.token];
-    decay(sums, now);
-    sums.requests += seen.requests;
-    sums.stalled_requests += seen.stalled_requests;
-    sums.new_flows += seen.new_flows;
-    sums.unanswered_flows += seen.unanswered_flows;
+  for (const auto& observed : observations) {
+    DecayedCounters& counters = counters_[observed.token];
+    decay(counters, now);
+    counters.requests += observed.requests;
+    counters.stalled_requests += observed.stalled_requests;
+    counters.new_flows += observed.new_flows;
+    counters.unanswered_flows += observed.unanswered_flows;
     // One reset is sufficient evidence, but unanswered packets may have been lost in the network.
-    const bool is_silent = sums.unanswered_flows >= kUnansweredThreshold &&
-                           sums.unanswered_flows >= kUnansweredRatio * sums.new_flows;
-    const bool is_refusing = seen.refused_probes > 0 && record_refused_probes(sums, now);
-    if (seen.refused_flows > 0 || is_refusing || (seen.unanswered_flows > 0 && is_silent)) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
+    const bool is_unresponsive = counters.unanswered_flows >= kUnansweredThreshold &&
+                                 counters.unanswered_flows >= kUnansweredRatio * counters.new_flows;
+    const bool keeps_refusing = observed.refused_probes > 0 && record_refused_probes(counters, now);
+    if (observed.refused_flows > 0 || keeps_refusing ||
+        (observed.unanswered_flows > 0 && is_unresponsive)) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
     }
-    if (seen.unreachable > 0) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
-      sums.unreachable_until = now + kUnhealthyDuration;
+    if (observed.unreachable > 0) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
+      counters.unreachable_until = now + kUnhealthyDuration;
     }
-    const std::uint32_t troubles = seen.refused_flows + seen.unanswered_flows +
-                                   seen.stalled_requests + seen.unreachable + seen.refused_probes;
-    has_failures_ = has_failures_ || troubles > 0;
-    TargetObservation& fresh = unreported_[seen.token];
-    fresh.token = seen.token;
-    fresh.requests += seen.requests;
-    fresh.stalled_requests += seen.stalled_requests;
-    fresh.new_flows += seen.new_flows;
-    fresh.refused_flows += seen.refused_flows;
-    fresh.unanswered_flows += seen.unanswered_flows;
-    fresh.unreachable += seen.unreachable;
-    fresh.refused_probes += seen.refused_probes;
+    const std::uint32_t failures = observed.refused_flows + observed.unanswered_flows +
+                                   observed.stalled_requests + observed.unreachable +
+                                   observed.refused_probes;
+    has_failures_ = has_failures_ || failures > 0;
+    TargetObservation& unreported = unreported_[observed.token];
+    unreported.token = observed.token;
+    unreported.requests += observed.requests;
+    unreported.stalled_requests += observed.stalled_requests;
+    unreported.new_flows += observed.new_flows;
+    unreported.refused_flows += observed.refused_flows;
+    unreported.unanswered_flows += observed.unanswered_flows;
+    unreported.unreachable += observed.unreachable;
+    unreported.refused_probes += observed.refused_probes;
   }
 }
 
 std::vector<TargetObservation> TargetHealthAggregator::take_observations(Instant now) {
   std::vector<TargetObservation> result;
   result.reserve(unreported_.size());
-  for (const auto& [token, seen] : unreported_) {
-    result.push_back(seen);
+  for (const auto& [token, observed] : unreported_) {
+    result.push_back(observed);
   }
   std::sort(result.begin(), result.end(),
             [](const auto& a, const auto& b) { return a.token < b.token; });
@@ -131,10 +133,11 @@
     if (found == counters_.end() || target.phase != TargetPhase::kReady) {
       continue;
     }
-    DecayedCounters& sums = found->second;
-    const double least = std::max(kStalledThreshold, kStalledMeanRatio * pools[target.pool].mean());
-    if (sums.stalled_requests >= least) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
+    DecayedCounters& counters = found->second;
+    const double threshold =
+        std::max(kStalledThreshold, kStalledMeanRatio * pools[target.pool].mean());
+    if (counters.stalled_requests >= threshold) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
     }
   }
 }
@@ -145,8 +148,8 @@
     if (found == counters_.end()) {
       continue;
     }
-    const TargetStart seen = found->second.started_at_ms.value_or(target.started_at_ms);
-    if (seen == target.started_at_ms) {
+    const TargetStart observed = found->second.started_at_ms.value_or(target.started_at_ms);
+    if (observed == target.started_at_ms) {
       found->second.started_at_ms = target.started_at_ms;
     } else {
       counters_.erase(found);
@@ -161,45 +164,45 @@
   drop_earlier_incarnations(state);
   detect_stalled_targets(state, now);
   std::map<std::string, PoolTotal> pools;
-  absl::flat_hash_map<FlowToken, DecayedCounters> known;
+  absl::flat_hash_map<FlowToken, DecayedCounters> current;
   for (const auto& [id, target] : state.targets) {
     const auto found = counters_.find(target.token);
     if (found == counters_.end() || target.phase == TargetPhase::kEnded) {
       continue;
     }
     decay(found->second, now);
-    known.insert(*found);
+    current.insert(*found);
     if (target.phase == TargetPhase::kReady) {
       pools[target.pool].sum += found->second.requests;
       pools[target.pool].targets += 1;
     }
   }
-  counters_ = std::move(known);
-  std::vector<TargetHealth> figures;
+  counters_ = std::move(current);
+  std::vector<TargetHealth> reported;
   for (const auto& [id, target] : state.targets) {
     const auto found = counters_.find(target.token);
     const double mean = pools[target.pool].mean();
     if (found == counters_.end() || target.phase != TargetPhase::kReady) {
       continue;
     }
-    TargetHealth figure;
-    figure.token = target.token;
-    figure.is_unhealthy = now < found->second.unhealthy_until;
-    figure.is_unreachable = now < found->second.unreachable_until;
+    TargetHealth health;
+    health.token = target.token;
+    health.is_unhealthy = now < found->second.unhealthy_until;
+    health.is_unreachable = now < found->second.unreachable_until;
     if (mean >= kMinRequestsPerTarget) {
       const double percent = TargetHealth::kMeanLoadPercent * found->second.requests / mean;
-      figure.load_percent = static_cast<std::uint8_t>(std::min(percent, kMaxLoadPercent));
+      health.load_percent = static_cast<std::uint8_t>(std::min(percent, kMaxLoadPercent));
     }
-    if (severity(figure) > kLoadTolerancePercent) {
-      figures.push_back(figure);
+    if (severity(health) > kLoadTolerancePercent) {
+      reported.push_back(health);
     }
   }
-  if (figures.size() > kMaxTargets) {
-    std::stable_sort(figures.begin(), figures.end(),
+  if (reported.size() > kMaxTargets) {
+    std::stable_sort(reported.begin(), reported.end(),
                      [](const auto& a, const auto& b) { return severity(a) > severity(b); });
-    figures.resize(kMaxTargets);
+    reported.resize(kMaxTargets);
   }
-  return figures;
+  return reported;
 }
 
 void TargetHealthAggregator::clear() {
--- a/src/core/control/target_health_aggregator.h
+++ b/src/core/control/target_health_aggregator.h
@@ -44,10 +44,10 @@
     Instant unreachable_until;
   };
 
-  static void decay(DecayedCounters& sums, Instant now);
+  static void decay(DecayedCounters& counters, Instant now);
   /// Records refused probes; returns true if they have lasted long enough to indicate that no
   /// process listens on the target's port.
-  static bool record_refused_probes(DecayedCounters& sums, Instant now);
+  static bool record_refused_probes(DecayedCounters& counters, Instant now);
   /// Removes the counters of targets that restarted since.
   void drop_earlier_incarnations(const SteeringState& state);
   /// Marks targets as unhealthy whose requests stall while other targets of their pool respond.
--- a/src/core/control/target_incarnations.cc
+++ b/src/core/control/target_incarnations.cc
@@ -6,12 +6,12 @@
 bool is_same_registration(const RegisteredTarget& announced, const RegisteredTarget& known) {
   // The remaining warm-up time is ignored, which limits the log to two entries per warm-up. An
   // increase means that the target is cold again.
-  const bool is_as_warm = (known.warm_up_ms == 0) == (announced.warm_up_ms == 0) &&
-                          announced.warm_up_ms <= known.warm_up_ms;
-  const bool is_same_place = known.pool == announced.pool && known.address == announced.address &&
-                             known.zone == announced.zone;
-  return is_same_place && known.phase == announced.phase && known.slots == announced.slots &&
-         is_as_warm;
+  const bool has_same_warm_up = (known.warm_up_ms == 0) == (announced.warm_up_ms == 0) &&
+                                announced.warm_up_ms <= known.warm_up_ms;
+  const bool has_same_location = known.pool == announced.pool &&
+                                 known.address == announced.address && known.zone == announced.zone;
+  return has_same_location && known.phase == announced.phase && known.slots == announced.slots &&
+         has_same_warm_up;
 }
 
 bool changes_within_incarnation(const RegisteredTarget& announced, const RegisteredTarget& known) {
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -25,17 +25,17 @@
     SubscribedBalancer balancer(cluster);
     Duration longest_behind{0};
     Duration behind{0};
-    for (int turn = 0; turn < 650; ++turn) {
-      if (turn % 5 == 0) {
-        REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
+    for (int step = 0; step < 650; ++step) {
+      if (step % 5 == 0) {
+        REQUIRE(register_target(cluster.node(leader), 1000 + step, cluster.now()));
       }
       // Drops the updates of a short interval, once.
-      balancer.drops_updates = turn >= 150 && turn < 156;
+      balancer.drops_updates = step >= 150 && step < 156;
       cluster.run(milliseconds(20));
       balancer.exchange();
       const Revision newest = cluster.node(leader).state().fleet().revision;
       behind = balancer.revision() + 1 < newest ? behind + milliseconds(20) : Duration{0};
-      longest_behind = turn < 100 ? Duration{0} : std::max(longest_behind, behind);
+      longest_behind = step < 100 ? Duration{0} : std::max(longest_behind, behind);
     }
     CHECK(longest_behind <= milliseconds(1000));
     CHECK(balancer.refused_updates > 0);
@@ -45,14 +45,14 @@
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     SubscribedBalancer balancer(cluster);
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int step = 0; step < 100; ++step) {
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
     balancer.drops_updates = true;
-    for (int turn = 0; turn < 500; ++turn) {
-      if (turn % 5 == 0) {
-        REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
+    for (int step = 0; step < 500; ++step) {
+      if (step % 5 == 0) {
+        REQUIRE(register_target(cluster.node(leader), 1000 + step, cluster.now()));
       }
       cluster.run(milliseconds(20));
       balancer.exchange();
@@ -61,7 +61,7 @@
     CHECK(balancer.behind_events >= 3);
     CHECK(balancer.behind_events <= 7);
     balancer.drops_updates = false;
-    for (int turn = 0; turn < 60; ++turn) {
+    for (int step = 0; step < 60; ++step) {
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
@@ -102,15 +102,15 @@
         if (i == leader) {
           continue;
         }
-        ForwardedRegistrations said;
+        ForwardedRegistrations registrations;
         for (TargetId id = 1; id <= targets; ++id) {
           RegisteredTarget target = make_announcement(1);
           target.id = 1000 * i + id;
           REQUIRE(cluster.node(i).on_announcement(target, cluster.now()) ==
                   AnnouncementStatus::kForward);
-          said.announced.push_back(target);
+          registrations.announced.push_back(target);
         }
-        cluster.node(i).forward(said);
+        cluster.node(i).forward(registrations);
       }
       cluster.run(milliseconds(200));
       CHECK(cluster.node(leader).replica().commit_index() == before + 1);
@@ -129,19 +129,20 @@
     const std::uint32_t follower = leader == 1 ? 2 : 1;
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
-    const TargetIncarnation life = cluster.node(follower).incarnation_to_end(5, std::nullopt, 1);
-    REQUIRE(cluster.node(follower).check_target_end(life, cluster.now()) ==
+    const TargetIncarnation target_incarnation =
+        cluster.node(follower).incarnation_to_end(5, std::nullopt, 1);
+    REQUIRE(cluster.node(follower).check_target_end(target_incarnation, cluster.now()) ==
             AnnouncementStatus::kForward);
-    CHECK_FALSE(cluster.node(follower).is_committed(life));
-    cluster.node(follower).forward({{}, {life}});
+    CHECK_FALSE(cluster.node(follower).is_committed(target_incarnation));
+    cluster.node(follower).forward({{}, {target_incarnation}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(follower).is_committed(life));
-    CHECK(cluster.node(follower).check_target_end(life, cluster.now()) ==
+    CHECK(cluster.node(follower).is_committed(target_incarnation));
+    CHECK(cluster.node(follower).check_target_end(target_incarnation, cluster.now()) ==
           AnnouncementStatus::kCommitted);
     // A late duplicate of the announcement does not restore the target.
     cluster.node(follower).forward({{make_announcement(9)}, {}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(leader).is_committed(life));
+    CHECK(cluster.node(leader).is_committed(target_incarnation));
   }
 
   TEST_CASE("a replica without a leader forwards nothing") {
@@ -161,7 +162,7 @@
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
-    const auto announce_life = [](TargetStart start, std::uint64_t sequence) {
+    const auto announce_incarnation = [](TargetStart start, std::uint64_t sequence) {
       RegisteredTarget target = make_announcement(sequence);
       target.started_at_ms = start;
       return target;
@@ -172,16 +173,16 @@
       REQUIRE(cluster.node(leader).propose(command, cluster.now()));
       cluster.run(milliseconds(200));
     };
-    REQUIRE(cluster.node(leader).on_announcement(announce_life(100, 900), cluster.now()) ==
+    REQUIRE(cluster.node(leader).on_announcement(announce_incarnation(100, 900), cluster.now()) ==
             AnnouncementStatus::kPropose);
-    commit(announce_life(100, 900));
+    commit(announce_incarnation(100, 900));
     CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
           AnnouncementStatus::kPropose);
-    CHECK(cluster.node(follower).on_announcement(announce_life(200, 1), cluster.now()) ==
+    CHECK(cluster.node(follower).on_announcement(announce_incarnation(200, 1), cluster.now()) ==
           AnnouncementStatus::kForward);
-    REQUIRE(cluster.node(leader).on_announcement(announce_life(200, 1), cluster.now()) ==
+    REQUIRE(cluster.node(leader).on_announcement(announce_incarnation(200, 1), cluster.now()) ==
             AnnouncementStatus::kPropose);
-    commit(announce_life(200, 1));
+    commit(announce_incarnation(200, 1));
     CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
           AnnouncementStatus::kCommitted);
     CHECK(cluster.node(leader).check_target_end({5, 200}, cluster.now()) ==
@@ -190,10 +191,11 @@
     CHECK(cluster.node(leader).incarnation_to_end(6, std::nullopt, 7) == TargetIncarnation{6, 7});
     // Only duplicates of the earlier incarnation arrive from here on.
     for (std::uint64_t sequence = 901; sequence < 904; ++sequence) {
-      CHECK(cluster.node(leader).on_announcement(announce_life(100, sequence), cluster.now()) ==
-            AnnouncementStatus::kCommitted);
+      CHECK(cluster.node(leader).on_announcement(announce_incarnation(100, sequence),
+                                                 cluster.now()) == AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
-      CHECK(cluster.node(follower).on_announcement(announce_life(100, sequence), cluster.now()) ==
+      CHECK(cluster.node(follower).on_announcement(announce_incarnation(100, sequence),
+                                                   cluster.now()) ==
             AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
     }
@@ -224,14 +226,14 @@
     cluster.node(follower).on_node_message({100 + follower, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(400));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      int told = 0;
+      int received = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
         const auto* figures = std::get_if<TargetHealthUpdate>(&message);
-        const bool names_it = figures != nullptr && !figures->targets.empty() &&
-                              figures->targets[0] == TargetHealth{token, 100, true};
-        told += to == Endpoint{100 + i, 6000} && names_it ? 1 : 0;
+        const bool names_target = figures != nullptr && !figures->targets.empty() &&
+                                  figures->targets[0] == TargetHealth{token, 100, true};
+        received += to == Endpoint{100 + i, 6000} && names_target ? 1 : 0;
       }
-      CHECK(told == 1);
+      CHECK(received == 1);
     }
   }
 
@@ -255,14 +257,14 @@
     cluster.node(2).on_node_message({102, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(60));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      int told = 0;
+      int received = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
         const auto* refusing = std::get_if<RefusingTargets>(&message);
-        const bool names_it = refusing != nullptr && refusing->zone == "zone-b" &&
-                              refusing->targets == std::vector<FlowToken>{7};
-        told += to == Endpoint{100 + i, 6000} && names_it ? 1 : 0;
+        const bool names_target = refusing != nullptr && refusing->zone == "zone-b" &&
+                                  refusing->targets == std::vector<FlowToken>{7};
+        received += to == Endpoint{100 + i, 6000} && names_target ? 1 : 0;
       }
-      CHECK(told == 1);
+      CHECK(received == 1);
     }
   }
 
@@ -291,14 +293,14 @@
     }
     cluster.run(std::chrono::seconds(2));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      std::vector<bool> told;
+      std::vector<bool> received;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
         if (const auto* reply = std::get_if<HeartbeatReply>(&message); reply && to.address == 100) {
           CHECK(reply->sequence == 7);
-          told.push_back(reply->is_current);
+          received.push_back(reply->is_current);
         }
       }
-      CHECK(told == std::vector<bool>{false, true});
+      CHECK(received == std::vector<bool>{false, true});
     }
   }
 
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -15,14 +15,14 @@
 const std::string kZone = "zone-a";
 
 std::vector<TargetObservation> refused_probes(FlowToken first, FlowToken last) {
-  std::vector<TargetObservation> seen;
+  std::vector<TargetObservation> observed;
   for (FlowToken token = first; token <= last; ++token) {
-    TargetObservation one;
-    one.token = token;
-    one.refused_probes = 1;
-    seen.push_back(one);
+    TargetObservation observation;
+    observation.token = token;
+    observation.refused_probes = 1;
+    observed.push_back(observation);
   }
-  return seen;
+  return observed;
 }
 
 std::size_t targets_in(const std::vector<RefusingTargets>& messages) {
@@ -55,18 +55,18 @@
   TEST_CASE("what another replica tells goes to the own balancers only") {
     RefusalRelay relay;
     relay.on_relayed({kZone, {5, 6}}, kStart);
-    const auto due = relay.take_outgoing(kStart);
-    CHECK(due.to_replicas.empty());
-    CHECK(targets_in(due.to_balancers) == 2);
+    const auto outgoing = relay.take_outgoing(kStart);
+    CHECK(outgoing.to_replicas.empty());
+    CHECK(targets_in(outgoing.to_balancers) == 2);
   }
 
   TEST_CASE("observations without a refused probe are not passed on") {
     RefusalRelay relay;
-    TargetObservation seen;
-    seen.token = 1;
-    seen.refused_flows = 4;
-    seen.unreachable = 1;
-    relay.on_observations(kBalancer, kZone, {seen}, kStart);
+    TargetObservation observed;
+    observed.token = 1;
+    observed.refused_flows = 4;
+    observed.unreachable = 1;
+    relay.on_observations(kBalancer, kZone, {observed}, kStart);
     CHECK(relay.take_outgoing(kStart).to_replicas.empty());
   }
 
@@ -79,9 +79,9 @@
       const Instant now = kStart + milliseconds(balancer / 10);
       const FlowToken first = 1 + balancer % 100;
       relay.on_observations({balancer, 6000}, kZone, refused_probes(first, first), now);
-      const auto due = relay.take_outgoing(now);
-      messages += due.to_replicas.size();
-      targets += targets_in(due.to_replicas);
+      const auto outgoing = relay.take_outgoing(now);
+      messages += outgoing.to_replicas.size();
+      targets += targets_in(outgoing.to_replicas);
     }
     CHECK(messages <= 6);
     CHECK(targets <= 100);
@@ -102,11 +102,11 @@
 
   TEST_CASE("zones are kept apart, and large messages are split") {
     RefusalRelay relay;
-    RefusingTargets many{"zone-b", {}};
+    RefusingTargets large{"zone-b", {}};
     for (FlowToken token = 1; token <= 300; ++token) {
-      many.targets.push_back(token);
+      large.targets.push_back(token);
     }
-    relay.on_relayed(many, kStart);
+    relay.on_relayed(large, kStart);
     relay.on_relayed({kZone, {1}}, kStart);
     const auto first = relay.take_outgoing(kStart);
     REQUIRE(first.to_balancers.size() == 2);
--- a/tests/unit/test_registration_monitor.cc
+++ b/tests/unit/test_registration_monitor.cc
@@ -64,9 +64,9 @@
     state.targets.at(5).started_at_ms = 200;
     CHECK(monitor.check_timeouts(state, kStart + seconds(100)).empty());
     CHECK(monitor.check_timeouts(state, kStart + seconds(130)).empty());
-    const auto conclusion = monitor.check_timeouts(state, kStart + seconds(221));
-    REQUIRE(conclusion.removed.size() == 1);
-    CHECK(conclusion.removed[0] == TargetIncarnation{5, 200});
+    const auto phase_changes = monitor.check_timeouts(state, kStart + seconds(221));
+    REQUIRE(phase_changes.removed.size() == 1);
+    CHECK(phase_changes.removed[0] == TargetIncarnation{5, 200});
   }
 
   TEST_CASE("a silent target ends in time, and an ended one is forgotten in time") {
--- a/tests/unit/test_target_health_aggregator.cc
+++ b/tests/unit/test_target_health_aggregator.cc
@@ -34,11 +34,11 @@
   return {token, 0, 0, count, refused, unanswered};
 }
 
-bool is_unhealthy(TargetHealthAggregator& board, const SteeringState& state, FlowToken token,
+bool is_unhealthy(TargetHealthAggregator& aggregator, const SteeringState& state, FlowToken token,
                   Instant now) {
-  for (const auto& figure : board.evaluate(state, now)) {
-    if (figure.token == token) {
-      return figure.is_unhealthy;
+  for (const auto& health : aggregator.evaluate(state, now)) {
+    if (health.token == token) {
+      return health.is_unhealthy;
     }
   }
   return false;
@@ -48,77 +48,77 @@
 
 TEST_SUITE("target_health_aggregator") {
   TEST_CASE("one refusal makes a target troubled for some seconds") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(3);
-    CHECK_FALSE(board.has_failures());
-    board.add({new_flows(2, 5, 1, 0)}, kStart);
-    CHECK(board.has_failures());
-    CHECK(is_unhealthy(board, state, 2, kStart));
-    CHECK_FALSE(is_unhealthy(board, state, 1, kStart));
-    CHECK(is_unhealthy(board, state, 2, kStart + seconds(4)));
-    CHECK_FALSE(is_unhealthy(board, state, 2, kStart + seconds(6)));
+    CHECK_FALSE(aggregator.has_failures());
+    aggregator.add({new_flows(2, 5, 1, 0)}, kStart);
+    CHECK(aggregator.has_failures());
+    CHECK(is_unhealthy(aggregator, state, 2, kStart));
+    CHECK_FALSE(is_unhealthy(aggregator, state, 1, kStart));
+    CHECK(is_unhealthy(aggregator, state, 2, kStart + seconds(4)));
+    CHECK_FALSE(is_unhealthy(aggregator, state, 2, kStart + seconds(6)));
   }
 
   TEST_CASE("probes refused over some time make a target troubled, those of one moment do not") {
     const SteeringState state = pool_of(3);
-    const auto troubled_after = [&](const std::vector<int>& refused_at_ms) {
-      TargetHealthAggregator board;
+    const auto unhealthy_after = [&](const std::vector<int>& refused_at_ms) {
+      TargetHealthAggregator aggregator;
       for (const int at : refused_at_ms) {
-        TargetObservation seen;
-        seen.token = 2;
-        seen.refused_probes = 1;
-        board.add({seen}, kStart + milliseconds(at));
-        CHECK(board.has_failures());
+        TargetObservation observed;
+        observed.token = 2;
+        observed.refused_probes = 1;
+        aggregator.add({observed}, kStart + milliseconds(at));
+        CHECK(aggregator.has_failures());
       }
-      return is_unhealthy(board, state, 2, kStart + milliseconds(refused_at_ms.back() + 1));
+      return is_unhealthy(aggregator, state, 2, kStart + milliseconds(refused_at_ms.back() + 1));
     };
-    CHECK_FALSE(troubled_after({0, 1, 2}));
-    CHECK(troubled_after({0, 250, 500}));
+    CHECK_FALSE(unhealthy_after({0, 1, 2}));
+    CHECK(unhealthy_after({0, 250, 500}));
     // A target that is temporarily full at intervals.
-    CHECK_FALSE(troubled_after({0, 1200, 2400}));
+    CHECK_FALSE(unhealthy_after({0, 1200, 2400}));
   }
 
   TEST_CASE("a target that one balancer cannot reach is told of, before all others") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(400);
-    std::vector<TargetObservation> seen;
+    std::vector<TargetObservation> observed;
     for (FlowToken token = 1; token <= 300; ++token) {
-      seen.push_back(new_flows(token, 1, 1, 0));
+      observed.push_back(new_flows(token, 1, 1, 0));
     }
     TargetObservation unreachable;
     unreachable.token = 350;
     unreachable.unreachable = 1;
-    seen.push_back(unreachable);
-    board.add(seen, kStart);
-    CHECK(board.has_failures());
-    const auto figures = board.evaluate(state, kStart);
-    REQUIRE(figures.size() == TargetHealthAggregator::kMaxTargets);
-    CHECK(figures[0].token == 350);
-    CHECK(figures[0].is_unreachable);
-    CHECK(figures[0].is_unhealthy);
-    CHECK_FALSE(figures[1].is_unreachable);
+    observed.push_back(unreachable);
+    aggregator.add(observed, kStart);
+    CHECK(aggregator.has_failures());
+    const auto reported = aggregator.evaluate(state, kStart);
+    REQUIRE(reported.size() == TargetHealthAggregator::kMaxTargets);
+    CHECK(reported[0].token == 350);
+    CHECK(reported[0].is_unreachable);
+    CHECK(reported[0].is_unhealthy);
+    CHECK_FALSE(reported[1].is_unreachable);
     // A follower reports it to the leader.
-    board.add({unreachable}, kStart);
-    CHECK(board.take_observations(kStart).back().unreachable == 1);
+    aggregator.add({unreachable}, kStart);
+    CHECK(aggregator.take_observations(kStart).back().unreachable == 1);
   }
 
   TEST_CASE("what was seen of a target before it started again does not count") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     SteeringState state = pool_of(3);
-    board.add({new_flows(2, 5, 1, 0)}, kStart);
-    CHECK(is_unhealthy(board, state, 2, kStart));
+    aggregator.add({new_flows(2, 5, 1, 0)}, kStart);
+    CHECK(is_unhealthy(aggregator, state, 2, kStart));
     state.targets.at(2).started_at_ms = 1;
-    CHECK_FALSE(is_unhealthy(board, state, 2, kStart));
-    board.add({new_flows(2, 5, 1, 0)}, kStart);
-    CHECK(is_unhealthy(board, state, 2, kStart));
+    CHECK_FALSE(is_unhealthy(aggregator, state, 2, kStart));
+    aggregator.add({new_flows(2, 5, 1, 0)}, kStart);
+    CHECK(is_unhealthy(aggregator, state, 2, kStart));
   }
 
   TEST_CASE("lost packets blame no target, silence does") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(3);
-    board.add({new_flows(1, 40, 0, 2), new_flows(2, 3, 0, 3)}, kStart);
-    CHECK_FALSE(is_unhealthy(board, state, 1, kStart));
-    CHECK(is_unhealthy(board, state, 2, kStart));
+    aggregator.add({new_flows(1, 40, 0, 2), new_flows(2, 3, 0, 3)}, kStart);
+    CHECK_FALSE(is_unhealthy(aggregator, state, 1, kStart));
+    CHECK(is_unhealthy(aggregator, state, 2, kStart));
   }
 
   TEST_CASE("requests that stall blame a target only where the rest of its pool works") {
@@ -138,45 +138,45 @@
   }
 
   TEST_CASE("pressures compare requests with the mean of the pool; the usual ones are not told") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     SteeringState state = pool_of(4);
     state.targets.at(4).phase = TargetPhase::kDraining;
-    board.add({requests(1, 30), requests(2, 20), requests(3, 10), requests(4, 90)}, kStart);
-    const auto figures = board.evaluate(state, kStart);
-    REQUIRE(figures.size() == 2);
-    CHECK(figures[0] == TargetHealth{1, 150, false});
-    CHECK(figures[1] == TargetHealth{3, 50, false});
+    aggregator.add({requests(1, 30), requests(2, 20), requests(3, 10), requests(4, 90)}, kStart);
+    const auto reported = aggregator.evaluate(state, kStart);
+    REQUIRE(reported.size() == 2);
+    CHECK(reported[0] == TargetHealth{1, 150, false});
+    CHECK(reported[1] == TargetHealth{3, 50, false});
     // Counters halve within 10 s; ratios do not change.
-    board.add({requests(1, 5), requests(2, 10), requests(3, 15)}, kStart + seconds(10));
-    CHECK(board.evaluate(state, kStart + seconds(10)).empty());
+    aggregator.add({requests(1, 5), requests(2, 10), requests(3, 15)}, kStart + seconds(10));
+    CHECK(aggregator.evaluate(state, kStart + seconds(10)).empty());
   }
 
   TEST_CASE("of too many figures, troubles and the largest differences are told") {
-    TargetHealthAggregator board;
+    TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(300);
-    std::vector<TargetObservation> seen;
+    std::vector<TargetObservation> observed;
     for (FlowToken token = 1; token <= 300; ++token) {
-      seen.push_back(requests(token, token % 2 == 0 ? 20 : 40));
+      observed.push_back(requests(token, token % 2 == 0 ? 20 : 40));
     }
-    seen.push_back(new_flows(300, 1, 1, 0));
-    seen.push_back(requests(7, 60));
-    board.add(seen, kStart);
-    const auto figures = board.evaluate(state, kStart);
-    REQUIRE(figures.size() == TargetHealthAggregator::kMaxTargets);
-    CHECK(figures[0].token == 300);
-    CHECK(figures[1].token == 7);
+    observed.push_back(new_flows(300, 1, 1, 0));
+    observed.push_back(requests(7, 60));
+    aggregator.add(observed, kStart);
+    const auto reported = aggregator.evaluate(state, kStart);
+    REQUIRE(reported.size() == TargetHealthAggregator::kMaxTargets);
+    CHECK(reported[0].token == 300);
+    CHECK(reported[1].token == 7);
   }
 
   TEST_CASE("a follower adds up what its balancers saw, and tells it once") {
-    TargetHealthAggregator board;
-    board.add({requests(2, 3), new_flows(1, 2, 1, 0)}, kStart);
-    board.add({requests(2, 4)}, kStart + milliseconds(500));
-    const auto seen = board.take_observations(kStart + milliseconds(600));
-    REQUIRE(seen.size() == 2);
-    CHECK(seen[0] == new_flows(1, 2, 1, 0));
-    CHECK(seen[1] == requests(2, 7));
-    CHECK_FALSE(board.has_failures());
-    CHECK(board.take_observations(kStart + milliseconds(700)).empty());
+    TargetHealthAggregator aggregator;
+    aggregator.add({requests(2, 3), new_flows(1, 2, 1, 0)}, kStart);
+    aggregator.add({requests(2, 4)}, kStart + milliseconds(500));
+    const auto observed = aggregator.take_observations(kStart + milliseconds(600));
+    REQUIRE(observed.size() == 2);
+    CHECK(observed[0] == new_flows(1, 2, 1, 0));
+    CHECK(observed[1] == requests(2, 7));
+    CHECK_FALSE(aggregator.has_failures());
+    CHECK(aggregator.take_observations(kStart + milliseconds(700)).empty());
   }
 }
 
--- a/tests/unit/test_target_incarnations.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -18,14 +18,15 @@
 const TargetIncarnation kFirstIncarnation{kId, kFirstStart};
 const TargetIncarnation kSecondIncarnation{kId, kSecondStart};
 
-RegisteredTarget announcement(const TargetIncarnation& life, std::uint64_t sequence,
+RegisteredTarget announcement(const TargetIncarnation& target_incarnation, std::uint64_t sequence,
                               TargetPhase phase = TargetPhase::kReady) {
   RegisteredTarget target;
-  target.id = life.id;
-  target.started_at_ms = life.started_at_ms;
+  target.id = target_incarnation.id;
+  target.started_at_ms = target_incarnation.started_at_ms;
   target.pool = "alpha";
   // Each incarnation has its own port, which shows the one that was accepted.
-  target.address = {10, static_cast<std::uint16_t>(life.started_at_ms == kFirstStart ? 1 : 2)};
+  target.address = {
+      10, static_cast<std::uint16_t>(target_incarnation.started_at_ms == kFirstStart ? 1 : 2)};
   target.zone = "z";
   target.sequence = sequence;
   target.phase = phase;
@@ -38,21 +39,21 @@
   return command;
 }
 
-RegistrationCommand ended(const TargetIncarnation& life) {
+RegistrationCommand ended(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.ended.push_back(life);
+  command.ended.push_back(target_incarnation);
   return command;
 }
 
-RegistrationCommand silent(const TargetIncarnation& life) {
+RegistrationCommand silent(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.silent.push_back(life);
+  command.silent.push_back(target_incarnation);
   return command;
 }
 
-RegistrationCommand removed(const TargetIncarnation& life) {
+RegistrationCommand removed(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.removed.push_back(life);
+  command.removed.push_back(target_incarnation);
   return command;
 }
 
@@ -138,7 +139,7 @@
     std::vector<std::size_t> all(kMessages.size());
     std::iota(all.begin(), all.end(), 0);
     std::size_t orders = 0;
-    std::size_t undone = 0;
+    std::size_t reverted = 0;
     for_each_permutation(all, [&](const std::vector<std::size_t>& order) {
       ++orders;
       SteeringState state;
@@ -148,16 +149,16 @@
         apply(state, kMessages[message]);
         const RegisteredTarget* target = find_target(state, kId);
         const bool is_second = target != nullptr && target->incarnation() == kSecondIncarnation;
-        undone += has_second && (!is_second || target->phase < latest) ? 1 : 0;
+        reverted += has_second && (!is_second || target->phase < latest) ? 1 : 0;
         has_second = has_second || is_second;
         latest = is_second ? target->phase : TargetPhase::kReady;
       }
       // The messages include the end of the second incarnation.
-      undone += find_target(state, kId)->phase == TargetPhase::kEnded ? 0 : 1;
+      reverted += find_target(state, kId)->phase == TargetPhase::kEnded ? 0 : 1;
     });
     constexpr std::size_t kOrders = 362880;  // 9!
     CHECK(orders == kOrders);
-    CHECK(undone == 0);
+    CHECK(reverted == 0);
   }
 
   TEST_CASE("in every order without its end, the second life is ready and all that is believed") {
@@ -177,9 +178,9 @@
   TEST_CASE("conclusions about a life do not touch a later one that came before them in the log") {
     const RegistrationCommand first = announced(announcement(kFirstIncarnation, 7));
     const RegistrationCommand second = announced(announcement(kSecondIncarnation, 1));
-    for (const auto& conclusion :
+    for (const auto& outcome :
          {silent(kFirstIncarnation), ended(kFirstIncarnation), removed(kFirstIncarnation)}) {
-      const SteeringState state = state_after({first, second, conclusion});
+      const SteeringState state = state_after({first, second, outcome});
       REQUIRE(find_target(state, kId) != nullptr);
       CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     }
