--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 TEST_SUITE("control_node") {
-  TEST_CASE("a balancer that missed one update catches up although changes keep coming") {
+  TEST_CASE("a balancer that lost one update catches up during continuous changes") {
     // Guards against a balancer that stays behind after one lost update because each later update
     // counts as in flight.
     Cluster cluster;
@@ -41,7 +41,7 @@
     CHECK(balancer.refused_updates > 0);
   }
 
-  TEST_CASE("a balancer whose updates all get lost says so and asks again, boundedly") {
+  TEST_CASE("a balancer that loses all updates reports the gap and retries at a bounded rate") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     SubscribedBalancer balancer(cluster);
@@ -68,7 +68,8 @@
     CHECK(balancer.revision() == cluster.node(leader).state().fleet().revision);
   }
 
-  TEST_CASE("followers answer for what is committed and report it; news goes to the leader") {
+  TEST_CASE(
+      "followers check committed announcements themselves and forward changes to the leader") {
     // Guards against announcements that all have to be processed by the leader.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
@@ -92,7 +93,7 @@
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
-  TEST_CASE("what followers forward becomes one entry, which tells them what became of it") {
+  TEST_CASE("forwarded registrations are committed in one entry that all replicas apply") {
     // Guards against one connection to the leader, and one log entry, per forwarded target.
     for (const TargetId targets : {50U, 100U, 200U}) {
       Cluster cluster;
@@ -123,7 +124,7 @@
     }
   }
 
-  TEST_CASE("a follower forwards ends, and answers for those that are committed") {
+  TEST_CASE("a follower forwards the end of a target unless it is already committed") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -145,7 +146,7 @@
     CHECK(cluster.node(leader).is_committed(target_incarnation));
   }
 
-  TEST_CASE("a replica without a leader forwards nothing") {
+  TEST_CASE("a replica without a leader does not forward registrations") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -158,7 +159,9 @@
           AnnouncementStatus::kNotLeader);
   }
 
-  TEST_CASE("a target that starts again under its id is news, and its late copies are no sign") {
+  TEST_CASE(
+      "a restart under the same id is a change, and duplicates of the earlier incarnation are no "
+      "heartbeats") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -205,7 +208,8 @@
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
-  TEST_CASE("a target that one balancer saw refuse is told to those of all replicas at once") {
+  TEST_CASE(
+      "a refusal observed by one balancer is sent to the balancers of all replicas immediately") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
@@ -237,7 +241,7 @@
     }
   }
 
-  TEST_CASE("a refused probe is told to the balancers of all replicas, also without a leader") {
+  TEST_CASE("a refused probe is relayed to the balancers of all replicas even without a leader") {
     Cluster cluster;
     for (std::uint32_t i = 1; i <= 3; ++i) {
       NodeHeartbeat heartbeat;
@@ -268,7 +272,7 @@
     }
   }
 
-  TEST_CASE("what somebody who is no replica tells of refusals is not passed on") {
+  TEST_CASE("refusals from a sender that is not a replica are not relayed") {
     Cluster cluster;
     NodeHeartbeat heartbeat;
     heartbeat.member.address = {101, 6000};
@@ -281,7 +285,7 @@
     }
   }
 
-  TEST_CASE("a replica tells those who asked too early when it is current") {
+  TEST_CASE("a replica notifies waiting balancers when it becomes current") {
     Cluster cluster;
     NodeHeartbeat heartbeat;
     heartbeat.sequence = 7;
@@ -304,7 +308,7 @@
     }
   }
 
-  TEST_CASE("an update that many balancers need is made once") {
+  TEST_CASE("an update for many balancers is built only once") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), 5, cluster.now()));
@@ -326,7 +330,7 @@
     CHECK(distinct(cluster.output(leader).shared) == 1);
   }
 
-  TEST_CASE("a whole state is not sent again while it is under way, and is when it was lost") {
+  TEST_CASE("a snapshot in flight is not sent again until it is considered lost") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -36,7 +36,8 @@
 }  // namespace
 
 TEST_SUITE("refusal_relay") {
-  TEST_CASE("the first sign goes at once, what follows within the pause goes together") {
+  TEST_CASE(
+      "the first refusal is sent immediately, and later ones within the interval are batched") {
     RefusalRelay relay;
     relay.on_observations(kBalancer, kZone, refused_probes(1, 1), kStart);
     const auto first = relay.take_outgoing(kStart);
@@ -52,7 +53,7 @@
     CHECK(relay.take_outgoing(kStart + seconds(1)).to_balancers.empty());
   }
 
-  TEST_CASE("what another replica tells goes to the own balancers only") {
+  TEST_CASE("refusals from another replica are relayed only to the local balancers") {
     RefusalRelay relay;
     relay.on_relayed({kZone, {5, 6}}, kStart);
     const auto outgoing = relay.take_outgoing(kStart);
@@ -60,7 +61,7 @@
     CHECK(targets_in(outgoing.to_balancers) == 2);
   }
 
-  TEST_CASE("observations without a refused probe are not passed on") {
+  TEST_CASE("observations without a refused probe are not relayed") {
     RefusalRelay relay;
     TargetObservation observed;
     observed.token = 1;
@@ -70,7 +71,8 @@
     CHECK(relay.take_outgoing(kStart).to_replicas.empty());
   }
 
-  TEST_CASE("messages grow with the targets that refuse, not with the balancers that say so") {
+  TEST_CASE(
+      "the number of messages depends on the refusing targets, not on the reporting balancers") {
     // 100 targets, which refuse 985 balancers within 100 ms.
     RefusalRelay relay;
     std::size_t messages = 0;
@@ -87,7 +89,7 @@
     CHECK(targets <= 100);
   }
 
-  TEST_CASE("a balancer that blames everything is believed about few targets, others go on") {
+  TEST_CASE("reports of one balancer are limited without affecting other balancers") {
     RefusalRelay relay;
     relay.on_observations(kBalancer, kZone, refused_probes(1, 1000), kStart);
     CHECK(targets_in(relay.take_outgoing(kStart).to_balancers) ==
@@ -100,7 +102,7 @@
     CHECK(targets_in(relay.take_outgoing(kStart + milliseconds(1100)).to_balancers) == 1);
   }
 
-  TEST_CASE("zones are kept apart, and large messages are split") {
+  TEST_CASE("zones use separate messages, and large messages are split") {
     RefusalRelay relay;
     RefusingTargets large{"zone-b", {}};
     for (FlowToken token = 1; token <= 300; ++token) {
--- a/tests/unit/test_registration_monitor.cc
+++ b/tests/unit/test_registration_monitor.cc
@@ -23,7 +23,7 @@
 }  // namespace
 
 TEST_SUITE("registration_monitor") {
-  TEST_CASE("one late heartbeat is no evidence; a longer silence is") {
+  TEST_CASE("a target becomes silent after the timeout, not after one late heartbeat") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     monitor.on_announcement({5, 0}, kStart + seconds(1));
@@ -32,7 +32,7 @@
     CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).silent.size() == 1);
   }
 
-  TEST_CASE("a new leader gives every target a full time-out") {
+  TEST_CASE("a new leader gives every target a full timeout") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     monitor.on_announcement({5, 0}, kStart);
@@ -42,7 +42,8 @@
     CHECK(monitor.check_timeouts(state, kStart + seconds(35)).silent.size() == 1);
   }
 
-  TEST_CASE("signs of an earlier life do not keep a later one, wherever they were heard") {
+  TEST_CASE(
+      "announcements of an earlier incarnation do not keep a later one alive on any replica") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     SteeringState state = with_target(TargetPhase::kReady);
@@ -55,7 +56,7 @@
     CHECK(monitor.check_timeouts(state, kStart + milliseconds(5100)).empty());
   }
 
-  TEST_CASE("the end of a later life is remembered for as long as that of the first one") {
+  TEST_CASE("the end of a later incarnation is kept as long as the end of the first") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     SteeringState state = with_target(TargetPhase::kEnded);
@@ -69,7 +70,7 @@
     CHECK(phase_changes.removed[0] == TargetIncarnation{5, 200});
   }
 
-  TEST_CASE("a silent target ends in time, and an ended one is forgotten in time") {
+  TEST_CASE("a silent target ends and an ended target is removed after their timeouts") {
     RegistrationMonitor monitor(kTiming);
     monitor.on_elected(kStart);
     const SteeringState silent = with_target(TargetPhase::kSilent);
--- a/tests/unit/test_steering_commands.cc
+++ b/tests/unit/test_steering_commands.cc
@@ -61,7 +61,7 @@
 }  // namespace
 
 TEST_SUITE("steering_commands") {
-  TEST_CASE("the highest operator version holds; an older or equal one changes nothing") {
+  TEST_CASE("the highest operator version wins; an older or equal version changes nothing") {
     SteeringState state;
     CHECK(apply(state, settings(7, "alpha")));
     CHECK_FALSE(apply(state, settings(7, "beta")));
@@ -72,7 +72,7 @@
     CHECK(state.settings.version == 9);
   }
 
-  TEST_CASE("a frontend remembers the pools that its open flows may be at") {
+  TEST_CASE("a frontend keeps the former pools that its open flows may use") {
     SteeringState state;
     apply(state, settings(1, "alpha"));
     apply(state, settings(2, "beta"));
@@ -87,7 +87,7 @@
     CHECK(state.settings.frontends[0].former_pools.empty());
   }
 
-  TEST_CASE("a late announcement does not undo a later one") {
+  TEST_CASE("an out-of-order announcement does not revert a later one") {
     SteeringState state;
     CHECK(apply(state, announced(announce(5, 1))));
     CHECK(apply(state, announced(announce(5, 4, TargetPhase::kDraining))));
@@ -96,13 +96,13 @@
     CHECK(find_target(state, 5)->phase == TargetPhase::kDraining);
   }
 
-  TEST_CASE("an announcement that says nothing new makes no change") {
+  TEST_CASE("an announcement without a difference makes no change") {
     SteeringState state;
     apply(state, announced(announce(5, 1)));
     CHECK_FALSE(apply(state, announced(announce(5, 2))));
   }
 
-  TEST_CASE("an ended target stays ended, also when its end came first") {
+  TEST_CASE("an ended target stays ended even if the end arrives before the announcement") {
     SteeringState state;
     RegistrationCommand end;
     end.ended = {{5, 0}, {6, 0}};
@@ -113,7 +113,8 @@
     CHECK(find_target(state, 6)->phase == TargetPhase::kEnded);
   }
 
-  TEST_CASE("a silent target that announces itself is ready again; an ended one is forgotten") {
+  TEST_CASE(
+      "a silent target that announces itself becomes ready; only an ended target can be removed") {
     SteeringState state;
     apply(state, announced(announce(5, 1)));
     RegistrationCommand silent;
@@ -132,7 +133,7 @@
     CHECK(find_target(state, 5) == nullptr);
   }
 
-  TEST_CASE("tokens differ between targets, also where their hashes meet, and never change") {
+  TEST_CASE("tokens are unique despite hash collisions and never change") {
     SteeringState state;
     apply(state, announced(announce(1, 1)));
     const FlowToken first = find_target(state, 1)->token;
@@ -147,7 +148,7 @@
     CHECK(find_target(state, 2)->token == kept);
   }
 
-  TEST_CASE("one more target moves and allocates as much among many targets as among few") {
+  TEST_CASE("the moves and allocations of a registration do not depend on the number of targets") {
     // Guards against a cost of one registration that grows with the number of targets.
     for (const TargetId count : {1000U, 2000U, 4000U}) {
       ControlState state(8);
@@ -176,7 +177,7 @@
     }
   }
 
-  TEST_CASE("each kept delta is found by the revision that it is based on") {
+  TEST_CASE("each retained delta is found by its base revision") {
     ControlState state(8);
     for (LogIndex index = 1; index <= ControlState::kMaxDeltas + 40; ++index) {
       // Entries without a change leave gaps between revisions.
@@ -197,7 +198,7 @@
     CHECK(steps == ControlState::kMaxDeltas);
   }
 
-  TEST_CASE("the control state keeps the file as submitted, also over a snapshot") {
+  TEST_CASE("the control state keeps the submitted file across a snapshot") {
     ControlState state(8);
     const SteeringCommand command{settings(3, "alpha"), "{ the file }"};
     state.apply({1, 1, EntryType::kSteering, encode_archive(command)});
@@ -210,7 +211,7 @@
     CHECK(restored.fleet().steering.targets.size() == 1);
   }
 
-  TEST_CASE("a node that follows the deltas has the same state") {
+  TEST_CASE("a node that applies all deltas has the same state") {
     ControlState state(8);
     FleetState node = state.fleet();
     const SteeringCommand command{settings(3, "alpha"), "x"};
--- a/tests/unit/test_target_health_aggregator.cc
+++ b/tests/unit/test_target_health_aggregator.cc
@@ -47,7 +47,7 @@
 }  // namespace
 
 TEST_SUITE("target_health_aggregator") {
-  TEST_CASE("one refusal makes a target troubled for some seconds") {
+  TEST_CASE("one refusal marks a target as unhealthy for several seconds") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(3);
     CHECK_FALSE(aggregator.has_failures());
@@ -59,7 +59,7 @@
     CHECK_FALSE(is_unhealthy(aggregator, state, 2, kStart + seconds(6)));
   }
 
-  TEST_CASE("probes refused over some time make a target troubled, those of one moment do not") {
+  TEST_CASE("only probes refused over a longer time mark a target as unhealthy") {
     const SteeringState state = pool_of(3);
     const auto unhealthy_after = [&](const std::vector<int>& refused_at_ms) {
       TargetHealthAggregator aggregator;
@@ -78,7 +78,7 @@
     CHECK_FALSE(unhealthy_after({0, 1200, 2400}));
   }
 
-  TEST_CASE("a target that one balancer cannot reach is told of, before all others") {
+  TEST_CASE("a target that one balancer cannot reach is reported first") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(400);
     std::vector<TargetObservation> observed;
@@ -102,7 +102,7 @@
     CHECK(aggregator.take_observations(kStart).back().unreachable == 1);
   }
 
-  TEST_CASE("what was seen of a target before it started again does not count") {
+  TEST_CASE("observations from before a restart are dropped") {
     TargetHealthAggregator aggregator;
     SteeringState state = pool_of(3);
     aggregator.add({new_flows(2, 5, 1, 0)}, kStart);
@@ -113,7 +113,7 @@
     CHECK(is_unhealthy(aggregator, state, 2, kStart));
   }
 
-  TEST_CASE("lost packets blame no target, silence does") {
+  TEST_CASE("unanswered flows mark a target as unhealthy, single lost packets do not") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(3);
     aggregator.add({new_flows(1, 40, 0, 2), new_flows(2, 3, 0, 3)}, kStart);
@@ -121,7 +121,7 @@
     CHECK(is_unhealthy(aggregator, state, 2, kStart));
   }
 
-  TEST_CASE("requests that stall blame a target only where the rest of its pool works") {
+  TEST_CASE("stalled requests mark a target as unhealthy only if the rest of its pool responds") {
     const SteeringState state = pool_of(4);
     TargetHealthAggregator one_is_down;
     one_is_down.add({stalled_requests(1, 3), requests(2, 9), requests(3, 9), requests(4, 9)},
@@ -137,7 +137,7 @@
     }
   }
 
-  TEST_CASE("pressures compare requests with the mean of the pool; the usual ones are not told") {
+  TEST_CASE("load is relative to the mean of the pool, and average loads are not reported") {
     TargetHealthAggregator aggregator;
     SteeringState state = pool_of(4);
     state.targets.at(4).phase = TargetPhase::kDraining;
@@ -151,7 +151,7 @@
     CHECK(aggregator.evaluate(state, kStart + seconds(10)).empty());
   }
 
-  TEST_CASE("of too many figures, troubles and the largest differences are told") {
+  TEST_CASE("unhealthy targets and the largest load deviations take precedence at the size limit") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(300);
     std::vector<TargetObservation> observed;
@@ -167,7 +167,7 @@
     CHECK(reported[1].token == 7);
   }
 
-  TEST_CASE("a follower adds up what its balancers saw, and tells it once") {
+  TEST_CASE("a follower sums up the observations of its balancers and reports them once") {
     TargetHealthAggregator aggregator;
     aggregator.add({requests(2, 3), new_flows(1, 2, 1, 0)}, kStart);
     aggregator.add({requests(2, 4)}, kStart + milliseconds(500));
--- a/tests/unit/test_target_incarnations.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -97,14 +97,14 @@
 }  // namespace
 
 TEST_SUITE("target_incarnations") {
-  TEST_CASE("a later start is a later life; none at all is the earliest") {
+  TEST_CASE("a later start time is a later incarnation; an unknown one is the earliest") {
     CHECK(compare_incarnations(2, 1) == IncarnationOrder::kLater);
     CHECK(compare_incarnations(1, 2) == IncarnationOrder::kEarlier);
     CHECK(compare_incarnations(1, 1) == IncarnationOrder::kSame);
     CHECK(compare_incarnations(0, 1) == IncarnationOrder::kEarlier);
   }
 
-  TEST_CASE("a target that starts again is used at once, whatever its earlier life was at") {
+  TEST_CASE("a restarted target is ready immediately in every phase of its earlier incarnation") {
     const RegistrationCommand ready = announced(announcement(kFirstIncarnation, 900));
     const RegistrationCommand draining =
         announced(announcement(kFirstIncarnation, 901, TargetPhase::kDraining));
@@ -127,15 +127,14 @@
     }
   }
 
-  TEST_CASE(
-      "a target keeps its token over its lives, so that it can refuse flows it doesn't hold") {
+  TEST_CASE("a target keeps its token across restarts and can reset flows that it does not know") {
     SteeringState state = state_after({announced(announcement(kFirstIncarnation, 1))});
     const FlowToken token = find_target(state, kId)->token;
     apply(state, announced(announcement(kSecondIncarnation, 1)));
     CHECK(find_target(state, kId)->token == token);
   }
 
-  TEST_CASE("in every order of both lives' messages, nothing of a life undoes a later one") {
+  TEST_CASE("no order of messages lets an incarnation revert a later one") {
     std::vector<std::size_t> all(kMessages.size());
     std::iota(all.begin(), all.end(), 0);
     std::size_t orders = 0;
@@ -161,7 +160,7 @@
     CHECK(reverted == 0);
   }
 
-  TEST_CASE("in every order without its end, the second life is ready and all that is believed") {
+  TEST_CASE("the second incarnation is accepted and ready in every order without its end") {
     for_each_permutation({0, 1, 2, 3, 4, 5, 8}, [&](const std::vector<std::size_t>& order) {
       SteeringState state;
       for (const std::size_t message : order) {
@@ -175,7 +174,7 @@
     });
   }
 
-  TEST_CASE("conclusions about a life do not touch a later one that came before them in the log") {
+  TEST_CASE("a timeout of an incarnation does not affect a later one that precedes it in the log") {
     const RegistrationCommand first = announced(announcement(kFirstIncarnation, 7));
     const RegistrationCommand second = announced(announcement(kSecondIncarnation, 1));
     for (const auto& outcome :
@@ -190,7 +189,8 @@
     CHECK(find_target(state_after({first, both}), kId)->phase == TargetPhase::kReady);
   }
 
-  TEST_CASE("a target whose clock was set back is believed once its earlier life is silent") {
+  TEST_CASE(
+      "a target whose clock was set back is accepted once its earlier incarnation is silent") {
     SteeringState state = state_after({announced(announcement(kSecondIncarnation, 50))});
     apply(state, announced(announcement(kFirstIncarnation, 1)));
     CHECK(find_target(state, kId)->incarnation() == kSecondIncarnation);
@@ -200,7 +200,7 @@
     CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
   }
 
-  TEST_CASE("what was acknowledged of a leaving life is not undone by a late copy") {
+  TEST_CASE("a late duplicate does not revert the acknowledged phase of a leaving incarnation") {
     const SteeringState leaving =
         state_after({announced(announcement(kSecondIncarnation, 1)),
                      announced(announcement(kSecondIncarnation, 2, TargetPhase::kDraining)),
@@ -214,7 +214,7 @@
     CHECK(find_target(gone, kId)->incarnation() == kSecondIncarnation);
   }
 
-  TEST_CASE("of a target that doesn't tell its start, counts alone decide") {
+  TEST_CASE("without a start time, sequence numbers alone determine the order") {
     const TargetIncarnation unknown{kId, 0};
     SteeringState state = state_after({announced(announcement(unknown, 9))});
     apply(state, announced(announcement(unknown, 1, TargetPhase::kDraining)));
