--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -14,7 +14,7 @@
 /// A balancer that waits for an up-to-date replica repeats its heartbeat within this time.
 constexpr Duration kWaitingExpiry = std::chrono::seconds(2);
 /// A follower without an acknowledged report for this long rejects announcements and does not serve
-/// members: the leader may time out what it serves. Equals three report intervals.
+/// members, because the leader may time out its targets and members. Equals three report intervals.
 constexpr Duration kReportTimeout = 3 * control_timing::kHeartbeatInterval;
 /// Interval between two versions of target health.
 constexpr Duration kHealthInterval = std::chrono::milliseconds(2000);
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -98,7 +98,7 @@
   /// is up to date checks it itself and reports the target to the leader.
   AnnouncementStatus on_announcement(const RegisteredTarget& announced, Instant now);
   /// Returns the incarnation that an end message refers to. Without a start time, this is the known
-  /// incarnation; for an unknown target, it is every incarnation up to `unix_now_ms`.
+  /// incarnation. For an unknown target, it covers every incarnation started up to `unix_now_ms`.
   [[nodiscard]] TargetIncarnation incarnation_to_end(TargetId id,
                                                      std::optional<TargetStart> started_at_ms,
                                                      TargetStart unix_now_ms) const;
@@ -111,7 +111,7 @@
   /// Returns true if the committed state contains the argument or supersedes it.
   [[nodiscard]] bool is_committed(const RegisteredTarget& announced) const;
   [[nodiscard]] bool is_committed(const TargetIncarnation& ended) const;
-  /// Returns the address of the leader if another replica leads and was heard from within an
+  /// Returns the address of the leader if another replica leads and sent a message within the last
   /// election timeout.
   [[nodiscard]] std::optional<Endpoint> other_leader(Instant now) const;
   void set_seeds(const std::vector<Endpoint>& seeds) { replica_->set_seeds(seeds); }
@@ -161,7 +161,8 @@
   void send_to_replicas(const SharedNodeMessage& message);
   /// Proposes all registrations forwarded since the last tick in one log entry.
   void propose_forwarded(Instant now);
-  /// Evaluates the aggregated observations and publishes a new version if the result changed.
+  /// Evaluates the aggregated observations and creates a new version of target health if it
+  /// changed.
   void update_target_health(Instant now);
   /// Stores target health; sends it immediately if the set of unhealthy or unreachable targets
   /// changed.
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -40,7 +40,7 @@
 struct ControlFaults {
   bool accept_before_commit = false;
   bool send_older_revisions = false;
-  /// Treats every sent update as in flight, even if the balancer reports a gap.
+  /// Treats every sent update as in flight, regardless of what the balancer reports.
   bool assume_sends_delivered = false;
 };
 
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -25,7 +25,7 @@
   std::uint64_t digest = 0;
   /// Membership revision whose handovers are complete; 0 while a handover is in progress.
   Revision settled_revision = 0;
-  /// False if the balancer does not follow this replica and only wants the reply.
+  /// False if the balancer does not subscribe to this replica and only wants the reply.
   bool wants_update = true;
   /// Observations of targets since the last heartbeat.
   std::vector<TargetObservation> observations{};
@@ -49,7 +49,7 @@
   std::uint32_t lease_ms = 0;
   /// A leaving balancer may stop: all others have completed their handovers.
   bool may_stop = false;
-  /// The replica has everything that the current leader has committed, up to `revision`.
+  /// The replica has applied everything that a live leader has committed, as of `revision`.
   bool is_current = false;
   Revision revision = 0;
   /// Addresses of all replicas, for later connections.
--- a/src/core/control/registration_delta_builder.h
+++ b/src/core/control/registration_delta_builder.h
@@ -1,5 +1,5 @@
-/// Builds the change of the steering state that one registration command makes. The cost is
-/// proportional to the size of the command, not to the number of targets.
+/// Builds the delta of the steering state for one registration command. The cost is proportional to
+/// the size of the command, not to the number of targets.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -30,7 +30,7 @@
   /// Removes an ended incarnation that nothing refers to any more.
   void remove(const TargetIncarnation& target_incarnation);
 
-  /// Returns the change, or nothing if the state stays the same.
+  /// Returns the delta, or nothing if the state does not change.
   std::optional<SteeringDelta> take_delta();
 
  private:
--- a/src/core/control/steering_commands.h
+++ b/src/core/control/steering_commands.h
@@ -50,7 +50,7 @@
 /// Returns the target with this id, or nullptr.
 const RegisteredTarget* find_target(const SteeringState& state, TargetId id);
 
-/// Returns the change that a command makes to a state, or nothing if the command has an older
+/// Returns the delta that a command makes to a state, or nothing if the command has an older
 /// version, is a late duplicate, or changes nothing.
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const SteeringSettings& submitted);
--- a/src/core/control/target_health_aggregator.h
+++ b/src/core/control/target_health_aggregator.h
@@ -13,7 +13,8 @@
 
 class TargetHealthAggregator {
  public:
-  /// Targets in one update; the ones with the largest deviation take precedence.
+  /// Maximum number of targets in one update; unhealthy targets and the largest load deviations
+  /// take precedence.
   static constexpr std::size_t kMaxTargets = 128;
 
   /// Returns and clears the observations collected since the last call, for a report to the leader.
--- a/src/core/control/token_index.h
+++ b/src/core/control/token_index.h
@@ -14,7 +14,7 @@
   explicit TokenIndex(const SteeringState& state);
 
   [[nodiscard]] bool contains(FlowToken token) const { return tokens_.contains(token); }
-  /// Applies a change; `before` is the state without the change.
+  /// Applies a delta; `before` is the state before the delta is applied.
   void apply(const SteeringState& before, const SteeringDelta& delta);
 
  private:
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -57,7 +57,7 @@
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
-    // One request per retry interval of at least 1.5 s, within 10 s.
+    // About one report per 1.5 s or more, within 10 s.
     CHECK(balancer.behind_events >= 3);
     CHECK(balancer.behind_events <= 7);
     balancer.drops_updates = false;
@@ -232,9 +232,9 @@
     for (std::uint32_t i = 1; i <= 3; ++i) {
       int received = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
-        const auto* figures = std::get_if<TargetHealthUpdate>(&message);
-        const bool names_target = figures != nullptr && !figures->targets.empty() &&
-                                  figures->targets[0] == TargetHealth{token, 100, true};
+        const auto* health = std::get_if<TargetHealthUpdate>(&message);
+        const bool names_target = health != nullptr && !health->targets.empty() &&
+                                  health->targets[0] == TargetHealth{token, 100, true};
         received += to == Endpoint{100 + i, 6000} && names_target ? 1 : 0;
       }
       CHECK(received == 1);
--- a/tests/unit/test_target_incarnations.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -174,12 +174,12 @@
     });
   }
 
-  TEST_CASE("a timeout of an incarnation does not affect a later one that precedes it in the log") {
+  TEST_CASE("a change of an incarnation does not affect a later one that precedes it in the log") {
     const RegistrationCommand first = announced(announcement(kFirstIncarnation, 7));
     const RegistrationCommand second = announced(announcement(kSecondIncarnation, 1));
-    for (const auto& outcome :
+    for (const auto& change :
          {silent(kFirstIncarnation), ended(kFirstIncarnation), removed(kFirstIncarnation)}) {
-      const SteeringState state = state_after({first, second, outcome});
+      const SteeringState state = state_after({first, second, change});
       REQUIRE(find_target(state, kId) != nullptr);
       CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     }
