--- a/src/core/control/balancer_ranking.cc
+++ b/src/core/control/balancer_ranking.cc
@@ -32,8 +32,8 @@
 
 std::vector<Endpoint> BalancerRanking::local_balancers(Instant now) const {
   std::vector<Endpoint> balancers;
-  for (const auto& [balancer, heard_at] : local_last_seen_) {
-    if (now - heard_at < kLocalExpiry) {
+  for (const auto& [balancer, seen_at] : local_last_seen_) {
+    if (now - seen_at < kLocalExpiry) {
       balancers.push_back(balancer);
     }
   }
@@ -78,7 +78,7 @@
   // or restart together.
   std::vector<std::pair<std::uint64_t, Endpoint>> order;
   order.reserve(last_seen_.size());
-  for (const auto& [balancer, heard_at] : last_seen_) {
+  for (const auto& [balancer, seen_at] : last_seen_) {
     order.emplace_back(rendezvous_score(packed(balancer), 0, kRankHashSalt), balancer);
   }
   std::sort(order.begin(), order.end());
--- a/src/model/steering.h
+++ b/src/model/steering.h
@@ -59,7 +59,7 @@
   std::string name;
   Endpoint address;
   std::vector<WeightedPool> pools;
-  /// Pools of earlier revisions of this frontend, which the flows opened then still use.
+  /// Pools of earlier revisions of this frontend, which flows opened under them still use.
   std::vector<std::string> former_pools;
   std::uint32_t timeout_ms = 0;
   std::uint32_t latency_objective_ms = 0;
@@ -202,7 +202,7 @@
   }
 
  private:
-  /// Writes a list of targets with the same encoding as a vector.
+  /// Serializes the targets as a list, with the same encoding as a vector of them.
   template <class Archive>
   void serialize_targets(Archive& archive) {
     std::uint64_t count = targets.size();
