--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -11,16 +11,16 @@
 
 constexpr std::size_t kMaxPendingReports = 16;
 constexpr Duration kNodeExpiry = std::chrono::seconds(60);
-/// A balancer that waits to hear that this replica is current asks again within this time.
+/// A balancer that waits for an up-to-date replica repeats its heartbeat within this time.
 constexpr Duration kWaitingExpiry = std::chrono::seconds(2);
-/// A follower whose reports no leader confirmed for this long answers neither targets nor members:
-/// the leader would take them for silent. Three reports.
+/// A follower without an acknowledged report for this long rejects announcements and does not serve
+/// members, because the leader may time out its targets and members. Equals three report intervals.
 constexpr Duration kReportTimeout = 3 * control_timing::kHeartbeatInterval;
-/// Pause between two editions of the figures about targets.
+/// Interval between two versions of target health.
 constexpr Duration kHealthInterval = std::chrono::milliseconds(2000);
-/// The same, and between two reports, while a target has just refused a flow.
+/// Interval between two versions, and between two reports to the leader, after a target failure.
 constexpr Duration kFailureReportInterval = std::chrono::milliseconds(100);
-/// Editions of one term.
+/// Low bits of a version that count the versions of one term.
 constexpr unsigned kHealthVersionBits = 32;
 
 }  // namespace
@@ -34,7 +34,7 @@
       replica_(std::make_unique<Replica>(std::move(config), std::move(first_replicas),
                                          std::move(stored), storage, output, state_, now)),
       publisher_(state_, nodes_, output_),
-      // Replies to reports of an earlier life at this address match none of this one.
+      // A random start keeps replies to an earlier process at this address from matching.
       report_sequence_(config_.random_seed) {}
 
 void ControlNode::on_replica_message(const ReplicaMessage& message, Instant now) {
@@ -58,7 +58,7 @@
 }
 
 HeartbeatReply ControlNode::reply_to(const NodeHeartbeat& heartbeat, Instant now) const {
-  // A lease is for members only: whoever is not in the members, or was removed, has none.
+  // Only current members are granted a lease.
   const auto& members = state_.fleet().members;
   const bool is_member = std::any_of(members.begin(), members.end(), [&](const Member& member) {
     return member.address == heartbeat.member.address &&
@@ -66,13 +66,14 @@
   });
   HeartbeatReply reply;
   reply.sequence = heartbeat.sequence;
-  const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(remaining_lease(now));
-  reply.lease_ms = is_member ? static_cast<std::uint32_t>(left.count()) : 0;
+  const auto remaining =
+      std::chrono::duration_cast<std::chrono::milliseconds>(remaining_lease(now));
+  reply.lease_ms = is_member ? static_cast<std::uint32_t>(remaining.count()) : 0;
   reply.may_stop = may_stop_.contains(heartbeat.member.address) ||
                    (!is_member && heartbeat.member.state == MemberState::kLeaving);
   reply.revision = state_.fleet().revision;
-  // A balancer that holds more proves that this replica is behind, whatever it hears. Members need
-  // the leader's word for their lease; observers need the state only.
+  // A balancer with a newer revision proves that this replica lags behind. Members need the
+  // leader's acknowledgement for their lease; observers only need the state.
   const bool is_served = heartbeat.member.state == MemberState::kObserver || reaches_leader(now);
   reply.is_current = replica_->is_current(now) && is_served && heartbeat.revision <= reply.revision;
   reply.zone = zone_;
@@ -88,10 +89,11 @@
   if (waiting_nodes_.empty() || !replica_->is_current(now)) {
     return;
   }
-  std::erase_if(waiting_nodes_, [&](const auto& one) {
-    const auto& [address, waiting] = one;
+  std::erase_if(waiting_nodes_, [&](const auto& item) {
+    const auto& [address, waiting] = item;
     const HeartbeatReply reply = reply_to(waiting.heartbeat, now);
-    // Not yet for a balancer that holds more, or for a member whose report has no answer.
+    // Keep waiting if the balancer has a newer revision, or if the leader has not yet acknowledged
+    // a report.
     if (reply.is_current) {
       output_.send_node(address, reply);
     }
@@ -143,17 +145,18 @@
                         ranking_.ranks_of(report.balancers, now)});
 }
 
-void ControlNode::handle(const Endpoint& from, const TargetHealthUpdate& figures, Instant /*now*/) {
+void ControlNode::handle(const Endpoint& from, const TargetHealthUpdate& new_health,
+                         Instant /*now*/) {
   if (!replica_->is_leader() && from == replica_->leader_address()) {
-    apply_target_health(figures);
+    apply_target_health(new_health);
   }
 }
 
-void ControlNode::apply_target_health(TargetHealthUpdate figures) {
-  const bool is_urgent = figures.unhealthy() != target_health_.unhealthy() ||
-                         figures.unreachable() != target_health_.unreachable();
-  target_health_ = std::move(figures);
-  if (!is_urgent) {
+void ControlNode::apply_target_health(TargetHealthUpdate new_health) {
+  const bool has_changed = new_health.unhealthy() != target_health_.unhealthy() ||
+                           new_health.unreachable() != target_health_.unreachable();
+  target_health_ = std::move(new_health);
+  if (!has_changed) {
     return;
   }
   const auto shared = std::make_shared<const NodeMessage>(target_health_);
@@ -171,22 +174,22 @@
   }
 }
 
-void ControlNode::handle(const Endpoint& from, const RefusingTargets& told, Instant now) {
+void ControlNode::handle(const Endpoint& from, const RefusingTargets& refusing, Instant now) {
   const auto& replicas = replica_->replicas().replicas;
   const bool is_replica = std::any_of(replicas.begin(), replicas.end(),
                                       [&](const auto& replica) { return replica.address == from; });
   if (is_replica) {
-    refusal_relay_.on_relayed(told, now);
+    refusal_relay_.on_relayed(refusing, now);
     relay_refusals(now);
   }
 }
 
 void ControlNode::relay_refusals(Instant now) {
-  const RefusalRelay::Outgoing due = refusal_relay_.take_outgoing(now);
-  for (const auto& message : due.to_replicas) {
+  const RefusalRelay::Outgoing outgoing = refusal_relay_.take_outgoing(now);
+  for (const auto& message : outgoing.to_replicas) {
     send_to_replicas(std::make_shared<const NodeMessage>(message));
   }
-  for (const auto& message : due.to_balancers) {
+  for (const auto& message : outgoing.to_balancers) {
     publisher_.broadcast(std::make_shared<const NodeMessage>(message));
   }
 }
@@ -212,10 +215,10 @@
 
 void ControlNode::report_to_leader(Instant now) {
   const std::optional<Endpoint> leader = replica_->leader_address();
-  const Duration pause = health_aggregator_.has_failures()
-                             ? kFailureReportInterval
-                             : Duration(control_timing::kHeartbeatInterval);
-  if (now - reported_at_ < pause || !leader || replica_->is_leader()) {
+  const Duration interval = health_aggregator_.has_failures()
+                                ? kFailureReportInterval
+                                : Duration(control_timing::kHeartbeatInterval);
+  if (now - reported_at_ < interval || !leader || replica_->is_leader()) {
     return;
   }
   reported_at_ = now;
@@ -223,9 +226,11 @@
   report.observations = health_aggregator_.take_observations(now);
   report.health_version = target_health_.version;
   report.balancers = ranking_.local_balancers(now);
-  for (const auto& [id, heard] : std::exchange(unreported_targets_, {})) {
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - heard.received_at);
-    report.targets.push_back({{id, heard.started_at_ms}, static_cast<std::uint32_t>(age.count())});
+  for (const auto& [id, announcement] : std::exchange(unreported_targets_, {})) {
+    const auto age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - announcement.received_at);
+    report.targets.push_back(
+        {{id, announcement.started_at_ms}, static_cast<std::uint32_t>(age.count())});
   }
   reports_sent_[report.sequence] = now;
   if (reports_sent_.size() > kMaxPendingReports) {
@@ -249,9 +254,9 @@
   check_target_timeouts(now);
   update_target_health(now);
   ranking_.assign_ranks(now);
-  const std::vector<Endpoint> stop =
+  const std::vector<Endpoint> stoppable =
       MembershipController::members_safe_to_stop(state_.fleet(), nodes_);
-  may_stop_ = std::set<Endpoint>(stop.begin(), stop.end());
+  may_stop_ = std::set<Endpoint>(stoppable.begin(), stoppable.end());
   if (pending_members_ > replica_->commit_index()) {
     return;
   }
@@ -263,17 +268,18 @@
 }
 
 void ControlNode::update_target_health(Instant now) {
-  const Duration pause =
+  const Duration interval =
       health_aggregator_.has_failures() ? kFailureReportInterval : kHealthInterval;
-  if (now - health_evaluated_at_ < pause) {
+  if (now - health_evaluated_at_ < interval) {
     return;
   }
   health_evaluated_at_ = now;
-  std::vector<TargetHealth> figures = health_aggregator_.evaluate(state_.fleet().steering, now);
-  if (figures != target_health_.targets) {
-    // Editions are told apart, not ordered; those of two leaders differ by their terms.
+  std::vector<TargetHealth> new_health = health_aggregator_.evaluate(state_.fleet().steering, now);
+  if (new_health != target_health_.targets) {
+    // Versions are compared for equality only. The term makes those of two leaders differ.
     const std::uint64_t first_of_term = (replica_->term() << kHealthVersionBits) + 1;
-    apply_target_health({std::max(target_health_.version + 1, first_of_term), std::move(figures)});
+    apply_target_health(
+        {std::max(target_health_.version + 1, first_of_term), std::move(new_health)});
   }
 }
 
@@ -292,11 +298,11 @@
 }
 
 bool ControlNode::is_committed(const EvacuationCommand& command, Instant now) const {
-  // A leader with a lease has committed all entries of earlier terms, so what may be under way is
-  // what it proposed itself.
-  const bool is_decided = last_evacuation_.term != replica_->term() ||
-                          last_evacuation_.index <= replica_->commit_index();
-  return replica_->has_lease(now) && is_decided &&
+  // A leader with a lease has committed all entries of earlier terms, so only its own proposals can
+  // be uncommitted.
+  const bool is_resolved = last_evacuation_.term != replica_->term() ||
+                           last_evacuation_.index <= replica_->commit_index();
+  return replica_->has_lease(now) && is_resolved &&
          is_already_applied(state_.fleet().steering, command);
 }
 
@@ -307,7 +313,7 @@
 }
 
 ProposalStatus ControlNode::status(const Proposal& proposal) const {
-  // A leader never replaces its own entries, so while it leads the same term, its index tells.
+  // A leader never overwrites its own entries, so the index identifies the entry within the term.
   if (!replica_->is_leader() || replica_->term() != proposal.term) {
     return ProposalStatus::kUnknown;
   }
@@ -316,8 +322,8 @@
 }
 
 bool ControlNode::reaches_leader(Instant now) const {
-  const bool is_heard = confirmed_report_ && now - *confirmed_report_ < kReportTimeout;
-  return replica_->is_leader() || is_heard;
+  const bool is_acknowledged = confirmed_report_ && now - *confirmed_report_ < kReportTimeout;
+  return replica_->is_leader() || is_acknowledged;
 }
 
 std::optional<Endpoint> ControlNode::other_leader(Instant now) const {
@@ -342,7 +348,7 @@
   publisher_.push(now);
   notify_waiting_nodes(now);
   std::erase_if(waiting_nodes_,
-                [&](const auto& one) { return now - one.second.at >= kWaitingExpiry; });
+                [&](const auto& item) { return now - item.second.at >= kWaitingExpiry; });
 }
 
 SubmissionResult ControlNode::submit(const SettingsCommand& command, Instant now) {
@@ -386,8 +392,8 @@
   for (const auto& member : state_.fleet().members) {
     ++status.members;
     const NodeEntry* entry = nodes_.find(member.address);
-    const bool in_force = entry != nullptr && entry->status.revision >= status.revision;
-    if (in_force) {
+    const bool is_up_to_date = entry != nullptr && entry->status.revision >= status.revision;
+    if (is_up_to_date) {
       ++status.up_to_date;
     } else {
       status.lagging.push_back(member);
--- a/src/core/control/steering_commands.cc
+++ b/src/core/control/steering_commands.cc
@@ -8,27 +8,27 @@
 namespace gorsevalve {
 namespace {
 
-/// The frontend as it will be held: with the pools that its open flows may be at.
+/// Returns the frontend with the pools of earlier revisions, which its open flows may still use.
 Frontend with_former_pools(Frontend frontend, const Frontend* before) {
   frontend.former_pools.clear();
   if (before == nullptr) {
     return frontend;
   }
   std::set<std::string> former(before->former_pools.begin(), before->former_pools.end());
-  for (const auto& part : before->pools) {
-    former.insert(part.pool);
+  for (const auto& weighted_pool : before->pools) {
+    former.insert(weighted_pool.pool);
   }
-  for (const auto& part : frontend.pools) {
-    former.erase(part.pool);
+  for (const auto& weighted_pool : frontend.pools) {
+    former.erase(weighted_pool.pool);
   }
   frontend.former_pools.assign(former.begin(), former.end());
   return frontend;
 }
 
-/// A change of more than this share of a list, inverted, is merged as a whole.
+/// Changes to more than 1 / kMergeDivisor of the list are merged in one pass.
 constexpr std::size_t kMergeDivisor = 8;
 
-/// Where a frontend with this address stands, or would stand.
+/// Returns the position of the frontend with this address, or its insertion point.
 template <typename Frontends>
 auto position_of(Frontends& frontends, const Endpoint& address) {
   return std::lower_bound(
@@ -58,15 +58,16 @@
   for (const auto& changed : delta.upserted_frontends) {
     replaced.insert(changed.address);
   }
-  std::erase_if(frontends, [&](const Frontend& one) { return replaced.contains(one.address); });
+  std::erase_if(frontends,
+                [&](const Frontend& existing) { return replaced.contains(existing.address); });
   frontends.insert(frontends.end(), delta.upserted_frontends.begin(),
                    delta.upserted_frontends.end());
   std::sort(frontends.begin(), frontends.end(),
             [](const Frontend& a, const Frontend& b) { return a.address < b.address; });
 }
 
-/// Puts changed frontends among those of a state, which are ordered by address, and takes removed
-/// ones out. A small change of a long list costs little.
+/// Inserts, replaces and removes frontends in a list ordered by address. A small change of a long
+/// list does not rebuild the list.
 void update_frontends(std::vector<Frontend>& frontends, const SteeringDelta& delta) {
   const std::size_t changes = delta.upserted_frontends.size() + delta.removed_frontends.size();
   if (changes * kMergeDivisor < frontends.size()) {
@@ -119,20 +120,20 @@
 std::optional<SteeringDelta> steering_delta(const SteeringState& state,
                                             const RegistrationCommand& command,
                                             const TokenIndex& tokens) {
-  RegistrationDeltaBuilder change(state, tokens);
+  RegistrationDeltaBuilder builder(state, tokens);
   for (const auto& announced : command.announced) {
-    change.announce(announced);
+    builder.announce(announced);
   }
-  for (const TargetIncarnation& life : command.silent) {
-    change.mark_silent(life);
+  for (const TargetIncarnation& incarnation : command.silent) {
+    builder.mark_silent(incarnation);
   }
-  for (const TargetIncarnation& life : command.ended) {
-    change.mark_ended(life);
+  for (const TargetIncarnation& incarnation : command.ended) {
+    builder.mark_ended(incarnation);
   }
-  for (const TargetIncarnation& life : command.removed) {
-    change.remove(life);
+  for (const TargetIncarnation& incarnation : command.removed) {
+    builder.remove(incarnation);
   }
-  return change.take_delta();
+  return builder.take_delta();
 }
 
 void apply_steering_delta(SteeringState& state, const SteeringDelta& delta) {
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -9,38 +9,38 @@
 namespace gorsevalve {
 namespace {
 
-/// Time in which what was seen loses half of its weight: long enough to count flows that ask now
-/// and then, short enough to follow targets that come and go.
+/// Half-life of the decayed counters. Requests decay slowly, to include flows that rarely send one;
+/// failures decay quickly, to follow targets that fail and recover.
 constexpr double kRequestHalfLifeUs = 10e6;
 constexpr double kFailureHalfLifeUs = 2e6;
-/// A target is silent when this many openings were left unanswered lately, and this share of all.
+/// A target is unresponsive if this many recent flows, and this share of them, were unanswered.
 constexpr double kUnansweredThreshold = 1.5;
 constexpr double kUnansweredRatio = 0.4;
-/// A target is stalled when this many requests got no answer lately, and this multiple of the mean
-/// of its pool: where all are slow, none is to blame.
+/// A target is stalled if this many recent requests stalled and they exceed the mean of its pool by
+/// this factor. If the whole pool is slow, no target is marked.
 constexpr double kStalledThreshold = 1.8;
 constexpr double kStalledMeanRatio = 1.9;
-/// How long a target stays troubled after the last evidence: longer than a flapping target stays
-/// up.
+/// How long a target stays unhealthy after the last failure; longer than the up phase of a flapping
+/// target.
 constexpr Duration kUnhealthyDuration = std::chrono::seconds(5);
-/// A target whose probes are refused over this time is not full for a moment.
+/// Probes refused for at least this long indicate a failure instead of a target that is full.
 constexpr Duration kMinRefusalDuration = std::chrono::milliseconds(400);
-/// Refusals that are further apart than this are of two moments.
+/// Refusals further apart than this do not belong to the same run.
 constexpr Duration kMaxRefusalGap = std::chrono::seconds(1);
-/// Sums that nothing was added to for this long are dropped.
+/// Counters without an observation for this long are removed.
 constexpr Duration kCounterExpiry = std::chrono::seconds(60);
-/// Pressures within this many percent of the usual one are not told.
+/// Loads within this many percent of the mean are not reported.
 constexpr int kLoadTolerancePercent = 3;
-/// A pool needs this many requests in the sums before pressures mean anything.
+/// Mean requests per target that a pool needs before its loads are significant.
 constexpr double kMinRequestsPerTarget = 8;
 constexpr double kMaxLoadPercent = 250;
 
-int severity(const TargetHealth& figure) {
-  return (figure.is_unreachable ? 2000 : 0) + (figure.is_unhealthy ? 1000 : 0) +
-         std::abs(int{figure.load_percent} - int{TargetHealth::kMeanLoadPercent});
+int severity(const TargetHealth& health) {
+  return (health.is_unreachable ? 2000 : 0) + (health.is_unhealthy ? 1000 : 0) +
+         std::abs(int{health.load_percent} - int{TargetHealth::kMeanLoadPercent});
 }
 
-/// A figure over the targets of a pool.
+/// Total of a counter over the targets of a pool.
 struct PoolTotal {
   double sum = 0;
   double targets = 0;
@@ -50,63 +50,65 @@
 
 }  // namespace
 
-void TargetHealthAggregator::decay(DecayedCounters& sums, Instant now) {
-  const auto passed = static_cast<double>((now - sums.updated_at).count());
-  sums.updated_at = now;
-  const double trouble_left = std::exp2(-passed / kFailureHalfLifeUs);
-  sums.requests *= std::exp2(-passed / kRequestHalfLifeUs);
-  sums.stalled_requests *= trouble_left;
-  sums.new_flows *= trouble_left;
-  sums.unanswered_flows *= trouble_left;
+void TargetHealthAggregator::decay(DecayedCounters& counters, Instant now) {
+  const auto elapsed = static_cast<double>((now - counters.updated_at).count());
+  counters.updated_at = now;
+  const double failure_decay = std::exp2(-elapsed / kFailureHalfLifeUs);
+  counters.requests *= std::exp2(-elapsed / kRequestHalfLifeUs);
+  counters.stalled_requests *= failure_decay;
+  counters.new_flows *= failure_decay;
+  counters.unanswered_flows *= failure_decay;
 }
 
-bool TargetHealthAggregator::record_refused_probes(DecayedCounters& sums, Instant now) {
-  if (!sums.refusals_since || now - sums.last_refusal_at > kMaxRefusalGap) {
-    sums.refusals_since = now;
+bool TargetHealthAggregator::record_refused_probes(DecayedCounters& counters, Instant now) {
+  if (!counters.refusals_since || now - counters.last_refusal_at > kMaxRefusalGap) {
+    counters.refusals_since = now;
   }
-  sums.last_refusal_at = now;
-  return now - *sums.refusals_since >= kMinRefusalDuration;
+  counters.last_refusal_at = now;
+  return now - *counters.refusals_since >= kMinRefusalDuration;
 }
 
 void TargetHealthAggregator::add(const std::vector<TargetObservation>& observations, Instant now) {
-  for (const auto& seen : observations) {
-    DecayedCounters& sums = counters_[seen.token];
-    decay(sums, now);
-    sums.requests += seen.requests;
-    sums.stalled_requests += seen.stalled_requests;
-    sums.new_flows += seen.new_flows;
-    sums.unanswered_flows += seen.unanswered_flows;
-    // One refusal tells enough; packets without an answer may have been lost on their way.
-    const bool is_silent = sums.unanswered_flows >= kUnansweredThreshold &&
-                           sums.unanswered_flows >= kUnansweredRatio * sums.new_flows;
-    const bool is_refusing = seen.refused_probes > 0 && record_refused_probes(sums, now);
-    if (seen.refused_flows > 0 || is_refusing || (seen.unanswered_flows > 0 && is_silent)) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
+  for (const auto& observed : observations) {
+    DecayedCounters& counters = counters_[observed.token];
+    decay(counters, now);
+    counters.requests += observed.requests;
+    counters.stalled_requests += observed.stalled_requests;
+    counters.new_flows += observed.new_flows;
+    counters.unanswered_flows += observed.unanswered_flows;
+    // One reset is sufficient evidence, but unanswered packets may have been lost in the network.
+    const bool is_unresponsive = counters.unanswered_flows >= kUnansweredThreshold &&
+                                 counters.unanswered_flows >= kUnansweredRatio * counters.new_flows;
+    const bool keeps_refusing = observed.refused_probes > 0 && record_refused_probes(counters, now);
+    if (observed.refused_flows > 0 || keeps_refusing ||
+        (observed.unanswered_flows > 0 && is_unresponsive)) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
     }
-    if (seen.unreachable > 0) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
-      sums.unreachable_until = now + kUnhealthyDuration;
+    if (observed.unreachable > 0) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
+      counters.unreachable_until = now + kUnhealthyDuration;
     }
-    const std::uint32_t troubles = seen.refused_flows + seen.unanswered_flows +
-                                   seen.stalled_requests + seen.unreachable + seen.refused_probes;
-    has_failures_ = has_failures_ || troubles > 0;
-    TargetObservation& fresh = unreported_[seen.token];
-    fresh.token = seen.token;
-    fresh.requests += seen.requests;
-    fresh.stalled_requests += seen.stalled_requests;
-    fresh.new_flows += seen.new_flows;
-    fresh.refused_flows += seen.refused_flows;
-    fresh.unanswered_flows += seen.unanswered_flows;
-    fresh.unreachable += seen.unreachable;
-    fresh.refused_probes += seen.refused_probes;
+    const std::uint32_t failures = observed.refused_flows + observed.unanswered_flows +
+                                   observed.stalled_requests + observed.unreachable +
+                                   observed.refused_probes;
+    has_failures_ = has_failures_ || failures > 0;
+    TargetObservation& unreported = unreported_[observed.token];
+    unreported.token = observed.token;
+    unreported.requests += observed.requests;
+    unreported.stalled_requests += observed.stalled_requests;
+    unreported.new_flows += observed.new_flows;
+    unreported.refused_flows += observed.refused_flows;
+    unreported.unanswered_flows += observed.unanswered_flows;
+    unreported.unreachable += observed.unreachable;
+    unreported.refused_probes += observed.refused_probes;
   }
 }
 
 std::vector<TargetObservation> TargetHealthAggregator::take_observations(Instant now) {
   std::vector<TargetObservation> result;
   result.reserve(unreported_.size());
-  for (const auto& [token, seen] : unreported_) {
-    result.push_back(seen);
+  for (const auto& [token, observed] : unreported_) {
+    result.push_back(observed);
   }
   std::sort(result.begin(), result.end(),
             [](const auto& a, const auto& b) { return a.token < b.token; });
@@ -131,10 +133,11 @@
     if (found == counters_.end() || target.phase != TargetPhase::kReady) {
       continue;
     }
-    DecayedCounters& sums = found->second;
-    const double least = std::max(kStalledThreshold, kStalledMeanRatio * pools[target.pool].mean());
-    if (sums.stalled_requests >= least) {
-      sums.unhealthy_until = now + kUnhealthyDuration;
+    DecayedCounters& counters = found->second;
+    const double threshold =
+        std::max(kStalledThreshold, kStalledMeanRatio * pools[target.pool].mean());
+    if (counters.stalled_requests >= threshold) {
+      counters.unhealthy_until = now + kUnhealthyDuration;
     }
   }
 }
@@ -145,8 +148,8 @@
     if (found == counters_.end()) {
       continue;
     }
-    const TargetStart seen = found->second.started_at_ms.value_or(target.started_at_ms);
-    if (seen == target.started_at_ms) {
+    const TargetStart observed = found->second.started_at_ms.value_or(target.started_at_ms);
+    if (observed == target.started_at_ms) {
       found->second.started_at_ms = target.started_at_ms;
     } else {
       counters_.erase(found);
@@ -161,45 +164,45 @@
   drop_earlier_incarnations(state);
   detect_stalled_targets(state, now);
   std::map<std::string, PoolTotal> pools;
-  absl::flat_hash_map<FlowToken, DecayedCounters> known;
+  absl::flat_hash_map<FlowToken, DecayedCounters> current;
   for (const auto& [id, target] : state.targets) {
     const auto found = counters_.find(target.token);
     if (found == counters_.end() || target.phase == TargetPhase::kEnded) {
       continue;
     }
     decay(found->second, now);
-    known.insert(*found);
+    current.insert(*found);
     if (target.phase == TargetPhase::kReady) {
       pools[target.pool].sum += found->second.requests;
       pools[target.pool].targets += 1;
     }
   }
-  counters_ = std::move(known);
-  std::vector<TargetHealth> figures;
+  counters_ = std::move(current);
+  std::vector<TargetHealth> reported;
   for (const auto& [id, target] : state.targets) {
     const auto found = counters_.find(target.token);
     const double mean = pools[target.pool].mean();
     if (found == counters_.end() || target.phase != TargetPhase::kReady) {
       continue;
     }
-    TargetHealth figure;
-    figure.token = target.token;
-    figure.is_unhealthy = now < found->second.unhealthy_until;
-    figure.is_unreachable = now < found->second.unreachable_until;
+    TargetHealth health;
+    health.token = target.token;
+    health.is_unhealthy = now < found->second.unhealthy_until;
+    health.is_unreachable = now < found->second.unreachable_until;
     if (mean >= kMinRequestsPerTarget) {
       const double percent = TargetHealth::kMeanLoadPercent * found->second.requests / mean;
-      figure.load_percent = static_cast<std::uint8_t>(std::min(percent, kMaxLoadPercent));
+      health.load_percent = static_cast<std::uint8_t>(std::min(percent, kMaxLoadPercent));
     }
-    if (severity(figure) > kLoadTolerancePercent) {
-      figures.push_back(figure);
+    if (severity(health) > kLoadTolerancePercent) {
+      reported.push_back(health);
     }
   }
-  if (figures.size() > kMaxTargets) {
-    std::stable_sort(figures.begin(), figures.end(),
+  if (reported.size() > kMaxTargets) {
+    std::stable_sort(reported.begin(), reported.end(),
                      [](const auto& a, const auto& b) { return severity(a) > severity(b); });
-    figures.resize(kMaxTargets);
+    reported.resize(kMaxTargets);
   }
-  return figures;
+  return reported;
 }
 
 void TargetHealthAggregator::clear() {
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -17,59 +17,60 @@
 }  // namespace
 
 TEST_SUITE("control_node") {
-  TEST_CASE("a balancer that missed one update catches up although changes keep coming") {
-    // Found on large/ccsc-valve-large, day trouble-1: with nine revisions a second one balancer
-    // stayed behind for 9 s, since each later update counted as under way and did not fit.
+  TEST_CASE("a balancer that lost one update catches up during continuous changes") {
+    // Guards against a balancer that stays behind after one lost update because each later update
+    // counts as in flight.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     SubscribedBalancer balancer(cluster);
     Duration longest_behind{0};
     Duration behind{0};
-    for (int turn = 0; turn < 650; ++turn) {
-      if (turn % 5 == 0) {
-        REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
+    for (int step = 0; step < 650; ++step) {
+      if (step % 5 == 0) {
+        REQUIRE(register_target(cluster.node(leader), 1000 + step, cluster.now()));
       }
-      // Updates of a tenth of a second get lost, once.
-      balancer.drops_updates = turn >= 150 && turn < 156;
+      // Drops the updates of a short interval, once.
+      balancer.drops_updates = step >= 150 && step < 156;
       cluster.run(milliseconds(20));
       balancer.exchange();
       const Revision newest = cluster.node(leader).state().fleet().revision;
       behind = balancer.revision() + 1 < newest ? behind + milliseconds(20) : Duration{0};
-      longest_behind = turn < 100 ? Duration{0} : std::max(longest_behind, behind);
+      longest_behind = step < 100 ? Duration{0} : std::max(longest_behind, behind);
     }
     CHECK(longest_behind <= milliseconds(1000));
     CHECK(balancer.refused_updates > 0);
   }
 
-  TEST_CASE("a balancer whose updates all get lost says so and asks again, boundedly") {
+  TEST_CASE("a balancer that loses all updates reports the gap and retries at a bounded rate") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     SubscribedBalancer balancer(cluster);
-    for (int turn = 0; turn < 100; ++turn) {
+    for (int step = 0; step < 100; ++step) {
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
     balancer.drops_updates = true;
-    for (int turn = 0; turn < 500; ++turn) {
-      if (turn % 5 == 0) {
-        REQUIRE(register_target(cluster.node(leader), 1000 + turn, cluster.now()));
+    for (int step = 0; step < 500; ++step) {
+      if (step % 5 == 0) {
+        REQUIRE(register_target(cluster.node(leader), 1000 + step, cluster.now()));
       }
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
-    // Ten seconds: about once in each 1.5 s or more.
+    // About one report per 1.5 s or more, within 10 s.
     CHECK(balancer.behind_events >= 3);
     CHECK(balancer.behind_events <= 7);
     balancer.drops_updates = false;
-    for (int turn = 0; turn < 60; ++turn) {
+    for (int step = 0; step < 60; ++step) {
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
     CHECK(balancer.revision() == cluster.node(leader).state().fleet().revision);
   }
 
-  TEST_CASE("followers answer for what is committed and report it; news goes to the leader") {
-    // Measured by a sweep: with all announcements at the leader, 3,000 targets took all of it.
+  TEST_CASE(
+      "followers check committed announcements themselves and forward changes to the leader") {
+    // Guards against announcements that all have to be processed by the leader.
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -79,7 +80,7 @@
             AnnouncementStatus::kPropose);
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
-    // From now on the target is heard by a follower only, and stays ready for long.
+    // Only a follower receives announcements from here on; the target stays ready.
     for (std::uint64_t sequence = 2; sequence < 20; ++sequence) {
       CHECK(cluster.node(follower).on_announcement(make_announcement(sequence), cluster.now()) ==
             AnnouncementStatus::kCommitted);
@@ -87,13 +88,13 @@
     }
     const auto& state = cluster.node(leader).state().fleet().steering;
     CHECK(find_target(state, 5)->phase == TargetPhase::kReady);
-    // Then it is heard by nobody.
+    // No replica receives announcements from here on.
     cluster.run(std::chrono::seconds(7));
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
-  TEST_CASE("what followers forward becomes one entry, which tells them what became of it") {
-    // Before: each target was sent to the leader, which then had the connections of all of them.
+  TEST_CASE("forwarded registrations are committed in one entry that all replicas apply") {
+    // Guards against one connection to the leader, and one log entry, per forwarded target.
     for (const TargetId targets : {50U, 100U, 200U}) {
       Cluster cluster;
       const std::uint32_t leader = cluster.elect();
@@ -102,15 +103,15 @@
         if (i == leader) {
           continue;
         }
-        ForwardedRegistrations said;
+        ForwardedRegistrations registrations;
         for (TargetId id = 1; id <= targets; ++id) {
           RegisteredTarget target = make_announcement(1);
           target.id = 1000 * i + id;
           REQUIRE(cluster.node(i).on_announcement(target, cluster.now()) ==
                   AnnouncementStatus::kForward);
-          said.announced.push_back(target);
+          registrations.announced.push_back(target);
         }
-        cluster.node(i).forward(said);
+        cluster.node(i).forward(registrations);
       }
       cluster.run(milliseconds(200));
       CHECK(cluster.node(leader).replica().commit_index() == before + 1);
@@ -123,28 +124,29 @@
     }
   }
 
-  TEST_CASE("a follower forwards ends, and answers for those that are committed") {
+  TEST_CASE("a follower forwards the end of a target unless it is already committed") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
     cluster.run(milliseconds(200));
-    const TargetIncarnation life = cluster.node(follower).incarnation_to_end(5, std::nullopt, 1);
-    REQUIRE(cluster.node(follower).check_target_end(life, cluster.now()) ==
+    const TargetIncarnation target_incarnation =
+        cluster.node(follower).incarnation_to_end(5, std::nullopt, 1);
+    REQUIRE(cluster.node(follower).check_target_end(target_incarnation, cluster.now()) ==
             AnnouncementStatus::kForward);
-    CHECK_FALSE(cluster.node(follower).is_committed(life));
-    cluster.node(follower).forward({{}, {life}});
+    CHECK_FALSE(cluster.node(follower).is_committed(target_incarnation));
+    cluster.node(follower).forward({{}, {target_incarnation}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(follower).is_committed(life));
-    CHECK(cluster.node(follower).check_target_end(life, cluster.now()) ==
+    CHECK(cluster.node(follower).is_committed(target_incarnation));
+    CHECK(cluster.node(follower).check_target_end(target_incarnation, cluster.now()) ==
           AnnouncementStatus::kCommitted);
-    // A late copy of the announcement does not bring it back.
+    // A late duplicate of the announcement does not restore the target.
     cluster.node(follower).forward({{make_announcement(9)}, {}});
     cluster.run(milliseconds(200));
-    CHECK(cluster.node(leader).is_committed(life));
+    CHECK(cluster.node(leader).is_committed(target_incarnation));
   }
 
-  TEST_CASE("a replica without a leader forwards nothing") {
+  TEST_CASE("a replica without a leader does not forward registrations") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
@@ -157,11 +159,13 @@
           AnnouncementStatus::kNotLeader);
   }
 
-  TEST_CASE("a target that starts again under its id is news, and its late copies are no sign") {
+  TEST_CASE(
+      "a restart under the same id is a change, and duplicates of the earlier incarnation are no "
+      "heartbeats") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     const std::uint32_t follower = leader == 1 ? 2 : 1;
-    const auto announce_life = [](TargetStart start, std::uint64_t sequence) {
+    const auto announce_incarnation = [](TargetStart start, std::uint64_t sequence) {
       RegisteredTarget target = make_announcement(sequence);
       target.started_at_ms = start;
       return target;
@@ -172,28 +176,29 @@
       REQUIRE(cluster.node(leader).propose(command, cluster.now()));
       cluster.run(milliseconds(200));
     };
-    REQUIRE(cluster.node(leader).on_announcement(announce_life(100, 900), cluster.now()) ==
+    REQUIRE(cluster.node(leader).on_announcement(announce_incarnation(100, 900), cluster.now()) ==
             AnnouncementStatus::kPropose);
-    commit(announce_life(100, 900));
+    commit(announce_incarnation(100, 900));
     CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
           AnnouncementStatus::kPropose);
-    CHECK(cluster.node(follower).on_announcement(announce_life(200, 1), cluster.now()) ==
+    CHECK(cluster.node(follower).on_announcement(announce_incarnation(200, 1), cluster.now()) ==
           AnnouncementStatus::kForward);
-    REQUIRE(cluster.node(leader).on_announcement(announce_life(200, 1), cluster.now()) ==
+    REQUIRE(cluster.node(leader).on_announcement(announce_incarnation(200, 1), cluster.now()) ==
             AnnouncementStatus::kPropose);
-    commit(announce_life(200, 1));
+    commit(announce_incarnation(200, 1));
     CHECK(cluster.node(leader).check_target_end({5, 100}, cluster.now()) ==
           AnnouncementStatus::kCommitted);
     CHECK(cluster.node(leader).check_target_end({5, 200}, cluster.now()) ==
           AnnouncementStatus::kPropose);
     CHECK(cluster.node(leader).incarnation_to_end(5, std::nullopt, 7) == TargetIncarnation{5, 200});
     CHECK(cluster.node(leader).incarnation_to_end(6, std::nullopt, 7) == TargetIncarnation{6, 7});
-    // Only copies of the earlier life come from now on.
+    // Only duplicates of the earlier incarnation arrive from here on.
     for (std::uint64_t sequence = 901; sequence < 904; ++sequence) {
-      CHECK(cluster.node(leader).on_announcement(announce_life(100, sequence), cluster.now()) ==
-            AnnouncementStatus::kCommitted);
+      CHECK(cluster.node(leader).on_announcement(announce_incarnation(100, sequence),
+                                                 cluster.now()) == AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
-      CHECK(cluster.node(follower).on_announcement(announce_life(100, sequence), cluster.now()) ==
+      CHECK(cluster.node(follower).on_announcement(announce_incarnation(100, sequence),
+                                                   cluster.now()) ==
             AnnouncementStatus::kCommitted);
       cluster.run(milliseconds(500));
     }
@@ -203,7 +208,8 @@
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
   }
 
-  TEST_CASE("a target that one balancer saw refuse is told to those of all replicas at once") {
+  TEST_CASE(
+      "a refusal observed by one balancer is sent to the balancers of all replicas immediately") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
@@ -224,18 +230,18 @@
     cluster.node(follower).on_node_message({100 + follower, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(400));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      int told = 0;
+      int received = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
-        const auto* figures = std::get_if<TargetHealthUpdate>(&message);
-        const bool names_it = figures != nullptr && !figures->targets.empty() &&
-                              figures->targets[0] == TargetHealth{token, 100, true};
-        told += to == Endpoint{100 + i, 6000} && names_it ? 1 : 0;
+        const auto* health = std::get_if<TargetHealthUpdate>(&message);
+        const bool names_target = health != nullptr && !health->targets.empty() &&
+                                  health->targets[0] == TargetHealth{token, 100, true};
+        received += to == Endpoint{100 + i, 6000} && names_target ? 1 : 0;
       }
-      CHECK(told == 1);
+      CHECK(received == 1);
     }
   }
 
-  TEST_CASE("a refused probe is told to the balancers of all replicas, also without a leader") {
+  TEST_CASE("a refused probe is relayed to the balancers of all replicas even without a leader") {
     Cluster cluster;
     for (std::uint32_t i = 1; i <= 3; ++i) {
       NodeHeartbeat heartbeat;
@@ -255,18 +261,18 @@
     cluster.node(2).on_node_message({102, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(60));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      int told = 0;
+      int received = 0;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
         const auto* refusing = std::get_if<RefusingTargets>(&message);
-        const bool names_it = refusing != nullptr && refusing->zone == "zone-b" &&
-                              refusing->targets == std::vector<FlowToken>{7};
-        told += to == Endpoint{100 + i, 6000} && names_it ? 1 : 0;
+        const bool names_target = refusing != nullptr && refusing->zone == "zone-b" &&
+                                  refusing->targets == std::vector<FlowToken>{7};
+        received += to == Endpoint{100 + i, 6000} && names_target ? 1 : 0;
       }
-      CHECK(told == 1);
+      CHECK(received == 1);
     }
   }
 
-  TEST_CASE("what somebody who is no replica tells of refusals is not passed on") {
+  TEST_CASE("refusals from a sender that is not a replica are not relayed") {
     Cluster cluster;
     NodeHeartbeat heartbeat;
     heartbeat.member.address = {101, 6000};
@@ -279,7 +285,7 @@
     }
   }
 
-  TEST_CASE("a replica tells those who asked too early when it is current") {
+  TEST_CASE("a replica notifies waiting balancers when it becomes current") {
     Cluster cluster;
     NodeHeartbeat heartbeat;
     heartbeat.sequence = 7;
@@ -291,18 +297,18 @@
     }
     cluster.run(std::chrono::seconds(2));
     for (std::uint32_t i = 1; i <= 3; ++i) {
-      std::vector<bool> told;
+      std::vector<bool> received;
       for (const auto& [to, message] : cluster.output(i).to_nodes) {
         if (const auto* reply = std::get_if<HeartbeatReply>(&message); reply && to.address == 100) {
           CHECK(reply->sequence == 7);
-          told.push_back(reply->is_current);
+          received.push_back(reply->is_current);
         }
       }
-      CHECK(told == std::vector<bool>{false, true});
+      CHECK(received == std::vector<bool>{false, true});
     }
   }
 
-  TEST_CASE("an update that many balancers need is made once") {
+  TEST_CASE("an update for many balancers is built only once") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), 5, cluster.now()));
@@ -316,7 +322,7 @@
     }
     CHECK(cluster.output(leader).shared.size() == 50);
     CHECK(distinct(cluster.output(leader).shared) == 1);
-    // A change goes to all of them as one message, too.
+    // A delta is sent to all of them as one shared message, too.
     cluster.output(leader).shared.clear();
     REQUIRE(register_target(cluster.node(leader), 6, cluster.now()));
     cluster.run(milliseconds(200));
@@ -324,7 +330,7 @@
     CHECK(distinct(cluster.output(leader).shared) == 1);
   }
 
-  TEST_CASE("a whole state is not sent again while it is under way, and is when it was lost") {
+  TEST_CASE("a snapshot in flight is not sent again until it is considered lost") {
     Cluster cluster;
     const std::uint32_t leader = cluster.elect();
     REQUIRE(register_target(cluster.node(leader), make_announcement(1).id, cluster.now()));
@@ -347,7 +353,7 @@
     CHECK(updates_after(milliseconds(100)) == 0);
     CHECK(updates_after(milliseconds(100)) == 0);
     CHECK(updates_after(milliseconds(700)) == 1);
-    // A restarted node gets it at once.
+    // A restarted node receives the snapshot immediately.
     heartbeat.member.incarnation = 10;
     CHECK(updates_after(milliseconds(20)) == 1);
   }
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -15,14 +15,14 @@
 const std::string kZone = "zone-a";
 
 std::vector<TargetObservation> refused_probes(FlowToken first, FlowToken last) {
-  std::vector<TargetObservation> seen;
+  std::vector<TargetObservation> observed;
   for (FlowToken token = first; token <= last; ++token) {
-    TargetObservation one;
-    one.token = token;
-    one.refused_probes = 1;
-    seen.push_back(one);
+    TargetObservation observation;
+    observation.token = token;
+    observation.refused_probes = 1;
+    observed.push_back(observation);
   }
-  return seen;
+  return observed;
 }
 
 std::size_t targets_in(const std::vector<RefusingTargets>& messages) {
@@ -36,7 +36,8 @@
 }  // namespace
 
 TEST_SUITE("refusal_relay") {
-  TEST_CASE("the first sign goes at once, what follows within the pause goes together") {
+  TEST_CASE(
+      "the first refusal is sent immediately, and later ones within the interval are batched") {
     RefusalRelay relay;
     relay.on_observations(kBalancer, kZone, refused_probes(1, 1), kStart);
     const auto first = relay.take_outgoing(kStart);
@@ -52,26 +53,27 @@
     CHECK(relay.take_outgoing(kStart + seconds(1)).to_balancers.empty());
   }
 
-  TEST_CASE("what another replica tells goes to the own balancers only") {
+  TEST_CASE("refusals from another replica are relayed only to the local balancers") {
     RefusalRelay relay;
     relay.on_relayed({kZone, {5, 6}}, kStart);
-    const auto due = relay.take_outgoing(kStart);
-    CHECK(due.to_replicas.empty());
-    CHECK(targets_in(due.to_balancers) == 2);
+    const auto outgoing = relay.take_outgoing(kStart);
+    CHECK(outgoing.to_replicas.empty());
+    CHECK(targets_in(outgoing.to_balancers) == 2);
   }
 
-  TEST_CASE("observations without a refused probe are not passed on") {
+  TEST_CASE("observations without a refused probe are not relayed") {
     RefusalRelay relay;
-    TargetObservation seen;
-    seen.token = 1;
-    seen.refused_flows = 4;
-    seen.unreachable = 1;
-    relay.on_observations(kBalancer, kZone, {seen}, kStart);
+    TargetObservation observed;
+    observed.token = 1;
+    observed.refused_flows = 4;
+    observed.unreachable = 1;
+    relay.on_observations(kBalancer, kZone, {observed}, kStart);
     CHECK(relay.take_outgoing(kStart).to_replicas.empty());
   }
 
-  TEST_CASE("messages grow with the targets that refuse, not with the balancers that say so") {
-    // A third of 300 targets, each refusing each of 985 balancers within 100 ms.
+  TEST_CASE(
+      "the number of messages depends on the refusing targets, not on the reporting balancers") {
+    // 100 targets, which refuse 985 balancers within 100 ms.
     RefusalRelay relay;
     std::size_t messages = 0;
     std::size_t targets = 0;
@@ -79,15 +81,15 @@
       const Instant now = kStart + milliseconds(balancer / 10);
       const FlowToken first = 1 + balancer % 100;
       relay.on_observations({balancer, 6000}, kZone, refused_probes(first, first), now);
-      const auto due = relay.take_outgoing(now);
-      messages += due.to_replicas.size();
-      targets += targets_in(due.to_replicas);
+      const auto outgoing = relay.take_outgoing(now);
+      messages += outgoing.to_replicas.size();
+      targets += targets_in(outgoing.to_replicas);
     }
     CHECK(messages <= 6);
     CHECK(targets <= 100);
   }
 
-  TEST_CASE("a balancer that blames everything is believed about few targets, others go on") {
+  TEST_CASE("reports of one balancer are limited without affecting other balancers") {
     RefusalRelay relay;
     relay.on_observations(kBalancer, kZone, refused_probes(1, 1000), kStart);
     CHECK(targets_in(relay.take_outgoing(kStart).to_balancers) ==
@@ -100,13 +102,13 @@
     CHECK(targets_in(relay.take_outgoing(kStart + milliseconds(1100)).to_balancers) == 1);
   }
 
-  TEST_CASE("zones are kept apart, and large messages are split") {
+  TEST_CASE("zones use separate messages, and large messages are split") {
     RefusalRelay relay;
-    RefusingTargets many{"zone-b", {}};
+    RefusingTargets large{"zone-b", {}};
     for (FlowToken token = 1; token <= 300; ++token) {
-      many.targets.push_back(token);
+      large.targets.push_back(token);
     }
-    relay.on_relayed(many, kStart);
+    relay.on_relayed(large, kStart);
     relay.on_relayed({kZone, {1}}, kStart);
     const auto first = relay.take_outgoing(kStart);
     REQUIRE(first.to_balancers.size() == 2);
--- a/tests/unit/test_target_incarnations.cc
+++ b/tests/unit/test_target_incarnations.cc
@@ -1,5 +1,5 @@
-/// Lives of targets: one that starts again under its id, in every order in which messages of both
-/// lives can arrive.
+/// Restart of a target under the same id, for every order in which messages of both incarnations
+/// can arrive.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -18,14 +18,15 @@
 const TargetIncarnation kFirstIncarnation{kId, kFirstStart};
 const TargetIncarnation kSecondIncarnation{kId, kSecondStart};
 
-RegisteredTarget announcement(const TargetIncarnation& life, std::uint64_t sequence,
+RegisteredTarget announcement(const TargetIncarnation& target_incarnation, std::uint64_t sequence,
                               TargetPhase phase = TargetPhase::kReady) {
   RegisteredTarget target;
-  target.id = life.id;
-  target.started_at_ms = life.started_at_ms;
+  target.id = target_incarnation.id;
+  target.started_at_ms = target_incarnation.started_at_ms;
   target.pool = "alpha";
-  // Each life has a port of its own, so that what is believed shows.
-  target.address = {10, static_cast<std::uint16_t>(life.started_at_ms == kFirstStart ? 1 : 2)};
+  // Each incarnation has its own port, which shows the one that was accepted.
+  target.address = {
+      10, static_cast<std::uint16_t>(target_incarnation.started_at_ms == kFirstStart ? 1 : 2)};
   target.zone = "z";
   target.sequence = sequence;
   target.phase = phase;
@@ -38,21 +39,21 @@
   return command;
 }
 
-RegistrationCommand ended(const TargetIncarnation& life) {
+RegistrationCommand ended(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.ended.push_back(life);
+  command.ended.push_back(target_incarnation);
   return command;
 }
 
-RegistrationCommand silent(const TargetIncarnation& life) {
+RegistrationCommand silent(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.silent.push_back(life);
+  command.silent.push_back(target_incarnation);
   return command;
 }
 
-RegistrationCommand removed(const TargetIncarnation& life) {
+RegistrationCommand removed(const TargetIncarnation& target_incarnation) {
   RegistrationCommand command;
-  command.removed.push_back(life);
+  command.removed.push_back(target_incarnation);
   return command;
 }
 
@@ -62,7 +63,7 @@
   }
 }
 
-/// The state after all these, one after the other.
+/// Returns the state after applying the commands in order.
 SteeringState state_after(const std::vector<RegistrationCommand>& commands) {
   SteeringState state;
   for (const auto& command : commands) {
@@ -71,7 +72,7 @@
   return state;
 }
 
-/// All that the two lives and the leader may say, but for what only follows from a silence.
+/// All messages about the two incarnations, except those that only a timeout causes.
 const std::array<RegistrationCommand, 9> kMessages = {
     announced(announcement(kFirstIncarnation, 1)),
     announced(announcement(kFirstIncarnation, 2)),
@@ -84,7 +85,7 @@
     removed(kFirstIncarnation),
 };
 
-/// Runs all orders of some messages, given by their places.
+/// Visits all permutations of some indexes of messages.
 template <typename Visitor>
 void for_each_permutation(std::vector<std::size_t> order, const Visitor& visit) {
   std::sort(order.begin(), order.end());
@@ -96,14 +97,14 @@
 }  // namespace
 
 TEST_SUITE("target_incarnations") {
-  TEST_CASE("a later start is a later life; none at all is the earliest") {
+  TEST_CASE("a later start time is a later incarnation; an unknown one is the earliest") {
     CHECK(compare_incarnations(2, 1) == IncarnationOrder::kLater);
     CHECK(compare_incarnations(1, 2) == IncarnationOrder::kEarlier);
     CHECK(compare_incarnations(1, 1) == IncarnationOrder::kSame);
     CHECK(compare_incarnations(0, 1) == IncarnationOrder::kEarlier);
   }
 
-  TEST_CASE("a target that starts again is used at once, whatever its earlier life was at") {
+  TEST_CASE("a restarted target is ready immediately in every phase of its earlier incarnation") {
     const RegistrationCommand ready = announced(announcement(kFirstIncarnation, 900));
     const RegistrationCommand draining =
         announced(announcement(kFirstIncarnation, 901, TargetPhase::kDraining));
@@ -126,19 +127,18 @@
     }
   }
 
-  TEST_CASE(
-      "a target keeps its token over its lives, so that it can refuse flows it doesn't hold") {
+  TEST_CASE("a target keeps its token across restarts and can reset flows that it does not know") {
     SteeringState state = state_after({announced(announcement(kFirstIncarnation, 1))});
     const FlowToken token = find_target(state, kId)->token;
     apply(state, announced(announcement(kSecondIncarnation, 1)));
     CHECK(find_target(state, kId)->token == token);
   }
 
-  TEST_CASE("in every order of both lives' messages, nothing of a life undoes a later one") {
+  TEST_CASE("no order of messages lets an incarnation revert a later one") {
     std::vector<std::size_t> all(kMessages.size());
     std::iota(all.begin(), all.end(), 0);
     std::size_t orders = 0;
-    std::size_t undone = 0;
+    std::size_t reverted = 0;
     for_each_permutation(all, [&](const std::vector<std::size_t>& order) {
       ++orders;
       SteeringState state;
@@ -148,19 +148,19 @@
         apply(state, kMessages[message]);
         const RegisteredTarget* target = find_target(state, kId);
         const bool is_second = target != nullptr && target->incarnation() == kSecondIncarnation;
-        undone += has_second && (!is_second || target->phase < latest) ? 1 : 0;
+        reverted += has_second && (!is_second || target->phase < latest) ? 1 : 0;
         has_second = has_second || is_second;
         latest = is_second ? target->phase : TargetPhase::kReady;
       }
-      // The end of the second life was among them.
-      undone += find_target(state, kId)->phase == TargetPhase::kEnded ? 0 : 1;
+      // The messages include the end of the second incarnation.
+      reverted += find_target(state, kId)->phase == TargetPhase::kEnded ? 0 : 1;
     });
     constexpr std::size_t kOrders = 362880;  // 9!
     CHECK(orders == kOrders);
-    CHECK(undone == 0);
+    CHECK(reverted == 0);
   }
 
-  TEST_CASE("in every order without its end, the second life is ready and all that is believed") {
+  TEST_CASE("the second incarnation is accepted and ready in every order without its end") {
     for_each_permutation({0, 1, 2, 3, 4, 5, 8}, [&](const std::vector<std::size_t>& order) {
       SteeringState state;
       for (const std::size_t message : order) {
@@ -174,22 +174,23 @@
     });
   }
 
-  TEST_CASE("conclusions about a life do not touch a later one that came before them in the log") {
+  TEST_CASE("a change of an incarnation does not affect a later one that precedes it in the log") {
     const RegistrationCommand first = announced(announcement(kFirstIncarnation, 7));
     const RegistrationCommand second = announced(announcement(kSecondIncarnation, 1));
-    for (const auto& conclusion :
+    for (const auto& change :
          {silent(kFirstIncarnation), ended(kFirstIncarnation), removed(kFirstIncarnation)}) {
-      const SteeringState state = state_after({first, second, conclusion});
+      const SteeringState state = state_after({first, second, change});
       REQUIRE(find_target(state, kId) != nullptr);
       CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
     }
-    // Also within one entry.
+    // The same holds within one log entry.
     RegistrationCommand both = second;
     both.ended.push_back(kFirstIncarnation);
     CHECK(find_target(state_after({first, both}), kId)->phase == TargetPhase::kReady);
   }
 
-  TEST_CASE("a target whose clock was set back is believed once its earlier life is silent") {
+  TEST_CASE(
+      "a target whose clock was set back is accepted once its earlier incarnation is silent") {
     SteeringState state = state_after({announced(announcement(kSecondIncarnation, 50))});
     apply(state, announced(announcement(kFirstIncarnation, 1)));
     CHECK(find_target(state, kId)->incarnation() == kSecondIncarnation);
@@ -199,7 +200,7 @@
     CHECK(find_target(state, kId)->phase == TargetPhase::kReady);
   }
 
-  TEST_CASE("what was acknowledged of a leaving life is not undone by a late copy") {
+  TEST_CASE("a late duplicate does not revert the acknowledged phase of a leaving incarnation") {
     const SteeringState leaving =
         state_after({announced(announcement(kSecondIncarnation, 1)),
                      announced(announcement(kSecondIncarnation, 2, TargetPhase::kDraining)),
@@ -213,7 +214,7 @@
     CHECK(find_target(gone, kId)->incarnation() == kSecondIncarnation);
   }
 
-  TEST_CASE("of a target that doesn't tell its start, counts alone decide") {
+  TEST_CASE("without a start time, sequence numbers alone determine the order") {
     const TargetIncarnation unknown{kId, 0};
     SteeringState state = state_after({announced(announcement(unknown, 9))});
     apply(state, announced(announcement(unknown, 1, TargetPhase::kDraining)));
