--- a/src/core/steering/buffered_packets.cc
+++ b/src/core/steering/buffered_packets.cc
@@ -6,7 +6,7 @@
 namespace gorsevalve {
 namespace {
 
-/// When a held packet is of no use any more.
+/// When the client of a buffered packet times out.
 Instant expires_at(const HeldPacket& held, const FrontendView* frontend, Duration longest) {
   const Duration wait = frontend == nullptr ? longest : std::min(longest, frontend->timeout);
   return held.sent_at + wait;
--- a/src/core/steering/buffered_packets.h
+++ b/src/core/steering/buffered_packets.h
@@ -1,6 +1,6 @@
-/// Packets that came before a starting balancer could decide about them, kept so that callers need
-/// not wait for their next copy, and given again with each newer state. Bounded in number and age;
-/// the oldest go first.
+/// Buffers packets that a starting balancer cannot route yet and replays them with each newer
+/// state, which saves clients a retransmission. Bounded in number and age; the oldest packet is
+/// dropped first.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
 struct HeldPacket {
   ClientPacket packet;
   Bytes bytes;
-  /// When the caller sent its first opening packet, or when this packet of an open flow came.
+  /// When the client first sent this opening packet, or when this packet of an open flow arrived.
   Instant sent_at;
 };
 
@@ -23,16 +23,15 @@
  public:
   static constexpr std::size_t kMaxPackets = 1024;
 
-  /// Takes a packet for good, or tells that nothing can be decided about it yet.
+  /// Returns true when the packet is handled, and false when it must stay buffered.
   using Visitor = std::function<bool(const HeldPacket&)>;
 
   explicit BufferedPackets(const SteeringPolicy& policy);
 
-  /// A copy of an opening packet replaces the one that is held: given again together, copies would
-  /// blame a target that was never asked.
+  /// Buffers a packet. A retransmitted opening packet replaces the buffered one: replaying both
+  /// would count against a target that never received the first.
   void hold(const ClientPacket& packet, ByteView bytes, Instant now);
-  /// Drops packets whose callers have given up, and shows the others to `take` in the order in
-  /// which they came.
+  /// Drops expired packets and passes the others to `take` in order of arrival.
   void release(const FlowSteering& steering, Instant now, const Visitor& take);
   [[nodiscard]] std::size_t size() const { return packets_.size(); }
 
@@ -40,7 +39,7 @@
   static constexpr double kMicrosecondsPerMillisecond = 1000;
 
   Duration max_wait_;
-  /// In the order in which they came.
+  /// In order of arrival.
   std::deque<HeldPacket> packets_;
 };
 
--- a/src/core/steering/client_packet.h
+++ b/src/core/steering/client_packet.h
@@ -1,4 +1,4 @@
-/// A packet of a caller as steering sees it, whatever it looks like on the wire.
+/// A client packet as seen by steering, independent of its wire format.
 #pragma once
 
 #include <cstdint>
@@ -8,32 +8,32 @@
 
 namespace gorsevalve {
 
-/// What steering reads of a packet from a caller.
+/// Fields of a client packet that steering uses.
 struct ClientPacket {
   SteeredFlow flow;
   bool opens = false;
   bool closes = false;
   bool resets = false;
-  /// Copies of the opening packet that went before this one.
+  /// Number of earlier transmissions of this opening packet (SYN).
   std::uint32_t retransmissions = 0;
-  /// How long ago the caller sent the first copy of an opening packet.
+  /// Time since the client first sent this opening packet.
   Duration age{0};
-  /// Last octet that the caller has of the other end.
+  /// Last byte that the client has received from the target.
   std::uint32_t acknowledged = 0;
   std::uint32_t data_size = 0;
-  /// Place of the data in the caller's stream, in octets; it wraps around.
+  /// Sequence number of the data, in bytes; wraps around.
   std::uint32_t sequence = 0;
   FlowToken token = 0;
 };
 
-/// A flow that its caller is to be told of as ended.
+/// A flow to reset towards its client.
 struct FlowReset {
   SteeredFlow flow;
-  /// Last octet that the caller has of the other end; 0 while the flow opens.
+  /// Last byte that the client has received from the target; 0 while the flow is opening.
   std::uint32_t acknowledged = 0;
 };
 
-/// The reset that answers a packet.
+/// The reset sent in reply to a packet.
 inline FlowReset reset_of(const ClientPacket& packet) {
   return {packet.flow, packet.opens ? 0 : packet.acknowledged};
 }
--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -1,5 +1,5 @@
-/// What FlowSteering learns from the packets that pass: which flows are open, which requests are
-/// under way, what was answered, and what should have been followed by something and was not.
+/// FlowSteering's tracking of client packets: open flows, requests in flight, responses, and
+/// missing replies.
 #include <algorithm>
 
 #include "core/steering/flow_steering.h"
@@ -7,14 +7,13 @@
 namespace gorsevalve {
 namespace {
 
-/// A request without an answer for this long has stalled: longer than a queue of a target that
-/// works, and than a lost packet takes.
+/// A request without a response for this long is stalled. Exceeds the queueing time of a healthy
+/// target and the recovery time of a lost packet.
 constexpr Duration kStallTimeout = std::chrono::milliseconds(400);
-/// Data that comes again within this time came twice or out of order; callers send again after
-/// 200 ms and more.
+/// Earlier repeats are duplicates or reordered packets: clients retransmit after at least 200 ms.
 constexpr Duration kMinRetransmissionInterval = std::chrono::milliseconds(150);
-/// A repetition that the own link may have caused is no sign, but the third one, 1.4 s after the
-/// request, is: silence of probes proves nothing on a busy link, a refusal still does.
+/// Retransmissions that raise a suspicion even if local congestion may explain them. Probe refusals
+/// remain evidence on a congested link.
 constexpr std::uint32_t kRetransmissionsOnCongestedLink = 3;
 
 }  // namespace
@@ -71,9 +70,9 @@
 
 void FlowSteering::observe_retransmission(FlowEntry& entry, const ClientPacket& packet,
                                           Instant now) {
-  // Differences of places that wrap around compare as signed numbers.
+  // Sequence numbers wrap around, so their difference is compared as a signed number.
   if (static_cast<std::int32_t>(packet.sequence - entry.sequence) > 0) {
-    // A transfer that goes on: its target acknowledges what went before.
+    // New data: the target acknowledged earlier data of the transfer.
     entry.sequence = packet.sequence;
     entry.last_data_at = now;
     entry.last_new_data_at = now;
@@ -92,8 +91,8 @@
   }
   const TargetScore& score = scores_.at(entry.target);
   const bool answered_others = score.answer_at > *entry.request_started_at;
-  // Where there is a queue, the first repetition tells of it, not of a dead target: targets
-  // acknowledge a lone packet with its answer, or when it comes again.
+  // With queueing, a first retransmission does not indicate a failed target: targets delay the
+  // acknowledgement of a single packet until its response or retransmission.
   const bool is_prompt = score.answer_us > 0 && score.answer_us < ResponseTimes::kLowLatencyUs;
   if (entry.retransmissions > 1 || (is_prompt && !answered_others)) {
     suspect_target(entry.target, now);
@@ -105,7 +104,7 @@
 
 void FlowSteering::observe_packet(const ClientPacket& packet, TargetId target, Instant now) {
   FlowEntry* entry = flows_.find(packet.flow);
-  // A flow that was open before it came here says nothing of its target.
+  // A flow opened through another balancer gives no handshake time.
   const bool opened_here = entry != nullptr && entry->phase == FlowPhase::kOpening;
   const Instant opening_at = entry == nullptr ? now : entry->last_seen;
   if (entry != nullptr && entry->target != target) {
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -12,40 +12,40 @@
 constexpr std::uint64_t kSampleSalt = 0x73616d706c00ULL;
 constexpr std::uint64_t kRecoverySalt = 0x7265740000ULL;
 
-/// What speaks against a target, whatever its load is.
+/// Reason to avoid a target regardless of its load; higher values are worse.
 enum class Impairment : std::uint8_t {
   kNone = 0,
-  /// It may be cold: it was here before this balancer was.
+  /// May be warming up: it started before this balancer did.
   kUnknownAge = 1,
-  /// Silent, or seen in trouble.
+  /// Heartbeats timed out, or failures were seen.
   kSuspected = 2,
-  /// It has just refused a probe.
+  /// Recently refused a probe.
   kRefusing = 3,
-  /// It certainly cannot be reached from here.
+  /// Unreachable from this balancer.
   kUnreachable = 4,
 };
 
-/// How good a target is for a new flow; the least one is chosen.
+/// Rank of a target for a new flow; the lowest wins.
 struct Rank {
   Impairment impairment = Impairment::kUnreachable;
-  /// As this balancer sees it.
+  /// Load as seen by this balancer.
   double load = 0;
-  /// Decides between targets of the same load.
+  /// Random value that decides between equal loads.
   double tie_break = 0;
 
   friend auto operator<=>(const Rank&, const Rank&) = default;
 };
 
-/// The target with the least time wins; each wins as often as its weight says (weighted rendezvous
-/// hashing, Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005). `score` is
-/// uniform over 64 bits.
+/// The target with the lowest cost wins, with a probability proportional to its weight (weighted
+/// rendezvous hashing, Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005).
+/// `score` is uniform over 64 bits.
 double rendezvous_cost(std::uint64_t score, double weight) {
   constexpr double kScores = 18446744073709551616.0;
   const double uniform = (static_cast<double>(score) + 1) / kScores;
   return -std::log(uniform) / weight;
 }
 
-/// Decides whether a flow is among those that return to a zone first.
+/// Hash that determines whether a flow returns early to a recovering zone.
 std::uint64_t recovery_hash(std::uint64_t flow_key) {
   return rendezvous_score(flow_key, 0, kRecoverySalt);
 }
@@ -68,20 +68,20 @@
   return admission == WarmUpAdmission::kUnknownAge ? Impairment::kUnknownAge : Impairment::kNone;
 }
 
-/// What a look at some targets has found.
+/// Result of examining targets.
 struct ScanResult {
   const RegisteredTarget* best = nullptr;
   Rank rank;
-  /// A cold target was passed over, since others have the turn.
+  /// A target that is warming up was skipped, because other balancers hold the time slot.
   bool skipped_cold = false;
 
-  /// True when a look at more targets would hardly find a better one.
+  /// True when examining more targets is unlikely to find a better one.
   [[nodiscard]] bool is_healthy() const {
     return best != nullptr && rank.impairment < Impairment::kSuspected;
   }
 };
 
-/// Looks at targets for one opening, one after the other.
+/// Examines targets for one new flow.
 class CandidateScan {
  public:
   CandidateScan(const PlacementInputs& inputs, const SteeringPolicy& policy, double typical_us,
@@ -93,15 +93,15 @@
         avoided_(avoided),
         now_(now),
         has_cold_(!inputs.warm_up.is_empty()),
-        // Without figures of all balancers, the own view decides alone.
+        // Without health reports from all balancers, only the local load counts.
         quantizes_load_(policy.load_step > 0 && inputs.scores.has_target_health()) {}
 
-  /// Where in a list of some length the sample of this opening begins.
+  /// Start index of the sample in a list of `length` targets.
   [[nodiscard]] std::size_t sample_start(std::size_t length) const {
     return static_cast<std::size_t>(rendezvous_score(flow_key_, 0, kSampleSalt) % length);
   }
 
-  /// Keeps the target when it is better than the best one so far.
+  /// Records the target if it ranks better than the best one so far.
   void examine(const RegisteredTarget& target, ScanResult& choice) const {
     if (target.id == avoided_) {
       return;
@@ -125,8 +125,8 @@
  private:
   [[nodiscard]] double load_of(const RegisteredTarget& target, WarmUpAdmission admission) const {
     double load = inputs_.scores.load(target, typical_us_, now_);
-    // During its turn a cold target is as good as a warm one: the budget keeps it from more than it
-    // carries.
+    // In its time slot a target that is warming up gets no penalty: the budget already limits its
+    // load.
     if (admission == WarmUpAdmission::kOwnTurn) {
       load /= policy_.cold_penalty;
     }
@@ -157,7 +157,7 @@
 }
 
 std::uint32_t FlowPlacement::next_pool(const FrontendView& frontend) {
-  // Each share earns its weight; the richest one pays the sum. Shares hold over any stretch.
+  // Each share gains its weight in credit, and the selected share pays the total.
   std::vector<std::int64_t>& credits = credits_[frontend.address];
   credits.resize(frontend.shares.size(), 0);
   std::int64_t total = 0;
@@ -192,7 +192,7 @@
     return target;
   }
   if (avoided != 0) {
-    // The avoided target is better than none.
+    // Falls back to the avoided target.
     return place(inputs, frontend, packet, 0, now);
   }
   count_refusal(inputs, frontend, now);
@@ -225,7 +225,7 @@
   if (samples.empty()) {
     return 0;
   }
-  // The lower median: with two targets the faster one is the usual one.
+  // Lower median: with two targets, the faster one.
   const auto middle = samples.begin() + static_cast<std::ptrdiff_t>((samples.size() - 1) / 2);
   std::nth_element(samples.begin(), middle, samples.end());
   return *middle;
@@ -241,7 +241,8 @@
   const bool is_sampled = sample > 0 && targets.size() > sample;
   ScanResult choice;
   if (is_sampled) {
-    // Spread over the list: neighbours came together, and may be cold or gone together.
+    // The sample is spread over the list, since adjacent targets often started together and may
+    // warm up or fail together.
     const std::size_t stride = targets.size() / sample;
     const std::size_t first = scan.sample_start(targets.size());
     for (std::size_t i = 0; i < sample; ++i) {
@@ -260,8 +261,8 @@
   if (!choice.skipped_cold) {
     return choice.best;
   }
-  // The bound is the operator's: a target beyond what it carries cold answers all of its callers
-  // late, while a caller that is refused at once meets another balancer, which may have the turn.
+  // The operator's limit on new flows is strict: an overloaded target that is warming up responds
+  // late to all its clients, while a rejected client can retry through another balancer.
   if (choice.best == nullptr || choice.rank.impairment == Impairment::kUnreachable) {
     return nullptr;
   }
--- a/src/core/steering/flow_placement.h
+++ b/src/core/steering/flow_placement.h
@@ -1,5 +1,5 @@
-/// Chooses the target of a new flow: the pool by its weight, then the best target of the pool by
-/// what this balancer and all balancers together saw.
+/// Selects the target of a new flow: first a pool by weight, then the best target of that pool by
+/// local statistics and the health reported by all balancers.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -19,19 +19,19 @@
 namespace gorsevalve {
 
 struct PlacementCounters {
-  /// Targets that openings have looked at.
+  /// Targets examined for new flows.
   std::uint64_t targets_examined = 0;
-  /// Openings that found none fit in their sample, and looked at the whole pool.
+  /// New flows whose sample held no healthy target, so that the whole pool was scanned.
   std::uint64_t full_scans = 0;
 };
 
-/// What a choice depends on.
+/// Inputs of a target selection.
 struct PlacementInputs {
   const SteeringView& view;
   const TargetScores& scores;
   const TargetReachability& reachability;
   const TargetRefusals& refusals;
-  /// Counts what it keeps from cold targets.
+  /// Counts flows that it keeps from targets that are warming up.
   WarmUpBudget& warm_up;
   const ZonePaths& zone_paths;
 };
@@ -41,25 +41,27 @@
   /// `seed` makes balancers break ties differently.
   FlowPlacement(std::uint64_t seed, const SteeringPolicy& policy) : seed_(seed), policy_(policy) {}
 
-  /// The target for a new flow, not `avoided` while there is another one; nullptr when there is
-  /// none, or when all that can be reached are cold and may not take a flow from here now.
+  /// Selects the target for a new flow, and `avoided` only if there is no other. Returns nullptr
+  /// without a target, or when all reachable ones are warming up and have no time slot for this
+  /// balancer.
   const RegisteredTarget* place(const PlacementInputs& inputs, const FrontendView& frontend,
                                 const ClientPacket& packet, TargetId avoided, Instant now);
   [[nodiscard]] const PlacementCounters& counters() const { return counters_; }
   void on_frontend_dropped(const Endpoint& address) { credits_.erase(address); }
-  /// Forgets frontends that the view does not have.
+  /// Removes frontends that are not in the view.
   void adopt(const SteeringView& view);
 
  private:
-  /// Usual time of an answer in a pool, in microseconds; 0 when unknown.
+  /// Median response time of a pool, in microseconds; 0 when unknown.
   [[nodiscard]] static double typical_answer_us(const PlacementInputs& inputs, std::uint32_t pool,
                                                 Instant now);
-  /// Notes a flow without a target where targets of the frontend wait for their turn.
+  /// Counts a rejected flow when targets of the frontend wait for their time slot.
   static void count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
                             Instant now);
-  /// The pool whose turn it is by weight (smooth weighted round robin).
+  /// The next pool by smooth weighted round robin.
   std::uint32_t next_pool(const FrontendView& frontend);
-  /// The best of a pool; of a large one, that of a sample, unless none of the sample is fit.
+  /// The best target of a pool. Large pools are sampled, and scanned as a whole only if the sample
+  /// holds no healthy target.
   [[nodiscard]] const RegisteredTarget* best_target(const PlacementInputs& inputs,
                                                     std::uint32_t pool, const ClientPacket& packet,
                                                     TargetId avoided, Instant now);
@@ -67,7 +69,7 @@
   std::uint64_t seed_;
   SteeringPolicy policy_;
   PlacementCounters counters_;
-  /// Credit of each share of a frontend for the weighted round robin.
+  /// Round-robin credit of each pool share of a frontend.
   absl::flat_hash_map<Endpoint, std::vector<std::int64_t>> credits_;
 };
 
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -6,11 +6,11 @@
 namespace gorsevalve {
 namespace {
 
-/// A balancer that has just started gets packets of flows that went on elsewhere meanwhile.
+/// After a start, replies to packets that went through other balancers cannot be matched.
 constexpr Duration kObservationDelay = std::chrono::seconds(1);
-/// It may have started with all others: queues fill while the first answers are still prompt.
+/// When all balancers start together, queues fill while the first responses are still fast.
 constexpr Duration kLatencyTrustDelay = std::chrono::seconds(3);
-/// Targets that are probed beside a suspected one: one of them may die at the same moment.
+/// More than one, because a reference target may fail at the same time as the suspected one.
 constexpr std::size_t kReferenceTargets = 2;
 }  // namespace
 
@@ -58,12 +58,13 @@
   update_cold_rates();
   zone_paths_.clear_targets();
   for (const auto& [id, target] : state.targets) {
-    // Before the first confirmed state the age of what is found is unknown.
+    // Before the first confirmed state the age of existing targets is unknown.
     update_warm_up(target, is_confirmed_, now);
     zone_paths_.on_target(target);
     add_time_estimates(target);
   }
-  // A whole state does not tell who came first; but of two at an address the silent one is gone.
+  // A snapshot has no announcement order. Of two targets at one address, the one whose heartbeats
+  // timed out has been replaced.
   for (const auto& [id, target] : state.targets) {
     if (target.phase == TargetPhase::kReady) {
       mark_replaced(target, [](const RegisteredTarget& other) {
@@ -86,7 +87,7 @@
 void FlowSteering::apply(const SteeringDelta& delta, Instant now) {
   if (view_.apply(delta)) {
     update_cold_rates();
-    // A rate may have come in while targets are cold.
+    // The new settings may add a rate while targets are warming up.
     view_.visit_targets([&](const RegisteredTarget& target) { update_warm_up(target, true, now); });
   }
   for (const auto& target : delta.upserted_targets) {
@@ -121,7 +122,7 @@
     entry.request_started_at.reset();
     entry.phase = FlowPhase::kClosing;
   });
-  // What the earlier life left unanswered says nothing of this one.
+  // Unanswered packets of the previous incarnation do not count against the new one.
   const auto forget_expected = [target](std::deque<PendingReply>& expected) {
     for (PendingReply& one : expected) {
       one.is_resolved = one.is_resolved || one.target == target;
@@ -178,7 +179,7 @@
   if (view_.was_dropped(packet.flow.frontend)) {
     return {SteeringAction::kReset, SteeringReason::kFrontendDropped, nullptr};
   }
-  // An open flow of a frontend that this balancer never knew may belong to a newer revision.
+  // A newer revision may contain a frontend unknown here, so its open flows are not reset.
   const SteeringAction action = packet.opens ? SteeringAction::kReset : SteeringAction::kDrop;
   return {action, SteeringReason::kNoFrontend, nullptr};
 }
@@ -198,7 +199,7 @@
   check_reply_timeouts(now);
   FlowEntry* entry = flows_.find(packet.flow);
   TargetId avoided = 0;
-  /// Where the flow was placed before, while it may still be taken there.
+  /// The target selected for the previous transmission, while it may still accept the flow.
   const RegisteredTarget* first = nullptr;
   if (entry != nullptr && entry->phase == FlowPhase::kOpening && packet.retransmissions > 0) {
     const RegisteredTarget* before = view_.target_by_id(entry->target);
@@ -224,7 +225,7 @@
   }
   const RegisteredTarget* target = placement_.place(inputs(), frontend, packet, avoided, now);
   if (target == nullptr && first != nullptr) {
-    // The flow had its turn at a cold target, which may answer yet.
+    // The flow was already admitted to the target that is warming up, which may still reply.
     return {SteeringAction::kForward, SteeringReason::kRetransmission, first};
   }
   if (target == nullptr) {
@@ -254,7 +255,7 @@
     return {SteeringAction::kDrop, SteeringReason::kForeignToken, nullptr};
   }
   if (view_.is_replaced(*target)) {
-    // The target is certainly gone: another one has its address.
+    // Another target has the address, so this one is gone.
     const SteeringAction action = packet.resets ? SteeringAction::kDrop : SteeringAction::kReset;
     return {action, SteeringReason::kTargetReplaced, nullptr};
   }
@@ -283,7 +284,7 @@
 
 void FlowSteering::suspect_target(TargetId target, Instant now) {
   suspect_zone(target, now, now);
-  // Looking for references walks all targets that answered lately, so it comes last.
+  // Checked last: selecting reference targets scans all targets that replied recently.
   if (policy_.probes <= 0 || !is_confirmed_ || !reachability_.may_suspect(target, now) ||
       zone_paths_.is_cut(target)) {
     return;
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -1,6 +1,6 @@
-/// Decides where each packet of a caller goes when both ends of a flow reflect a token: the first
-/// packet of a flow chooses a target and writes its token, every later one carries it. No balancer
-/// holds state that an open flow needs. A state machine without sockets or clocks.
+/// Decides where each client packet goes when both ends of a flow reflect a token: the first packet
+/// selects a target and records its token, and every later packet carries it. No balancer holds
+/// state that an open flow needs. Deterministic; does no I/O and reads no clock.
 #pragma once
 
 #include <deque>
@@ -25,12 +25,12 @@
 
 enum class SteeringAction : std::uint8_t {
   kForward = 0,
-  /// Tell the caller at once that the flow does not exist here.
+  /// Reset the flow to the client immediately.
   kReset = 1,
   kDrop = 2,
 };
 
-/// Why a packet was not forwarded, or how its target was found.
+/// Why a packet was not forwarded, or how its target was selected.
 enum class SteeringReason : std::uint8_t {
   kToken = 0,
   kPlaced = 1,
@@ -58,17 +58,17 @@
   const RegisteredTarget* target = nullptr;
 };
 
-/// Deliberate faults, for the test that shows that the checkers can fail. All off in programs.
+/// Injected faults that show that the checks detect failures. Tests only.
 struct SteeringFaults {
   bool ignore_token = false;
   bool accept_foreign_tokens = false;
   ReachabilityFaults reachability;
-  /// Takes the whole budget of each cold target.
+  /// Uses every time slot of each target that is warming up.
   bool take_whole_budget = false;
   ZonePathFaults zone_paths;
 };
 
-/// A connection to open, to see whether a target can be reached.
+/// A connection to open in order to test whether a target is reachable.
 struct TargetProbe {
   std::uint64_t number = 0;
   Endpoint address;
@@ -76,7 +76,7 @@
 
 class FlowSteering {
  public:
-  /// `seed` makes balancers break ties differently; targets in `zone` are near.
+  /// `seed` makes balancers break ties differently. Targets in `zone` are local.
   explicit FlowSteering(std::uint64_t seed, const std::string& zone = {},
                         const SteeringPolicy& policy = {})
       : policy_(policy),
@@ -86,80 +86,81 @@
         scores_(zone, policy),
         zone_paths_(zone) {}
 
-  /// Takes a newer state. Never called with an older one.
+  /// Replaces the state with a newer snapshot. Never called with an older one.
   void adopt(const SteeringState& state, Instant now);
-  /// Takes a change of the state in force.
+  /// Applies a delta to the current state.
   void apply(const SteeringDelta& delta, Instant now);
 
   SteeringDecision on_packet(const ClientPacket& packet, Instant now);
-  /// nullptr when no settings name it.
+  /// Returns nullptr when no settings name the address.
   [[nodiscard]] const FrontendView* frontend(const Endpoint& address) const {
     return view_.frontend(address);
   }
-  /// The state is the newest. Until then it may be what a replica knew before a loss of all: open
-  /// flows go on by it, and everything else is kNoState.
+  /// Marks the state as current. Until then it may be a replica's stored state from before a full
+  /// outage: packets of open flows are forwarded by it, and all others get kNoState.
   void confirm(Instant now);
-  /// Packets of flows go elsewhere from now on: what does not come back here blames no target.
+  /// Stops attributing missing replies to targets, because packets now go to other balancers.
   void stop_observing();
-  /// Forgets what has rested; to be called about once a second.
+  /// Evicts idle flows. Call about once a second.
   void on_tick(Instant now);
-  /// Notes openings and requests that were not followed by what should follow. Often and cheap.
+  /// Detects new flows and requests without a reply in time. Cheap enough to call often.
   void check_reply_timeouts(Instant now);
-  /// When `check_reply_timeouts` may next find an opening that nothing followed; nothing while none
-  /// is awaited.
+  /// The time at which `check_reply_timeouts` may next find an unanswered opening packet; nullopt
+  /// while none is pending.
   [[nodiscard]] std::optional<Instant> next_reply_deadline() const;
 
-  /// Tells whether this machine's own link is so busy that packets and answers may be late or lost
-  /// on it (LinkModel::is_congested). What does not come back then blames no target. To be told
-  /// before packets and steps of probes; a link that nobody tells of is free.
+  /// Reports whether the local link is so congested that packets and replies may be delayed or lost
+  /// (LinkModel::is_congested). Missing replies are then not attributed to targets. Call before
+  /// packets and probe steps; the link counts as uncongested by default.
   void set_link_congested(bool is_congested, Instant now);
 
-  /// For the exchange with other balancers.
+  /// Statistics to exchange with other balancers.
   [[nodiscard]] std::vector<TargetObservation> take_observations() {
     return scores_.take_observations();
   }
-  /// True when a target showed trouble since the last call of `take_observations`.
+  /// True when a target failed since the last call of `take_observations`.
   [[nodiscard]] bool has_trouble() const { return scores_.has_failures(); }
-  /// True when one refused a probe since then: others must know at once, while the rest may wait.
-  /// Openings and requests without an answer are no news where queues are full.
+  /// True when a target refused a probe since the last call of `take_observations`. Refusals are
+  /// reported immediately; unanswered opening packets and requests can wait, since full queues
+  /// cause them too.
   [[nodiscard]] bool has_refused_probe() const { return scores_.has_refused_probe(); }
   void set_target_health(const std::vector<TargetHealth>& figures, Instant now);
-  /// Other balancers were refused by these targets just now.
+  /// Handles targets that recently refused probes of other balancers.
   void on_refusing(const RefusingTargets& told, Instant now);
 
-  /// This balancer's place among all of them; a count of 0 while it is not known.
+  /// Sets this balancer's rank among all balancers; a count of 0 means unknown.
   void set_balancer_rank(const BalancerRank& place, Instant now) { warm_up_.set_rank(place, now); }
   [[nodiscard]] const WarmUpBudget& warm_up() const { return warm_up_; }
-  /// Targets that turned cold since the last call, in the order of their ids, and those that are
-  /// warm now.
+  /// Targets that began to warm up since the last call, ordered by id, and targets that have
+  /// finished warming up.
   [[nodiscard]] std::vector<TargetId> take_newly_cold();
   [[nodiscard]] std::vector<WarmedTarget> take_warmed(Instant now) {
     return warm_up_.take_warmed(now);
   }
 
-  /// Probes of targets, to be sent now. What becomes of each is told by `on_probe_answer`, or by
-  /// `on_probe_not_sent`; silence needs no telling.
+  /// Probes to send now. Report each result with `on_probe_answer` or `on_probe_not_sent`; a
+  /// timeout needs no report.
   [[nodiscard]] std::vector<TargetProbe> take_probes(Instant now);
   void on_probe_answer(std::uint64_t number, ProbeAnswer answer, Instant now);
   void on_probe_not_sent(std::uint64_t number, Instant now);
-  /// Targets that cannot be reached since now. Flows at them are reset with their next packet.
+  /// Targets newly detected as unreachable. Their flows are reset on the next packet.
   [[nodiscard]] std::vector<UnreachableTarget> evaluate_reachability(Instant now);
-  /// Targets that turned out to be reachable again, each told once.
+  /// Targets that became reachable again since the last call.
   [[nodiscard]] std::vector<TargetId> take_restored() { return reachability_.take_restored(); }
-  /// Ends the open flows at a target, so that their callers need not find out with a request.
+  /// Closes the open flows at a target and returns the resets to send to their clients.
   [[nodiscard]] std::vector<FlowReset> reset_flows_to(TargetId target);
-  /// Paths to zones that are cut or back since the last call. To be called
-  /// before `evaluate_reachability`: a zone is judged before its targets.
-  /// `is_link_congested`: the own link is so busy that silence says nothing.
+  /// Zone paths that became unreachable or recovered since the last call. Call before
+  /// `evaluate_reachability`: zones are evaluated before their targets. While `is_link_congested`,
+  /// silence is no evidence.
   [[nodiscard]] std::vector<ZonePathChange> evaluate_zone_paths(bool is_link_congested,
                                                                 Instant now);
-  /// Ends open flows into zones whose path is cut, so that their callers need not find out with a
-  /// request. Flows with a request under way that runs at most once go on until it is answered: an
-  /// answer may still come to those that got across, and nothing else serves their callers. To be
-  /// called now and then while a path is cut.
+  /// Closes idle open flows to unreachable zones and returns the resets to send. A flow with a
+  /// non-idempotent request in flight stays open, because a response may still arrive and the
+  /// request cannot be repeated. Call regularly while a path is unreachable.
   [[nodiscard]] std::vector<FlowReset> reset_flows_to_unreachable_zones(Instant now);
   [[nodiscard]] const ZonePaths& zone_paths() const { return zone_paths_; }
-  /// True while probes are under way: take, conclude each `TargetReachability::kStepInterval`.
+  /// True while probes are in flight: call take_probes and the evaluate functions each
+  /// `TargetReachability::kStepInterval`.
   [[nodiscard]] bool is_probing() const {
     return reachability_.is_probing() || zone_paths_.is_checking() || refusals_.is_probing();
   }
@@ -167,7 +168,7 @@
     return reachability_.unreachable_count();
   }
 
-  /// True once settings are in force.
+  /// True once settings are applied.
   [[nodiscard]] bool has_settings() const { return view_.version() > 0; }
   [[nodiscard]] std::size_t flows() const { return flows_.size(); }
   [[nodiscard]] const TargetScores& scores() const { return scores_; }
@@ -182,12 +183,12 @@
   }
 
  private:
-  /// Something that went to a target and should be followed by something here.
+  /// A packet sent to a target for which a reply is expected.
   struct PendingReply {
     SteeredFlow flow;
     TargetId target = 0;
     Instant sent_at;
-    /// It was followed by what should follow, or nothing is to be learned from it any more.
+    /// The reply arrived, or the outcome no longer matters.
     bool is_resolved = false;
   };
 
@@ -199,62 +200,60 @@
   [[nodiscard]] PlacementInputs inputs() {
     return {view_, scores_, reachability_, refusals_, warm_up_, zone_paths_};
   }
-  /// Bounds what a target takes while it is cold, where the operator set a rate.
+  /// Limits new flows to a target that is warming up, where the operator set a rate.
   void update_warm_up(const RegisteredTarget& target, bool is_age_known, Instant now);
-  /// Forgets what was seen of a target's earlier life. Its open flows are not reset here: some may
-  /// have opened at the new life before this balancer heard of it, and the target itself refuses
-  /// packets of the others.
+  /// Removes statistics of a target's previous incarnation. Its open flows are not reset: some may
+  /// already belong to the new incarnation, and the target itself rejects packets of the others.
   void forget_incarnation(TargetId target);
-  /// Makes room for the times of the target's pool and zone.
+  /// Adds time estimates for the target's pool and zone.
   void add_time_estimates(const RegisteredTarget& target);
   void update_cold_rates();
   void observe_packet(const ClientPacket& packet, TargetId target, Instant now);
-  /// The target answered an opening; `sent_at` is when its last packet went there.
+  /// Handles a reply to an opening packet; `sent_at` is when the last packet was sent to the
+  /// target.
   void on_opened(const FlowEntry& entry, Instant sent_at, Instant now);
-  /// The target answered a request.
+  /// Handles the response to a request.
   void on_answer(TargetId target, Duration took, Instant now);
   void observe_request(FlowEntry& entry, const ClientPacket& packet, Instant now);
-  /// Notes data that the caller sends again since its target did not acknowledge it.
+  /// Handles data that the client retransmits because the target did not acknowledge it.
   void observe_retransmission(FlowEntry& entry, const ClientPacket& packet, Instant now);
-  /// True when the own link may have kept back what went to a target since then, or its answer.
+  /// True when local congestion may have delayed packets sent to a target since `since`, or their
+  /// replies.
   [[nodiscard]] bool may_be_local_congestion(Instant since) const {
     return is_link_congested_ || (congested_at_ && *congested_at_ >= since);
   }
-  /// The caller is told that its flow has ended.
+  /// Marks a flow as closing because its client receives a reset.
   void close_entry(const SteeredFlow& flow);
   void suspect_target(TargetId target, Instant now);
-  /// The order of the flow table must not show in what is sent.
+  /// Sorts resets to make output independent of the hash table order.
   static void sort_by_flow(std::vector<FlowReset>& resets);
-  /// Looks at the target's zone, since what was sent to the target at `sent_at`
-  /// is not answered.
+  /// Checks the path to the target's zone, because a packet sent to it at `sent_at` is unanswered.
   void suspect_zone(TargetId target, Instant sent_at, Instant now);
-  /// Doubts the zones of targets that have left something unanswered for longer
-  /// than usual.
+  /// Suspects the zones of targets with replies past the reply timeout.
   void check_zone_timeouts(Instant now);
-  /// True when packets of this flow still go to a target beyond a path that is
-  /// cut.
+  /// True when the flow must stay open for a non-idempotent request in flight.
   [[nodiscard]] static bool has_non_idempotent_request(const FrontendView& frontend,
                                                        const FlowEntry& entry, Instant now);
   [[nodiscard]] bool should_reset_for_zone(const FrontendView& frontend, const ClientPacket& packet,
                                            TargetId target, Instant now);
-  /// Notes that those others at the target's address that the condition names are gone.
+  /// Marks other targets at the same address as replaced when they match the condition.
   template <typename Condition>
   void mark_replaced(const RegisteredTarget& target, Condition is_gone);
-  /// The flow of an opening that nothing but copies followed; nullptr for any other.
+  /// The flow of an opening packet without a reply; nullptr when there is none.
   [[nodiscard]] const FlowEntry* find_unanswered(const PendingReply& opening);
-  /// When nothing but an answer would have kept an opening from being overdue.
+  /// When an opening packet exceeds the expected handshake time.
   [[nodiscard]] Instant overdue_at(const PendingReply& opening) const;
-  /// What answers of the target's pool tell of queues: where they are prompt, a target that refuses
-  /// is not full, so nothing listens there.
+  /// Response latency of the target's pool. When it is low, a refusing target is not full, so
+  /// nothing listens there.
   [[nodiscard]] LatencyLevel latency_level(const RegisteredTarget& target, Instant now) const;
-  /// A target refused a probe, of this balancer or of one whose word counts here.
+  /// Handles a refusal seen by this balancer or by one whose reports count here.
   void on_refusal(const RegisteredTarget& target, Instant now);
-  /// Probes some targets of the own zone, now and then: where one has ended, others often have at
-  /// the same moment, and each would else refuse callers until it is found out by itself.
+  /// Probes some targets of the local zone, since targets of one zone often end together and each
+  /// would otherwise refuse clients until it is detected.
   void probe_neighbors(Instant now);
-  /// Into how many parts a zone's targets are divided for this, one for each balancer that looks.
+  /// Number of partitions of a zone's targets; each balancer probes one partition.
   [[nodiscard]] std::uint64_t probe_partitions() const;
-  /// Probes targets whose openings are overdue.
+  /// Probes targets with opening packets past the expected handshake time.
   void probe_overdue_openings(Instant now);
   void check_opening_timeouts(Instant now);
   void check_request_timeouts(Instant now);
@@ -266,17 +265,17 @@
   std::string zone_;
   FlowPlacement placement_;
   bool is_confirmed_ = false;
-  /// What happened before tells nothing of targets.
+  /// Packets before this time are not used to assess targets.
   Instant observes_from_;
-  /// Until then, how long answers take tells nothing of queues.
+  /// Response times before this time do not indicate queueing.
   Instant latency_valid_from_;
   SteeringView view_;
   FlowTable flows_;
-  /// Flows that were placed, and requests that began lately, in order.
+  /// Recent opening packets and requests, oldest first.
   std::deque<PendingReply> openings_;
   std::deque<PendingReply> requests_;
   bool is_link_congested_ = false;
-  /// When the own link was known to be congested last.
+  /// When the local link was last congested.
   std::optional<Instant> congested_at_;
   TargetScores scores_;
   TargetReachability reachability_;
@@ -286,15 +285,16 @@
   WarmUpBudget warm_up_;
   ZonePaths zone_paths_;
   std::vector<TargetId> newly_cold_;
-  /// How many of `openings_` and `requests_`, from the front, `check_zone_timeouts` has seen.
+  /// Number of entries at the front of `openings_` and `requests_` that `check_zone_timeouts` has
+  /// checked.
   std::size_t zone_checked_openings_ = 0;
   std::size_t zone_checked_requests_ = 0;
-  /// How many of `openings_`, from the front, `probe_overdue_openings` has seen.
+  /// Number of entries at the front of `openings_` that `probe_overdue_openings` has checked.
   std::size_t overdue_checked_openings_ = 0;
   Instant next_zone_check_at_;
-  /// No look around before this.
+  /// Earliest time for the next probing of neighbors.
   Instant next_neighbor_probe_at_;
-  /// When flows into zones that are cut off were ended last.
+  /// When flows to unreachable zones were last reset.
   Instant flows_reset_at_;
   SteeringFaults faults_;
 };
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -1,5 +1,5 @@
-/// What FlowSteering does about targets that refuse new flows: which openings are overdue, what
-/// probes and other balancers tell of their targets, and which other targets are looked at then.
+/// FlowSteering's handling of targets that refuse new flows: timeouts of opening packets, probe
+/// results, reports from other balancers, and probing of neighbors.
 #include <algorithm>
 #include <set>
 #include <string_view>
@@ -10,15 +10,14 @@
 namespace gorsevalve {
 namespace {
 
-/// When a first opening packet is followed by nothing for this long, not even by a copy, which
-/// callers send after 200 ms, the caller was told that there is no flow.
+/// Without a retransmission by this time, the client was reset: clients retransmit after 200 ms.
 constexpr Duration kRefusalTimeout = std::chrono::milliseconds(300);
-/// Pause between two looks around.
+/// Minimum time between two rounds of probing neighbors.
 constexpr Duration kNeighborProbeInterval = std::chrono::seconds(1);
-/// Balancers of a zone that look at each of its targets, where all zones have as many: some may
-/// have died with the targets.
+/// Balancers per zone that probe each target, if zones are equally large. More than one, since some
+/// may fail together with the targets.
 constexpr std::uint64_t kProbersPerTarget = 3;
-/// Parts of a zone's targets while a balancer does not know how many others there are.
+/// Partitions of a zone's targets while the number of balancers is unknown.
 constexpr std::uint64_t kDefaultPartitions = 8;
 constexpr std::uint64_t kNeighborProbeSalt = 0x6c6f6f6b00ULL;
 
@@ -34,7 +33,7 @@
   reachability_.on_progress(entry.target, now);
   refusals_.on_established(entry.target, sent_at);
   const RegisteredTarget* target = view_.target_by_id(entry.target);
-  // An answer to a copy may be one to the packet before it.
+  // A reply after a retransmission may belong to the earlier packet (Karn's algorithm).
   if (target != nullptr && !entry.is_retransmitted) {
     handshake_times_.on_established(target->zone, now - sent_at);
   }
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -1,25 +1,23 @@
-/// What FlowSteering does about paths to whole zones: when it doubts one, and what becomes of the
-/// flows there.
+/// FlowSteering's handling of zone paths: when it suspects one and which flows it resets.
 #include "core/steering/flow_steering.h"
 
 namespace gorsevalve {
 namespace {
 
-/// An opening or a request that is followed by nothing for this long makes a balancer look at the
-/// zone: half of the time after which callers repeat, so that a conclusion comes when they do.
+/// Time without a reply after which the zone is checked: half of the client's retransmission
+/// timeout, so a result is available when the client retransmits.
 constexpr Duration kZoneSuspicionTimeout = std::chrono::milliseconds(100);
-/// Where answers usually take longer than this, half of that time, a request counts as late only
-/// when its caller repeats it.
+/// Above this response time, half of the timeout, only a retransmission makes a request suspicious.
 constexpr double kMaxFastAnswerUs = 50e3;
-/// Pause between two checks: short beside the time above.
+/// Short compared with the timeout above.
 constexpr Duration kZoneCheckInterval = std::chrono::milliseconds(10);
-/// Targets that answered lately, of all zones, from which those to probe are chosen.
+/// Maximum number of recently responsive targets from which the ones to probe are selected.
 constexpr std::size_t kMaxResponsiveTargets = 64;
 
-/// Pause between two looks for flows to end.
+/// Minimum time between two scans for flows to reset.
 constexpr Duration kResetInterval = std::chrono::milliseconds(100);
-/// A flow rests when its caller has sent nothing for this long: the rest of an answer comes within
-/// a round trip.
+/// A flow is idle after this time without a client packet; the rest of a response is acknowledged
+/// within a round trip.
 constexpr Duration kMinIdleBeforeReset = std::chrono::milliseconds(50);
 
 bool is_non_idempotent(RequestClass request_class) {
@@ -30,7 +28,7 @@
 
 void FlowSteering::suspect_zone(TargetId target, Instant sent_at, Instant now) {
   const bool may_probe = policy_.probes > 0 && is_confirmed_ && now >= observes_from_;
-  // Looking for targets that answered walks all of them, so it comes last.
+  // Checked last: selecting responsive targets scans all of them.
   if (may_probe && !may_be_local_congestion(sent_at) && zone_paths_.may_check(target, now)) {
     zone_paths_.suspect(target, sent_at,
                         scores_.latest_answered(kMaxResponsiveTargets, target, now), now);
@@ -66,7 +64,7 @@
   std::vector<ZonePathChange> changes = zone_paths_.detect_changes(is_link_congested, now);
   for (const auto& change : changes) {
     if (change.is_cut) {
-      // Others with flows there should look for themselves.
+      // Makes other balancers with flows there probe for themselves.
       scores_.on_unreachable(change.suspected, now);
       flows_reset_at_ = Instant{};
     }
@@ -76,14 +74,14 @@
 
 bool FlowSteering::has_non_idempotent_request(const FrontendView& frontend, const FlowEntry& entry,
                                               Instant now) {
-  // What begins only now cannot have got across.
+  // A request that starts now cannot have reached the target.
   return is_non_idempotent(frontend.request_class) && entry.phase == FlowPhase::kOpen &&
          entry.request_started_at && *entry.request_started_at < now;
 }
 
 bool FlowSteering::should_reset_for_zone(const FrontendView& frontend, const ClientPacket& packet,
                                          TargetId target, Instant now) {
-  // What carries no data asks for nothing: its caller may be taking in an answer.
+  // A packet without data requests nothing; the client may be receiving a response.
   if (!zone_paths_.is_cut(target) || packet.data_size == 0) {
     return false;
   }
--- a/src/core/steering/flow_table.cc
+++ b/src/core/steering/flow_table.cc
@@ -3,7 +3,7 @@
 namespace gorsevalve {
 namespace {
 
-/// How long an opening or closing flow may send copies of its packets.
+/// How long an opening or closing flow may retransmit.
 constexpr Duration kHandshakeTimeout = std::chrono::seconds(4);
 
 }  // namespace
--- a/src/core/steering/flow_table.h
+++ b/src/core/steering/flow_table.h
@@ -1,5 +1,5 @@
-/// Flows that passed this balancer lately: for load figures, and so that copies of an opening
-/// packet meet the same target. An open flow survives without its entry.
+/// Table of recent flows, for load statistics and for sending retransmitted opening packets to the
+/// same target. Open flows do not depend on their entries.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -12,7 +12,7 @@
 
 namespace gorsevalve {
 
-/// The two ends of a flow as a caller's packets name them.
+/// Client and frontend addresses of a flow.
 struct SteeredFlow {
   Endpoint client;
   Endpoint frontend;
@@ -30,39 +30,40 @@
 struct FlowEntry {
   TargetId target = 0;
   FlowPhase phase = FlowPhase::kOpening;
-  /// The caller sent a copy of its opening packet.
+  /// The client retransmitted its opening packet.
   bool is_retransmitted = false;
   Instant last_seen;
-  /// The caller's last acknowledgement number.
+  /// The client's last acknowledgement number.
   std::uint32_t acknowledged = 0;
-  /// When the request that is under way began; nothing between requests.
+  /// When the request in flight began; nullopt between requests.
   std::optional<Instant> request_started_at;
-  /// Place of the latest data of that request in the caller's stream.
+  /// Sequence number of the latest data of the request.
   std::uint32_t sequence = 0;
-  /// When data of that request was sent for the first time, or again.
+  /// When data of the request was last sent or retransmitted.
   Instant last_data_at;
-  /// When data of that request that had not been sent before came last: a caller sends more than
-  /// fits under way at once only when its target acknowledged what was before.
+  /// When new data of the request was last sent. New data beyond the send window means that the
+  /// target acknowledged earlier data.
   Instant last_new_data_at;
-  /// How often the caller had to send data of that request again since then.
+  /// Retransmissions since the last new data.
   std::uint32_t retransmissions = 0;
 };
 
 class FlowTable {
  public:
-  /// Entries that are held at most.
+  /// Maximum number of entries.
   static constexpr std::size_t kMaxEntries = 1U << 17U;
   using Visitor = std::function<void(const FlowEntry&)>;
   using EntryVisitor = std::function<void(const SteeredFlow&, FlowEntry&)>;
 
   [[nodiscard]] FlowEntry* find(const SteeredFlow& flow);
-  /// A new entry; nullptr when the table is full.
+  /// Inserts an entry; returns nullptr when the table is full.
   FlowEntry* insert(const SteeredFlow& flow, const FlowEntry& entry);
-  /// Drops entries that have rested for longer than their phase allows; tells each.
+  /// Evicts entries that have been idle longer than their phase allows, and calls `on_expired` for
+  /// each.
   void expire(Duration idle_timeout, Instant now, const Visitor& on_expired);
-  /// Shows all entries of open flows, in no order.
+  /// Visits all open flows in unspecified order.
   void visit_open(const EntryVisitor& visit);
-  /// Shows all entries of open flows at a target, in no order.
+  /// Visits all open flows at a target in unspecified order.
   void visit_open(TargetId target, const EntryVisitor& visit);
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
--- a/src/core/steering/flow_warm_up.cc
+++ b/src/core/steering/flow_warm_up.cc
@@ -1,4 +1,4 @@
-/// The part of flow steering that tells the warm-up budget which targets are cold.
+/// FlowSteering's reporting of targets that are warming up to the warm-up budget.
 #include <algorithm>
 #include <utility>
 
--- a/src/core/steering/handshake_times.cc
+++ b/src/core/steering/handshake_times.cc
@@ -6,8 +6,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Shares of a new sample in the smoothed time and in its deviation, and how many deviations above
-/// the smoothed time an opening is overdue: those of RFC 6298.
+/// Gains of the mean and of the deviation, and the factor of the deviation in the timeout (RFC
+/// 6298).
 constexpr double kMeanGain = 1.0 / 8;
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kDeviationFactor = 4;
--- a/src/core/steering/response_times.cc
+++ b/src/core/steering/response_times.cc
@@ -3,10 +3,9 @@
 namespace gorsevalve {
 namespace {
 
-/// Share of a new sample in the smoothed time: a balancer sees some ten answers in the half second
-/// in which queues fill.
+/// Gain of the smoothed mean: about ten samples arrive while queues fill.
 constexpr double kSampleGain = 0.2;
-/// Answers that are older than this tell nothing of the queues of now.
+/// Older samples do not reflect current queueing.
 constexpr Duration kMaxSampleAge = std::chrono::seconds(2);
 
 }  // namespace
--- a/src/core/steering/response_times.h
+++ b/src/core/steering/response_times.h
@@ -1,7 +1,6 @@
-/// How long requests of each pool take to be answered, as one balancer sees it. Tells whether a
-/// target that refuses a connection may be full: that takes a queue, and then answers of its pool
-/// take long. After a loss of all, queues are full everywhere, and targets that are full for a
-/// moment must not be left to the few that are not.
+/// Estimates response times per pool, which show whether a target that refuses a connection may be
+/// full. A full target has a queue, so responses of its pool are slow. After a full outage all
+/// queues are full, and targets that are briefly full must not lose their load to the few others.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,24 +12,24 @@
 
 namespace gorsevalve {
 
-/// What the latest answers of a pool say.
+/// Recent response latency of a pool.
 enum class LatencyLevel : std::uint8_t {
-  /// None came lately.
+  /// No recent response.
   kUnknown = 0,
   kLow = 1,
-  /// Requests wait in queues.
+  /// Requests are queued.
   kHigh = 2,
 };
 
 class ResponseTimes {
  public:
-  /// Makes room for a pool, so that its answers allocate nothing.
+  /// Adds a pool in advance; its samples then allocate nothing.
   void add_pool(const std::string& pool) { pools_.try_emplace(pool); }
-  /// An answer of a target; nothing is noted of a pool that was not added.
+  /// Records a response time. Pools that were not added are ignored.
   void on_response(const std::string& pool, Duration took, Instant now);
   [[nodiscard]] LatencyLevel latency_level(const std::string& pool, Instant now) const;
 
-  /// Work without a queue takes less than this, in microseconds; with a full queue it takes more.
+  /// Separates responses without queueing from those behind a full queue, in microseconds.
   static constexpr double kLowLatencyUs = 100e3;
 
  private:
--- a/src/core/steering/steering_view.cc
+++ b/src/core/steering/steering_view.cc
@@ -75,7 +75,7 @@
   for (const auto& [id, held] : targets_) {
     ids.push_back(id);
   }
-  // The order of the table must not show.
+  // Makes the result independent of the hash table order.
   std::sort(ids.begin(), ids.end());
   for (const TargetId id : ids) {
     TargetEntry& held = targets_.at(id);
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -1,5 +1,5 @@
-/// Index over the steering state in force, as the packet path needs it. Follows the state by its
-/// changes, so that a change costs what it changes and not what the state holds.
+/// Index of the applied steering state for the packet path. The cost of a delta depends on its own
+/// size, not on the size of the state.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -15,7 +15,7 @@
 
 namespace gorsevalve {
 
-/// A pool of one frontend with its share of new flows.
+/// A pool of a frontend with its weight for new flows.
 struct PoolShare {
   std::uint32_t pool = 0;
   std::uint32_t weight = 0;
@@ -25,52 +25,52 @@
 struct FrontendView {
   Endpoint address;
   std::vector<PoolShare> shares;
-  /// After this time callers give up.
+  /// Time after which clients time out.
   Duration timeout{0};
-  /// Within this time an answer is worth most to its caller.
+  /// Target response time for clients.
   Duration latency_objective{0};
   RequestClass request_class = RequestClass::kIdempotent;
-  /// 0 is served first.
+  /// 0 is the highest priority.
   std::uint32_t priority = 0;
-  /// Pools that flows of this frontend may be at: present and former ones.
+  /// Current and former pools, at which flows of this frontend may be.
   absl::flat_hash_set<std::uint32_t> reachable_pools;
 };
 
 class SteeringView {
  public:
-  /// Takes a whole state. Frontends that were there before and are not in it count as dropped.
+  /// Replaces the state with a snapshot. Frontends missing from it count as dropped.
   void reset(const SteeringState& state);
-  /// Takes a change. True when what cold targets take has changed with the settings.
+  /// Applies a delta. Returns true when the flow rates of targets that are warming up have changed.
   bool apply(const SteeringDelta& delta);
 
   [[nodiscard]] const FrontendView* frontend(const Endpoint& address) const;
-  /// True when the address was a frontend earlier in the life of this process, and is none now.
+  /// True when the address was a frontend earlier in this process and is none now.
   [[nodiscard]] bool was_dropped(const Endpoint& address) const {
     return dropped_.contains(address);
   }
-  /// Targets that are found stay where they are until they are forgotten.
+  /// Returned pointers stay valid until the target is removed.
   [[nodiscard]] const RegisteredTarget* target(FlowToken token) const;
   [[nodiscard]] const RegisteredTarget* target_by_id(TargetId id) const;
-  /// True when flows of the frontend may be at the target.
+  /// True when the target's pool is a current or former pool of the frontend.
   [[nodiscard]] bool may_reach(const FrontendView& frontend, const RegisteredTarget& target) const;
-  /// True when the target has ended and another one listens at its address now.
+  /// True when the target has ended and another target now uses its address.
   [[nodiscard]] bool is_replaced(const RegisteredTarget& target) const;
-  /// Targets at an address that have not ended, the earliest first; of the whole states that were
-  /// taken, the order is not known.
+  /// Targets at an address that have not ended, in order of announcement. Targets from snapshots
+  /// are in unspecified order.
   [[nodiscard]] std::vector<TargetId> live_targets_at(const Endpoint& address) const;
-  /// True when an operator's order keeps new flows from the target's zone.
+  /// True when an operator's evacuation command keeps new flows from the target's zone.
   [[nodiscard]] bool is_evacuated(const RegisteredTarget& target) const {
     return evacuated_zones_.contains(target.zone);
   }
-  /// Targets of a pool that may get new flows: neither ending nor in an evacuated zone.
+  /// Targets of a pool that may get new flows: neither draining, ended, nor in an evacuated zone.
   [[nodiscard]] const std::vector<const RegisteredTarget*>& pool_targets(std::uint32_t pool) const {
     return pool_targets_[pool];
   }
   /// True when the target belongs to the pool.
   [[nodiscard]] bool is_in_pool(TargetId id, std::uint32_t pool) const;
-  /// New flows per second that a cold target of the pool takes; 0 where the operator set no bound.
+  /// Maximum new flows per second for a target of the pool while it warms up; 0 for no limit.
   [[nodiscard]] double cold_flows_per_s(const std::string& pool) const;
-  /// Calls `visit` with each target, in no order.
+  /// Calls `visit` for each target in unspecified order.
   template <typename Visitor>
   void visit_targets(const Visitor& visit) const {
     for (const auto& [id, held] : targets_) {
@@ -82,37 +82,37 @@
   [[nodiscard]] std::uint32_t idle_timeout_ms() const { return idle_timeout_ms_; }
 
  private:
-  /// Place of a target that is in no pool's list.
+  /// Position of a target that is not in a pool's list.
   static constexpr std::size_t kNotPlaceable = SIZE_MAX;
 
   struct TargetEntry {
     RegisteredTarget target;
     std::uint32_t pool = 0;
-    /// Where it stands in its pool's list.
+    /// Index in the pool's list.
     std::size_t pool_position = kNotPlaceable;
   };
 
   std::uint32_t pool_index(const std::string& name);
-  /// True when a rate of cold targets has changed.
+  /// Returns true when a flow rate of targets that are warming up has changed.
   bool set_pools(const std::vector<Pool>& pools);
   void upsert_frontend(const Frontend& frontend);
   void drop_frontend(const Endpoint& address);
   void upsert_target(const RegisteredTarget& target);
   void forget_target(TargetId id);
-  /// Takes all evacuated zones in place of the earlier ones.
+  /// Replaces the set of evacuated zones.
   void set_evacuated_zones(const std::vector<EvacuatedZone>& evacuated);
-  /// Puts a target into its pool's list when it may get new flows.
+  /// Adds a target to its pool's list if it may get new flows.
   void add_to_pool(TargetEntry& held);
-  /// Takes a target out of its pool's list. Costs the same however many targets the pool has.
+  /// Removes a target from its pool's list in constant time.
   void remove_from_pool(TargetEntry& held);
-  /// Takes a target out of the indexes, before it changes.
+  /// Removes a target from the indexes before it changes.
   void remove_from_indexes(TargetEntry& held);
 
   OperatorVersion version_ = 0;
   std::uint32_t idle_timeout_ms_ = 0;
   absl::node_hash_map<TargetId, TargetEntry> targets_;
   absl::flat_hash_map<std::string, std::uint32_t> pools_;
-  /// Of the pools that have a bound.
+  /// Only pools with a limit.
   absl::flat_hash_map<std::string, double> cold_flows_per_s_;
   std::vector<std::vector<const RegisteredTarget*>> pool_targets_;
   absl::flat_hash_map<Endpoint, FrontendView> frontends_;
