--- a/src/core/steering/buffered_packets.cc
+++ b/src/core/steering/buffered_packets.cc
@@ -7,9 +7,9 @@
 namespace {
 
 /// When the client of a buffered packet times out.
-Instant expires_at(const HeldPacket& held, const FrontendView* frontend, Duration longest) {
-  const Duration wait = frontend == nullptr ? longest : std::min(longest, frontend->timeout);
-  return held.sent_at + wait;
+Instant expires_at(const HeldPacket& buffered, const FrontendView* frontend, Duration max_wait) {
+  const Duration wait = frontend == nullptr ? max_wait : std::min(max_wait, frontend->timeout);
+  return buffered.sent_at + wait;
 }
 
 }  // namespace
@@ -21,27 +21,28 @@
   if (max_wait_ <= Duration::zero()) {
     return;
   }
-  Bytes copied(bytes.begin(), bytes.end());
+  Bytes payload(bytes.begin(), bytes.end());
   if (packet.opens) {
-    const auto same = std::find_if(packets_.begin(), packets_.end(), [&](const HeldPacket& held) {
-      return held.packet.opens && held.packet.flow == packet.flow;
-    });
-    if (same != packets_.end()) {
-      same->packet = packet;
-      same->bytes = std::move(copied);
+    const auto existing =
+        std::find_if(packets_.begin(), packets_.end(), [&](const HeldPacket& buffered) {
+          return buffered.packet.opens && buffered.packet.flow == packet.flow;
+        });
+    if (existing != packets_.end()) {
+      existing->packet = packet;
+      existing->bytes = std::move(payload);
       return;
     }
   }
   if (packets_.size() >= kMaxPackets) {
     packets_.pop_front();
   }
-  packets_.push_back({packet, std::move(copied), now - packet.age});
+  packets_.push_back({packet, std::move(payload), now - packet.age});
 }
 
 void BufferedPackets::release(const FlowSteering& steering, Instant now, const Visitor& take) {
-  std::erase_if(packets_, [&](const HeldPacket& held) {
-    const FrontendView* frontend = steering.frontend(held.packet.flow.frontend);
-    return expires_at(held, frontend, max_wait_) < now;
+  std::erase_if(packets_, [&](const HeldPacket& buffered) {
+    const FrontendView* frontend = steering.frontend(buffered.packet.flow.frontend);
+    return expires_at(buffered, frontend, max_wait_) < now;
   });
   std::erase_if(packets_, take);
 }
--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -83,21 +83,22 @@
     return;
   }
   const Instant sent_at = entry.last_data_at;
-  const bool is_explained = may_be_local_congestion(sent_at);
+  const bool may_be_congestion = may_be_local_congestion(sent_at);
   entry.last_data_at = now;
   ++entry.retransmissions;
-  if (is_explained && entry.retransmissions < kRetransmissionsOnCongestedLink) {
+  if (may_be_congestion && entry.retransmissions < kRetransmissionsOnCongestedLink) {
     return;
   }
   const TargetScore& score = scores_.at(entry.target);
-  const bool answered_others = score.answer_at > *entry.request_started_at;
+  const bool has_newer_response = score.answer_at > *entry.request_started_at;
   // With queueing, a first retransmission does not indicate a failed target: targets delay the
   // acknowledgement of a single packet until its response or retransmission.
-  const bool is_prompt = score.answer_us > 0 && score.answer_us < ResponseTimes::kLowLatencyUs;
-  if (entry.retransmissions > 1 || (is_prompt && !answered_others)) {
+  const bool has_low_latency =
+      score.answer_us > 0 && score.answer_us < ResponseTimes::kLowLatencyUs;
+  if (entry.retransmissions > 1 || (has_low_latency && !has_newer_response)) {
     suspect_target(entry.target, now);
   }
-  if (entry.retransmissions > 1 && !is_explained) {
+  if (entry.retransmissions > 1 && !may_be_congestion) {
     reachability_.on_unacknowledged_flow(entry.target, sent_at);
   }
 }
@@ -117,11 +118,11 @@
   }
   if (entry == nullptr || (packet.opens && entry->phase == FlowPhase::kClosing)) {
     const bool ends = packet.closes || packet.resets;
-    FlowEntry fresh;
-    fresh.target = target;
-    fresh.acknowledged = packet.acknowledged;
-    fresh.phase = ends ? FlowPhase::kClosing : FlowPhase::kOpening;
-    entry = flows_.insert(packet.flow, fresh);
+    FlowEntry new_entry;
+    new_entry.target = target;
+    new_entry.acknowledged = packet.acknowledged;
+    new_entry.phase = ends ? FlowPhase::kClosing : FlowPhase::kOpening;
+    entry = flows_.insert(packet.flow, new_entry);
     if (entry == nullptr) {
       return;
     }
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -135,8 +135,8 @@
 
   [[nodiscard]] double weight_of(const RegisteredTarget& target, WarmUpAdmission admission) const {
     const double weight = inputs_.scores.preference(target);
-    const bool has_turn = admission == WarmUpAdmission::kOwnTurn;
-    return has_turn ? weight * inputs_.warm_up.turn_weight(target.id) : weight;
+    const bool has_time_slot = admission == WarmUpAdmission::kOwnTurn;
+    return has_time_slot ? weight * inputs_.warm_up.turn_weight(target.id) : weight;
   }
 
   const PlacementInputs& inputs_;
@@ -161,16 +161,16 @@
   std::vector<std::int64_t>& credits = credits_[frontend.address];
   credits.resize(frontend.shares.size(), 0);
   std::int64_t total = 0;
-  std::size_t richest = 0;
+  std::size_t selected = 0;
   for (std::size_t i = 0; i < frontend.shares.size(); ++i) {
     total += frontend.shares[i].weight;
     credits[i] += frontend.shares[i].weight;
-    if (credits[i] > credits[richest]) {
-      richest = i;
+    if (credits[i] > credits[selected]) {
+      selected = i;
     }
   }
-  credits[richest] -= total;
-  return frontend.shares[richest].pool;
+  credits[selected] -= total;
+  return frontend.shares[selected].pool;
 }
 
 const RegisteredTarget* FlowPlacement::place(const PlacementInputs& inputs,
@@ -201,13 +201,13 @@
 
 void FlowPlacement::count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
                                   Instant now) {
-  const auto waits_for_turn = [&](const RegisteredTarget* target) {
+  const auto lacks_time_slot = [&](const RegisteredTarget* target) {
     return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kOtherTurn;
   };
   const bool has_cold =
       std::any_of(frontend.shares.begin(), frontend.shares.end(), [&](const PoolShare& share) {
         const auto& targets = inputs.view.pool_targets(share.pool);
-        return share.weight > 0 && std::any_of(targets.begin(), targets.end(), waits_for_turn);
+        return share.weight > 0 && std::any_of(targets.begin(), targets.end(), lacks_time_slot);
       });
   if (has_cold) {
     inputs.warm_up.on_refused();
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -185,13 +185,13 @@
 }
 
 SteeringDecision FlowSteering::forward_unconfirmed(const ClientPacket& packet, Instant now) {
-  constexpr SteeringDecision kUndecided{SteeringAction::kDrop, SteeringReason::kNoState, nullptr};
+  constexpr SteeringDecision kNoDecision{SteeringAction::kDrop, SteeringReason::kNoState, nullptr};
   const FrontendView* frontend = view_.frontend(packet.flow.frontend);
   if (packet.opens || frontend == nullptr) {
-    return kUndecided;
+    return kNoDecision;
   }
   const SteeringDecision decision = forward_by_token(*frontend, packet, now);
-  return decision.action == SteeringAction::kForward ? decision : kUndecided;
+  return decision.action == SteeringAction::kForward ? decision : kNoDecision;
 }
 
 SteeringDecision FlowSteering::place_flow(const FrontendView& frontend, const ClientPacket& packet,
@@ -200,11 +200,11 @@
   FlowEntry* entry = flows_.find(packet.flow);
   TargetId avoided = 0;
   /// The target selected for the previous transmission, while it may still accept the flow.
-  const RegisteredTarget* first = nullptr;
+  const RegisteredTarget* fallback = nullptr;
   if (entry != nullptr && entry->phase == FlowPhase::kOpening && packet.retransmissions > 0) {
-    const RegisteredTarget* before = view_.target_by_id(entry->target);
-    const bool usable = before != nullptr && before->phase == TargetPhase::kReady &&
-                        view_.may_reach(frontend, *before) && !view_.is_evacuated(*before);
+    const RegisteredTarget* previous = view_.target_by_id(entry->target);
+    const bool usable = previous != nullptr && previous->phase == TargetPhase::kReady &&
+                        view_.may_reach(frontend, *previous) && !view_.is_evacuated(*previous);
     if (!entry->is_retransmitted) {
       entry->is_retransmitted = true;
       if (!may_be_local_congestion(entry->last_seen)) {
@@ -212,21 +212,21 @@
         suspect_target(entry->target, now);
       }
     }
-    const bool is_doubted =
+    const bool is_suspected =
         scores_.is_suspected(entry->target, now) || reachability_.is_unreachable(entry->target) ||
         refusals_.is_refusing(entry->target, now) || zone_paths_.is_cut(entry->target);
-    if (usable && packet.retransmissions <= policy_.copies_at_same_target && !is_doubted) {
-      return {SteeringAction::kForward, SteeringReason::kRetransmission, before};
+    if (usable && packet.retransmissions <= policy_.copies_at_same_target && !is_suspected) {
+      return {SteeringAction::kForward, SteeringReason::kRetransmission, previous};
     }
     avoided = entry->target;
     const bool is_reachable =
         !reachability_.is_unreachable(entry->target) && !zone_paths_.is_cut(entry->target);
-    first = usable && is_reachable ? before : nullptr;
+    fallback = usable && is_reachable ? previous : nullptr;
   }
   const RegisteredTarget* target = placement_.place(inputs(), frontend, packet, avoided, now);
-  if (target == nullptr && first != nullptr) {
+  if (target == nullptr && fallback != nullptr) {
     // The flow was already admitted to the target that is warming up, which may still reply.
-    return {SteeringAction::kForward, SteeringReason::kRetransmission, first};
+    return {SteeringAction::kForward, SteeringReason::kRetransmission, fallback};
   }
   if (target == nullptr) {
     return {SteeringAction::kReset, SteeringReason::kNoTarget, nullptr};
@@ -292,8 +292,8 @@
   reachability_.suspect(target, scores_.latest_answered(kReferenceTargets, target, now), now);
 }
 
-void FlowSteering::set_target_health(const std::vector<TargetHealth>& figures, Instant now) {
-  for (const TargetId id : scores_.set_target_health(figures)) {
+void FlowSteering::set_target_health(const std::vector<TargetHealth>& health, Instant now) {
+  for (const TargetId id : scores_.set_target_health(health)) {
     if (scores_.at(id).open_flows > 0) {
       suspect_target(id, now);
     }
@@ -319,11 +319,11 @@
 }
 
 std::vector<UnreachableTarget> FlowSteering::evaluate_reachability(Instant now) {
-  std::vector<UnreachableTarget> concluded = reachability_.detect_unreachable(now);
-  for (const auto& one : concluded) {
+  std::vector<UnreachableTarget> unreachable = reachability_.detect_unreachable(now);
+  for (const auto& one : unreachable) {
     scores_.on_unreachable(one.target, now);
   }
-  return concluded;
+  return unreachable;
 }
 
 void FlowSteering::sort_by_flow(std::vector<FlowReset>& resets) {
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -124,12 +124,12 @@
   /// reported immediately; unanswered opening packets and requests can wait, since full queues
   /// cause them too.
   [[nodiscard]] bool has_refused_probe() const { return scores_.has_refused_probe(); }
-  void set_target_health(const std::vector<TargetHealth>& figures, Instant now);
+  void set_target_health(const std::vector<TargetHealth>& health, Instant now);
   /// Handles targets that recently refused probes of other balancers.
   void on_refusing(const RefusingTargets& told, Instant now);
 
   /// Sets this balancer's rank among all balancers; a count of 0 means unknown.
-  void set_balancer_rank(const BalancerRank& place, Instant now) { warm_up_.set_rank(place, now); }
+  void set_balancer_rank(const BalancerRank& rank, Instant now) { warm_up_.set_rank(rank, now); }
   [[nodiscard]] const WarmUpBudget& warm_up() const { return warm_up_; }
   /// Targets that began to warm up since the last call, ordered by id, and targets that have
   /// finished warming up.
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -47,8 +47,8 @@
 }
 
 LatencyLevel FlowSteering::latency_level(const RegisteredTarget& target, Instant now) const {
-  const bool may_be_told = now >= latency_valid_from_;
-  return may_be_told ? response_times_.latency_level(target.pool, now) : LatencyLevel::kHigh;
+  const bool is_latency_valid = now >= latency_valid_from_;
+  return is_latency_valid ? response_times_.latency_level(target.pool, now) : LatencyLevel::kHigh;
 }
 
 const FlowEntry* FlowSteering::find_unanswered(const PendingReply& opening) {
@@ -60,9 +60,9 @@
 
 Instant FlowSteering::overdue_at(const PendingReply& opening) const {
   const RegisteredTarget* target = view_.target_by_id(opening.target);
-  const Duration usual = target == nullptr ? HandshakeTimes::kMaxTimeout
-                                           : handshake_times_.overdue_timeout(target->zone);
-  return opening.sent_at + usual;
+  const Duration timeout = target == nullptr ? HandshakeTimes::kMaxTimeout
+                                             : handshake_times_.overdue_timeout(target->zone);
+  return opening.sent_at + timeout;
 }
 
 std::optional<Instant> FlowSteering::next_reply_deadline() const {
@@ -107,10 +107,10 @@
   }
 }
 
-void FlowSteering::on_refusing(const RefusingTargets& told, Instant now) {
-  for (const FlowToken token : told.targets) {
+void FlowSteering::on_refusing(const RefusingTargets& report, Instant now) {
+  for (const FlowToken token : report.targets) {
     const RegisteredTarget* target = view_.target(token);
-    const bool counts = target != nullptr && (told.zone == zone_ || told.zone == target->zone);
+    const bool counts = target != nullptr && (report.zone == zone_ || report.zone == target->zone);
     if (counts && latency_level(*target, now) != LatencyLevel::kHigh) {
       refusals_.on_remote_refusal(target->id, now);
       on_refusal(*target, now);
@@ -119,8 +119,8 @@
 }
 
 void FlowSteering::on_refusal(const RegisteredTarget& target, Instant now) {
-  const bool may_look = policy_.looks_around > 0 && target.zone == zone_;
-  if (may_look && now >= next_neighbor_probe_at_ &&
+  const bool may_probe_neighbors = policy_.looks_around > 0 && target.zone == zone_;
+  if (may_probe_neighbors && now >= next_neighbor_probe_at_ &&
       latency_level(target, now) == LatencyLevel::kLow) {
     next_neighbor_probe_at_ = now + kNeighborProbeInterval;
     probe_neighbors(now);
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -98,9 +98,9 @@
   flows_.visit_open([&](const SteeredFlow& flow, FlowEntry& entry) {
     const FrontendView* frontend = view_.frontend(flow.frontend);
     const bool is_resting = now - entry.last_seen >= kMinIdleBeforeReset;
-    const bool goes_on =
+    const bool stays_open =
         frontend == nullptr || !is_resting || has_non_idempotent_request(*frontend, entry, now);
-    if (goes_on || !zone_paths_.is_cut(entry.target)) {
+    if (stays_open || !zone_paths_.is_cut(entry.target)) {
       return;
     }
     resets.push_back({flow, entry.acknowledged});
--- a/src/core/steering/handshake_times.cc
+++ b/src/core/steering/handshake_times.cc
@@ -36,8 +36,8 @@
     return kMaxTimeout;
   }
   const Estimate& estimate = found->second;
-  const double usual_us = estimate.mean_us + kDeviationFactor * estimate.deviation_us;
-  return std::clamp(Duration(static_cast<std::int64_t>(usual_us)), kMinTimeout, kMaxTimeout);
+  const double timeout_us = estimate.mean_us + kDeviationFactor * estimate.deviation_us;
+  return std::clamp(Duration(static_cast<std::int64_t>(timeout_us)), kMinTimeout, kMaxTimeout);
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/steering_policy.cc
+++ b/src/core/steering/steering_policy.cc
@@ -37,7 +37,7 @@
     PolicyField{"cold_penalty", &SteeringPolicy::cold_penalty, 1, 100,
                 "factor on the load of a target that warms up"},
     PolicyField{"slow_factor", &SteeringPolicy::slow_factor, 0, 100,
-                "multiple of the usual answer time from which a target is slow; 0: never"},
+                "multiple of the defaults answer time from which a target is slow; 0: never"},
     PolicyField{"pressure_exponent", &SteeringPolicy::pressure_exponent, 0, 100,
                 "how strongly what all balancers saw decides between equal loads"},
     PolicyField{"near_preference", &SteeringPolicy::near_preference, 1, 1000,
@@ -75,11 +75,11 @@
 }
 
 std::string to_string(const SteeringPolicy& policy) {
-  const SteeringPolicy usual;
+  const SteeringPolicy defaults;
   std::vector<std::string> parts;
   for (const auto& field : kFields) {
     const double value = policy.*(field.value);
-    if (value != usual.*(field.value)) {
+    if (value != defaults.*(field.value)) {
       parts.push_back(std::string(field.name) + "=" + format_number(value));
     }
   }
--- a/src/core/steering/steering_view.cc
+++ b/src/core/steering/steering_view.cc
@@ -10,13 +10,13 @@
   for (const auto& frontend : state.settings.frontends) {
     present.insert(frontend.address);
   }
-  std::vector<Endpoint> gone;
+  std::vector<Endpoint> removed;
   for (const auto& [address, frontend] : frontends_) {
     if (!present.contains(address)) {
-      gone.push_back(address);
+      removed.push_back(address);
     }
   }
-  for (const auto& address : gone) {
+  for (const auto& address : removed) {
     drop_frontend(address);
   }
   targets_.clear();
@@ -72,39 +72,39 @@
   }
   std::vector<TargetId> ids;
   ids.reserve(targets_.size());
-  for (const auto& [id, held] : targets_) {
+  for (const auto& [id, entry] : targets_) {
     ids.push_back(id);
   }
   // Makes the result independent of the hash table order.
   std::sort(ids.begin(), ids.end());
   for (const TargetId id : ids) {
-    TargetEntry& held = targets_.at(id);
-    held.pool_position = kNotPlaceable;
-    add_to_pool(held);
+    TargetEntry& entry = targets_.at(id);
+    entry.pool_position = kNotPlaceable;
+    add_to_pool(entry);
   }
 }
 
-void SteeringView::add_to_pool(TargetEntry& held) {
-  const RegisteredTarget& target = held.target;
+void SteeringView::add_to_pool(TargetEntry& entry) {
+  const RegisteredTarget& target = entry.target;
   const bool is_ending =
       target.phase == TargetPhase::kDraining || target.phase == TargetPhase::kEnded;
   if (!is_ending && !is_evacuated(target)) {
-    std::vector<const RegisteredTarget*>& offered = pool_targets_[held.pool];
-    held.pool_position = offered.size();
-    offered.push_back(&target);
+    std::vector<const RegisteredTarget*>& placeable = pool_targets_[entry.pool];
+    entry.pool_position = placeable.size();
+    placeable.push_back(&target);
   }
 }
 
-void SteeringView::remove_from_pool(TargetEntry& held) {
-  if (held.pool_position == kNotPlaceable) {
+void SteeringView::remove_from_pool(TargetEntry& entry) {
+  if (entry.pool_position == kNotPlaceable) {
     return;
   }
-  std::vector<const RegisteredTarget*>& offered = pool_targets_[held.pool];
-  const RegisteredTarget* last = offered.back();
-  targets_.at(last->id).pool_position = held.pool_position;
-  offered[held.pool_position] = last;
-  offered.pop_back();
-  held.pool_position = kNotPlaceable;
+  std::vector<const RegisteredTarget*>& placeable = pool_targets_[entry.pool];
+  const RegisteredTarget* last = placeable.back();
+  targets_.at(last->id).pool_position = entry.pool_position;
+  placeable[entry.pool_position] = last;
+  placeable.pop_back();
+  entry.pool_position = kNotPlaceable;
 }
 
 std::uint32_t SteeringView::pool_index(const std::string& name) {
@@ -157,32 +157,32 @@
   }
 }
 
-void SteeringView::remove_from_indexes(TargetEntry& held) {
-  const RegisteredTarget& target = held.target;
+void SteeringView::remove_from_indexes(TargetEntry& entry) {
+  const RegisteredTarget& target = entry.target;
   by_token_.erase(target.token);
-  remove_from_pool(held);
+  remove_from_pool(entry);
   if (target.phase != TargetPhase::kEnded) {
-    const auto living = live_by_address_.find(target.address);
-    std::erase(living->second, target.id);
-    if (living->second.empty()) {
-      live_by_address_.erase(living);
+    const auto live = live_by_address_.find(target.address);
+    std::erase(live->second, target.id);
+    if (live->second.empty()) {
+      live_by_address_.erase(live);
     }
   }
 }
 
 void SteeringView::upsert_target(const RegisteredTarget& target) {
   const auto [found, is_new] = targets_.try_emplace(target.id);
-  TargetEntry& held = found->second;
+  TargetEntry& entry = found->second;
   if (!is_new) {
-    remove_from_indexes(held);
+    remove_from_indexes(entry);
   }
-  held.target = target;
-  held.pool = pool_index(target.pool);
+  entry.target = target;
+  entry.pool = pool_index(target.pool);
   by_token_[target.token] = target.id;
   if (target.phase != TargetPhase::kEnded) {
     live_by_address_[target.address].push_back(target.id);
   }
-  add_to_pool(held);
+  add_to_pool(entry);
 }
 
 void SteeringView::forget_target(TargetId id) {
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -73,8 +73,8 @@
   /// Calls `visit` for each target in unspecified order.
   template <typename Visitor>
   void visit_targets(const Visitor& visit) const {
-    for (const auto& [id, held] : targets_) {
-      visit(held.target);
+    for (const auto& [id, entry] : targets_) {
+      visit(entry.target);
     }
   }
   [[nodiscard]] std::size_t targets() const { return targets_.size(); }
@@ -102,11 +102,11 @@
   /// Replaces the set of evacuated zones.
   void set_evacuated_zones(const std::vector<EvacuatedZone>& evacuated);
   /// Adds a target to its pool's list if it may get new flows.
-  void add_to_pool(TargetEntry& held);
+  void add_to_pool(TargetEntry& entry);
   /// Removes a target from its pool's list in constant time.
-  void remove_from_pool(TargetEntry& held);
+  void remove_from_pool(TargetEntry& entry);
   /// Removes a target from the indexes before it changes.
-  void remove_from_indexes(TargetEntry& held);
+  void remove_from_indexes(TargetEntry& entry);
 
   OperatorVersion version_ = 0;
   std::uint32_t idle_timeout_ms_ = 0;
