--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -212,10 +212,10 @@
         suspect_target(entry->target, now);
       }
     }
-    const bool is_suspected =
+    const bool is_unhealthy =
         scores_.is_suspected(entry->target, now) || reachability_.is_unreachable(entry->target) ||
         refusals_.is_refusing(entry->target, now) || zone_paths_.is_cut(entry->target);
-    if (usable && packet.retransmissions <= policy_.copies_at_same_target && !is_suspected) {
+    if (usable && packet.retransmissions <= policy_.copies_at_same_target && !is_unhealthy) {
       return {SteeringAction::kForward, SteeringReason::kRetransmission, previous};
     }
     avoided = entry->target;
--- a/tests/sim/test_steering_workload.cc
+++ b/tests/sim/test_steering_workload.cc
@@ -1,9 +1,10 @@
-/// A seeded workload over several balancers that steer by reflected tokens: targets come, drain,
-/// end and give their addresses to others, settings change, each balancer has each revision after a
-/// delay of its own, and every packet of a flow may meet any balancer. Checked after each packet:
-/// an open flow never moves, no packet reaches a pool that its frontend never had, a target that a
-/// balancer knows as leaving gets no new flow from it, and a flow of a living target is reset only
-/// when its frontend was dropped.
+/// A seeded workload over several balancers that steer by reflected tokens. Targets are added,
+/// drain, end and release their addresses; settings change; each balancer receives revisions with
+/// its own delay; and any balancer may receive a packet.
+///
+/// Checks after each packet: an open flow never moves, no packet reaches a pool that its frontend
+/// never had, a target known to be draining gets no new flow, and a flow of a live target is reset
+/// only when its frontend was dropped.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -49,7 +50,7 @@
     }
   }
 
-  /// Runs all steps; gives the first violation, or nothing.
+  /// Runs all steps; returns the first violation, or an empty string.
   std::string run() {
     for (int step = 0; step < kSteps && violation_.empty(); ++step) {
       now_ += milliseconds(5);
@@ -147,7 +148,7 @@
     record(steering_delta(state_, command, TokenIndex(state_)));
   }
 
-  /// The target crashes and starts again under its id and at its address: its flows are gone.
+  /// The target crashes and restarts with the same id and address, which ends its flows.
   void restart(const RegisteredTarget& crashed) {
     RegisteredTarget target = crashed;
     ++target.started_at_ms;
@@ -179,7 +180,7 @@
     check_pool(packet, *decision.target);
     const RegisteredTarget* known = find_target(history_[revisions_[i] - 1], decision.target->id);
     if (known == nullptr || known->phase >= TargetPhase::kDraining) {
-      violation_ = "a leaving target got a new flow";
+      violation_ = "a draining or ended target got a new flow";
     }
     if (live_targets_.contains(decision.target->id)) {
       flows_.push_back({packet.flow, decision.target->id, decision.target->token});
@@ -204,9 +205,9 @@
     const bool dropped = decision.reason == SteeringReason::kFrontendDropped;
     if (decision.action == SteeringAction::kReset && live_targets_.contains(flow.target) &&
         !dropped) {
-      violation_ = "a flow of a living target was reset";
+      violation_ = "a flow of a live target was reset";
     }
-    // A caller may send any token it likes.
+    // A client may send any token.
     packet.token = random_target().token;
     const SteeringDecision forged = balancers_[i].on_packet(packet, now_);
     if (forged.action == SteeringAction::kForward) {
@@ -228,7 +229,7 @@
   SteeringState state_;
   std::vector<SteeringState> history_;
   std::vector<FlowSteering> balancers_;
-  /// Revisions that each balancer has.
+  /// Revision applied by each balancer.
   std::vector<std::size_t> revisions_;
   std::set<TargetId> live_targets_;
   std::vector<Endpoint> free_addresses_;
@@ -247,7 +248,7 @@
     }
   }
 
-  TEST_CASE("each deliberate fault is caught") {
+  TEST_CASE("each injected fault is detected") {
     SteeringFaults ignore_token;
     ignore_token.ignore_token = true;
     CHECK(is_caught<Workload>(ignore_token));
--- a/tests/unit/test_allocation.cc
+++ b/tests/unit/test_allocation.cc
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Sends without keeping anything.
+/// Counts and discards what it is given.
 class DiscardingOutput : public BalancerOutput {
  public:
   void send_to_client(const FlowKey& /*flow*/, ByteView /*message*/) override { ++answers; }
@@ -29,7 +29,7 @@
 }  // namespace
 
 TEST_SUITE("allocation") {
-  TEST_CASE("an established flow's request and answer allocate nothing") {
+  TEST_CASE("a request and its response on an established flow allocate nothing") {
     const FleetState fleet = make_test_fleet();
     DiscardingOutput output;
     Balancer balancer({fleet.members[0], {}}, output);
@@ -59,11 +59,11 @@
     }
     const std::uint64_t allocations = allocation_count() - before;
     CHECK(output.answers == kWarmUp + kMeasured);
-    // The heap of deadlines grows by doubling: a few steps, not one an exchange.
+    // The deadline heap doubles its capacity, which takes a few allocations in total.
     CHECK(allocations <= 2);
   }
 
-  TEST_CASE("packets of open flows that steer by tokens allocate nothing") {
+  TEST_CASE("token steering of open flows allocates nothing") {
     SteeringState state;
     state.settings.version = 1;
     state.settings.idle_timeout_ms = 60000;
@@ -81,7 +81,7 @@
     FlowSteering steering(7);
     steering.adopt(state, start);
     steering.confirm(start);
-    // What went before is not observed in the first second.
+    // Packets in the first second after a start are not observed.
     Instant now = start;
     ClientPacket packet;
     packet.flow = {{0x64400007, 1}, address};
--- a/tests/unit/test_flow_placement.cc
+++ b/tests/unit/test_flow_placement.cc
@@ -1,5 +1,4 @@
-/// What an opening costs and how evenly openings are spread, from pools of some targets to pools of
-/// thousands. No network.
+/// Cost and evenness of flow placement in pools of up to thousands of targets.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -44,7 +43,7 @@
   return packet;
 }
 
-/// A balancer before a pool.
+/// A balancer that places flows in a pool.
 class PlacingBalancer {
  public:
   explicit PlacingBalancer(const SteeringState& state, const SteeringPolicy& policy = {},
@@ -54,7 +53,7 @@
     steering_.confirm(kStart);
   }
 
-  /// The target of one more flow.
+  /// Places one more flow and returns its target.
   TargetId place() { return steering_.on_packet(opening(++callers_), kStart).target->id; }
   FlowSteering& steering() { return steering_; }
   [[nodiscard]] const PlacementCounters& counters() const { return steering_.placement_counters(); }
@@ -64,7 +63,7 @@
   std::uint32_t callers_ = 0;
 };
 
-/// Targets looked at by each of some openings in a pool, on average.
+/// Mean number of targets examined per new flow in a pool.
 double mean_targets_examined(TargetId targets, const SteeringPolicy& policy) {
   constexpr int kOpenings = 50;
   PlacingBalancer balancer(make_pool_state(targets), policy);
@@ -77,27 +76,26 @@
 }  // namespace
 
 TEST_SUITE("flow_placement") {
-  TEST_CASE("an opening looks at as many targets in a pool of thousands as in one of hundreds") {
-    // Before, and still with `sample` 0: all of them.
+  TEST_CASE("the number of examined targets does not grow with the pool") {
     const SteeringPolicy policy;
     for (const TargetId targets : {500U, 1000U, 2000U, 4000U, 8000U}) {
       CHECK(mean_targets_examined(targets, policy) == policy.sample);
     }
-    // Small pools are looked at as a whole.
+    // Small pools are scanned as a whole.
     CHECK(mean_targets_examined(100, policy) == 100);
     SteeringPolicy all;
     all.sample = 0;
     CHECK(mean_targets_examined(1000, all) == 1000);
   }
 
-  TEST_CASE("samples spread flows as evenly as a look at the whole pool") {
+  TEST_CASE("sampling spreads flows about as evenly as full scans") {
     constexpr TargetId kTargets = 1000;
     constexpr int kBalancers = 40;
     constexpr int kFlowsEach = 200;
     const SteeringState state = make_pool_state(kTargets);
-    SteeringPolicy whole;
-    whole.sample = 0;
-    const auto busiest = [&](const SteeringPolicy& policy) {
+    SteeringPolicy full_scan;
+    full_scan.sample = 0;
+    const auto max_flows = [&](const SteeringPolicy& policy) {
       std::map<TargetId, int> flows;
       for (std::uint64_t seed = 0; seed < kBalancers; ++seed) {
         PlacingBalancer balancer(state, policy, seed * 0x9E3779B9U);
@@ -109,13 +107,13 @@
                               [](const auto& a, const auto& b) { return a.second < b.second; })
           ->second;
     };
-    // Eight flows a target on average.
-    CHECK(busiest({}) <= 1.2 * busiest(whole));
+    // Eight flows per target on average.
+    CHECK(max_flows({}) <= 1.2 * max_flows(full_scan));
   }
 
-  TEST_CASE("where most of a pool is in trouble, flows still go to the others") {
+  TEST_CASE("flows go to healthy targets when most of the pool is unhealthy") {
     constexpr TargetId kTargets = 1000;
-    // Each 200th is well: five of a thousand, so most samples hold none of them.
+    // One in 200 targets is healthy, so most samples contain none.
     SteeringState state = make_pool_state(kTargets);
     for (auto& [id, target] : state.targets) {
       target.phase = id % 200 == 0 ? TargetPhase::kReady : TargetPhase::kSilent;
@@ -127,8 +125,8 @@
     CHECK(balancer.counters().full_scans > 0);
   }
 
-  TEST_CASE("a change of one target moves no others in its pool's list") {
-    // Before, half of them: 502 of 1,002 targets, 1,002 of 2,002 and 2,002 of 4,002.
+  TEST_CASE("changing a target moves at most one other in its pool's list") {
+    // A change must not shift the list of a large pool.
     for (const TargetId targets : {1000U, 2000U, 4000U}) {
       SteeringView view;
       view.reset(make_pool_state(targets));
@@ -144,15 +142,15 @@
         moved += after[i] != before[i] ? 1 : 0;
       }
       CHECK(moved <= 1);
-      // And back, and gone: the list holds each target once.
+      // After re-adding and removing, the list contains each target once.
       delta.upserted_targets[0].phase = TargetPhase::kReady;
       view.apply(delta);
-      SteeringDelta gone;
-      gone.removed_targets = {1, targets};
-      view.apply(gone);
-      const std::set<const RegisteredTarget*> once(view.pool_targets(0).begin(),
-                                                   view.pool_targets(0).end());
-      CHECK(once.size() == targets - 2);
+      SteeringDelta removal;
+      removal.removed_targets = {1, targets};
+      view.apply(removal);
+      const std::set<const RegisteredTarget*> unique(view.pool_targets(0).begin(),
+                                                     view.pool_targets(0).end());
+      CHECK(unique.size() == targets - 2);
       CHECK(view.pool_targets(0).size() == targets - 2);
     }
   }
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -39,11 +39,11 @@
   return state;
 }
 
-ClientPacket opening(std::uint16_t port, std::uint32_t copies_before = 0) {
+ClientPacket opening(std::uint16_t port, std::uint32_t retransmission_count = 0) {
   ClientPacket packet;
   packet.flow = {{0x64400007, port}, kFrontend};
   packet.opens = true;
-  packet.retransmissions = copies_before;
+  packet.retransmissions = retransmission_count;
   return packet;
 }
 
@@ -57,7 +57,7 @@
   return packet;
 }
 
-/// A flow that was open before gets an answer from target 2 within 20 ms.
+/// Sends a request of an open flow to target 2 and its acknowledgement 20 ms later.
 void respond_quickly(FlowSteering& steering, Instant now) {
   steering.on_packet(established(9000, 102, 1, 100), now - milliseconds(20));
   steering.on_packet(established(9000, 102, 501), now);
@@ -72,7 +72,7 @@
   FlowSteering steering{7};
 };
 
-/// Targets 1 and 2 in zone-a, 3 in zone-b.
+/// Targets 1 and 2 are in zone-a, target 3 in zone-b.
 struct EvacuatedState {
   EvacuatedState() {
     for (auto& [id, one] : state.targets) {
@@ -94,15 +94,15 @@
       make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha"), target(3, "alpha")});
 };
 
-/// A balancer with two targets that answer: flows 1 and 2 are open at the one that is to die, flow
-/// 3 at the other.
+/// A balancer with two targets: flows 1 and 2 are open at the one that fails later, flow 3 at the
+/// healthy one.
 struct FailingTarget {
   FailingTarget() { open_flows(); }
 
   FlowSteering& steering() { return balancer.steering; }
   [[nodiscard]] static FlowToken token(TargetId id) { return static_cast<FlowToken>(100 + id); }
 
-  /// Each flow has one request that is answered.
+  /// Sends one request per flow and acknowledges its response.
   void open_flows() {
     for (const auto& [port, at] :
          {std::pair<std::uint16_t, TargetId>{1, failing}, {2, failing}, {3, healthy}}) {
@@ -113,14 +113,14 @@
     acknowledged += 500;
   }
 
-  /// A packet with data that the caller has not sent, or sends again, after a while.
+  /// Sends new or retransmitted data after a pause.
   SteeringDecision send_request(std::uint16_t port, TargetId at, Duration after = Duration(0)) {
     now += after;
     return steering().on_packet(established(port, token(at), acknowledged, 100), now);
   }
 
-  /// Steps the probes for some time; targets that are named accept connections, others are silent,
-  /// or refuse them.
+  /// Steps the probes for some time. Probes of the targets in `accepting` succeed; others time out
+  /// or are refused.
   std::vector<UnreachableTarget> run(Duration time, const std::vector<TargetId>& accepting,
                                      bool others_refuse = false) {
     std::vector<UnreachableTarget> all;
@@ -134,8 +134,8 @@
           steering().on_probe_answer(probe.number, answer, now + milliseconds(1));
         }
       }
-      const auto concluded = steering().evaluate_reachability(now);
-      all.insert(all.end(), concluded.begin(), concluded.end());
+      const auto detected = steering().evaluate_reachability(now);
+      all.insert(all.end(), detected.begin(), detected.end());
     }
     return all;
   }
@@ -152,7 +152,7 @@
 }  // namespace
 
 TEST_SUITE("flow_steering") {
-  TEST_CASE("a target that was dead and starts again under its id gets flows at once") {
+  TEST_CASE("a restarted unreachable target gets flows immediately") {
     FailingTarget test;
     test.send_request(1, test.failing);
     test.send_request(1, test.failing, milliseconds(200));
@@ -168,7 +168,7 @@
     CHECK(score->open_flows == 0);
     CHECK(score->answer_us == 0);
     CHECK_FALSE(test.steering().scores().is_suspected(test.failing, test.now));
-    // The target itself refuses packets of flows of its earlier life.
+    // The target itself rejects packets of its previous incarnation's flows.
     const SteeringDecision decision = test.send_request(1, test.failing);
     CHECK(decision.action == SteeringAction::kForward);
     std::size_t placed = 0;
@@ -180,7 +180,7 @@
     CHECK(placed >= 10);
   }
 
-  TEST_CASE("a target's new life blames it for nothing that its earlier one left unanswered") {
+  TEST_CASE("unanswered packets of an earlier incarnation do not count against a target") {
     SteeringBalancer balancer(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     const Instant at = kStart + seconds(2);
     REQUIRE(balancer.steering.on_packet(opening(1), at).target->id == 1);
@@ -190,16 +190,16 @@
     balancer.steering.apply(restart, at + milliseconds(50));
     balancer.steering.check_reply_timeouts(at + milliseconds(400));
     CHECK_FALSE(balancer.steering.scores().is_suspected(1, at + milliseconds(400)));
-    // The same in a whole state.
+    // The same with a snapshot.
     REQUIRE(balancer.steering.on_packet(opening(2), at + seconds(1)).target->id == 1);
-    SteeringState whole = make_state({{"alpha", 1}}, {target(1, "alpha")});
-    whole.targets.at(1).started_at_ms = 2;
-    balancer.steering.adopt(whole, at + milliseconds(1050));
+    SteeringState snapshot = make_state({{"alpha", 1}}, {target(1, "alpha")});
+    snapshot.targets.at(1).started_at_ms = 2;
+    balancer.steering.adopt(snapshot, at + milliseconds(1050));
     balancer.steering.check_reply_timeouts(at + milliseconds(1400));
     CHECK_FALSE(balancer.steering.scores().is_suspected(1, at + milliseconds(1400)));
   }
 
-  TEST_CASE("a target's new life is cold anew, also where its count is lower") {
+  TEST_CASE("a new incarnation warms up again, even with a lower sequence number") {
     RegisteredTarget warm = target(1, "alpha");
     warm.sequence = 900;
     SteeringBalancer balancer(make_state({{"alpha", 1}}, {warm, target(2, "alpha")}));
@@ -212,14 +212,14 @@
     CHECK(balancer.steering.scores().find(1)->warm_at == kStart + seconds(7));
   }
 
-  TEST_CASE("a flow stays at its target at every balancer, whatever changes meanwhile") {
+  TEST_CASE("every balancer keeps an open flow at its target across state changes") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")});
     SteeringBalancer first(state);
     const auto placed = first.steering.on_packet(opening(1), kStart);
     REQUIRE(placed.action == SteeringAction::kForward);
     const TargetId id = placed.target->id;
     const FlowToken token = placed.target->token;
-    // The target drains, others come, and another balancer that never saw the flow gets it.
+    // The target drains, another one is added, and a balancer without an entry receives the flow.
     state.targets.at(id).phase = TargetPhase::kDraining;
     state.put(target(3, "alpha"));
     SteeringBalancer second(state);
@@ -229,7 +229,7 @@
     CHECK(followed.reason == SteeringReason::kToken);
   }
 
-  TEST_CASE("a leaving, ended or unknown target gets no new flow") {
+  TEST_CASE("a draining, ended or unknown target gets no new flow") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kDraining),
                                                       target(2, "alpha", TargetPhase::kEnded),
                                                       target(3, "alpha"), target(4, "other")}));
@@ -240,7 +240,7 @@
     }
   }
 
-  TEST_CASE("an open flow goes on at a target that has said that it ended") {
+  TEST_CASE("an open flow stays at a target that has announced its end") {
     SteeringBalancer test(
         make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kEnded), target(3, "alpha")}));
     const auto decision = test.steering.on_packet(established(1, 101), kStart);
@@ -248,17 +248,17 @@
     CHECK(decision.target->id == 1);
   }
 
-  TEST_CASE("a token of an ended target never resolves to the next holder of its address") {
-    RegisteredTarget heir = target(2, "alpha");
-    heir.address = target(1, "alpha").address;
+  TEST_CASE("a token of an ended target never resolves to the new owner of its address") {
+    RegisteredTarget new_owner = target(2, "alpha");
+    new_owner.address = target(1, "alpha").address;
     SteeringBalancer test(
-        make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kEnded), heir}));
+        make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kEnded), new_owner}));
     const auto decision = test.steering.on_packet(established(1, 101), kStart);
     CHECK(decision.action == SteeringAction::kReset);
     CHECK(decision.reason == SteeringReason::kTargetReplaced);
   }
 
-  TEST_CASE("a token counts only where the frontend reaches the target, or did before") {
+  TEST_CASE("a token is valid only in current and former pools of the frontend") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "beta")});
     SteeringBalancer test(state);
     CHECK(test.steering.on_packet(established(1, 102), kStart).reason ==
@@ -269,28 +269,30 @@
     CHECK(test.steering.on_packet(established(1, 102), kStart).reason == SteeringReason::kToken);
   }
 
-  TEST_CASE("unknown tokens are dropped and never guessed") {
+  TEST_CASE("packets with unknown tokens are dropped") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     CHECK(test.steering.on_packet(established(1, 999), kStart).action == SteeringAction::kDrop);
     CHECK(test.steering.on_packet(established(1, 0), kStart).action == SteeringAction::kDrop);
   }
 
-  TEST_CASE("the first copy of an opening packet meets the same target, the second another") {
+  TEST_CASE(
+      "the first retransmission of an opening packet goes to the same target, the second to "
+      "another") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const auto first = test.steering.on_packet(opening(1), kStart);
     REQUIRE(first.target != nullptr);
     const TargetId id = first.target->id;
-    const auto copy = test.steering.on_packet(opening(1, 1), kStart + milliseconds(200));
-    REQUIRE(copy.target != nullptr);
-    CHECK(copy.target->id == id);
-    CHECK(copy.reason == SteeringReason::kRetransmission);
+    const auto retransmission = test.steering.on_packet(opening(1, 1), kStart + milliseconds(200));
+    REQUIRE(retransmission.target != nullptr);
+    CHECK(retransmission.target->id == id);
+    CHECK(retransmission.reason == SteeringReason::kRetransmission);
     const auto second = test.steering.on_packet(opening(1, 2), kStart + milliseconds(600));
     REQUIRE(second.target != nullptr);
     CHECK(second.target->id != id);
     CHECK(second.reason == SteeringReason::kPlacedAgain);
   }
 
-  TEST_CASE("a copy stays with the only target") {
+  TEST_CASE("a retransmission stays with the only target") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     test.steering.on_packet(opening(1), kStart);
     const auto second = test.steering.on_packet(opening(1, 2), kStart + milliseconds(600));
@@ -298,30 +300,30 @@
     CHECK(second.target->id == 1);
   }
 
-  TEST_CASE("a target that leaves opening packets unanswered is avoided for a while") {
+  TEST_CASE("a target that does not answer opening packets is avoided temporarily") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
-    // Flows of target 1 never open; those of target 2 do.
+    // Target 1 never replies; target 2 does.
     Instant now = kStart;
-    int late_to_dead = 0;
+    int late_flows_to_failed = 0;
     for (std::uint16_t port = 1; port <= 40; ++port) {
       now += milliseconds(20);
       const auto decision = test.steering.on_packet(opening(port), now);
       REQUIRE(decision.target != nullptr);
       if (decision.target->id == 1) {
-        late_to_dead += port > 8 ? 1 : 0;
+        late_flows_to_failed += port > 8 ? 1 : 0;
         test.steering.on_packet(opening(port, 1), now);
       } else {
         test.steering.on_packet(established(port, 102), now);
       }
     }
-    CHECK(late_to_dead == 0);
+    CHECK(late_flows_to_failed == 0);
   }
 
-  TEST_CASE("a target that refuses a flow is avoided at once, and a lost packet is no refusal") {
+  TEST_CASE("a target that refuses a flow is avoided immediately, and packet loss is no refusal") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     Instant now = kStart + seconds(2);
     const auto refused = test.steering.on_packet(opening(1), now);
-    // The caller of the second flow sends a copy: it was told nothing.
+    // The second client retransmits, so its flow was not refused.
     const auto lost = test.steering.on_packet(opening(2), now);
     REQUIRE(refused.target != nullptr);
     REQUIRE(lost.target != nullptr);
@@ -334,15 +336,16 @@
     for (std::uint16_t port = 10; port < 30; ++port) {
       CHECK(test.steering.on_packet(opening(port), now).target->id != down);
     }
-    for (const auto& seen : test.steering.take_observations()) {
-      const bool is_down = seen.token == 100 + down;
-      CHECK(seen.refused_flows == (is_down ? 1 : 0));
-      CHECK(seen.unanswered_flows == (is_down ? 0 : 1));
+    for (const auto& observation : test.steering.take_observations()) {
+      const bool is_down = observation.token == 100 + down;
+      CHECK(observation.refused_flows == (is_down ? 1 : 0));
+      CHECK(observation.unanswered_flows == (is_down ? 0 : 1));
     }
     CHECK_FALSE(test.steering.has_trouble());
   }
 
-  TEST_CASE("an overdue opening leads to a probe, whose refusal keeps new flows away at once") {
+  TEST_CASE(
+      "an overdue opening packet triggers a probe, whose refusal diverts new flows immediately") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     Instant now = kStart + seconds(5);
     respond_quickly(test.steering, now);
@@ -359,13 +362,13 @@
     for (std::uint16_t port = 10; port < 30; ++port) {
       CHECK(test.steering.on_packet(opening(port), now + milliseconds(3)).target->id != down);
     }
-    for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.refused_probes == (seen.token == 100 + down ? 1 : 0));
-      CHECK(seen.refused_flows == 0);
+    for (const auto& observation : test.steering.take_observations()) {
+      CHECK(observation.refused_probes == (observation.token == 100 + down ? 1 : 0));
+      CHECK(observation.refused_flows == 0);
     }
   }
 
-  TEST_CASE("a full target is avoided while it refuses, and no longer") {
+  TEST_CASE("a full target is avoided only while it refuses") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     Instant now = kStart + seconds(5);
     respond_quickly(test.steering, now);
@@ -375,7 +378,7 @@
     const auto first = test.steering.take_probes(now);
     REQUIRE(first.size() == 1);
     test.steering.on_probe_answer(first[0].number, ProbeAnswer::kRefused, now);
-    // It said nothing to the caller, whose copy meets another target.
+    // The target did not reset the flow; the retransmission goes to another target.
     now += milliseconds(100);
     CHECK(test.steering.on_packet(opening(1, 1), now).target->id != full);
     now += milliseconds(200);
@@ -383,8 +386,8 @@
     for (const auto& probe : test.steering.take_probes(now)) {
       test.steering.on_probe_answer(probe.number, ProbeAnswer::kAccepted, now);
     }
-    for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.refused_flows == 0);
+    for (const auto& observation : test.steering.take_observations()) {
+      CHECK(observation.refused_flows == 0);
     }
     bool is_used = false;
     for (std::uint16_t port = 10; port < 30; ++port) {
@@ -393,7 +396,7 @@
     CHECK(is_used);
   }
 
-  TEST_CASE("where answers take long, a target that lets an opening wait may be full: no probe") {
+  TEST_CASE("no probe is sent for an overdue opening packet while responses are slow") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(5);
     test.steering.on_packet(established(9000, 102, 1, 100), now - milliseconds(300));
@@ -401,7 +404,7 @@
     test.steering.on_packet(opening(1), now);
     test.steering.check_reply_timeouts(now + HandshakeTimes::kMaxTimeout);
     CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
-    // Nor is what others tell believed.
+    // Reports of other balancers are ignored, too.
     test.steering.on_refusing({"", {101}}, now);
     bool is_used = false;
     for (std::uint16_t port = 10; port < 30; ++port) {
@@ -410,7 +413,7 @@
     CHECK(is_used);
   }
 
-  TEST_CASE("in the first seconds of a balancer prompt answers tell nothing of queues") {
+  TEST_CASE("fast responses in the first seconds after a start do not rule out queueing") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(2);
     respond_quickly(test.steering, now);
@@ -419,17 +422,17 @@
     CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
   }
 
-  TEST_CASE("what others tell of refusals counts from the own zone and from the target's") {
+  TEST_CASE("refusal reports count only from the local zone and the target's zone") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")});
     state.targets.at(1).zone = "zone-b";
     state.targets.at(2).zone = "zone-b";
-    for (const auto& [teller, counts] :
+    for (const auto& [reporter, counts] :
          {std::pair<std::string, bool>{"zone-a", true}, {"zone-b", true}, {"zone-c", false}}) {
       FlowSteering steering(7, "zone-a");
       steering.adopt(state, kStart);
       steering.confirm(kStart);
       const Instant now = kStart + seconds(5);
-      steering.on_refusing({teller, {101, 999}}, now);
+      steering.on_refusing({reporter, {101, 999}}, now);
       bool is_used = false;
       for (std::uint16_t port = 10; port < 40; ++port) {
         is_used = is_used || steering.on_packet(opening(port), now).target->id == 1;
@@ -438,7 +441,7 @@
     }
   }
 
-  TEST_CASE("an opening that the own link keeps back leads to no probe") {
+  TEST_CASE("an opening packet delayed by local congestion triggers no probe") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
     const Instant now = kStart + seconds(5);
     respond_quickly(test.steering, now);
@@ -448,9 +451,8 @@
     CHECK(test.steering.take_probes(now + HandshakeTimes::kMaxTimeout).empty());
   }
 
-  TEST_CASE("a request without an answer is told, unless it may have gone on elsewhere") {
-    // Found on the bench: balancers that had just started blamed targets for the answers to packets
-    // that were held at the start.
+  TEST_CASE("an unanswered request is reported, unless another balancer may handle it") {
+    // Balancers that just started must not blame targets for responses to buffered packets.
     for (const bool stops : {false, true}) {
       SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
       test.steering.on_packet(established(1, 101, 1, 500), kStart + milliseconds(500));
@@ -462,14 +464,14 @@
         test.steering.stop_observing();
       }
       test.steering.on_tick(now + milliseconds(500));
-      const auto seen = test.steering.take_observations();
-      REQUIRE(seen.size() == 1);
-      CHECK(seen[0].requests == 3);
-      CHECK(seen[0].stalled_requests == (stops ? 0 : 1));
+      const auto observation = test.steering.take_observations();
+      REQUIRE(observation.size() == 1);
+      CHECK(observation[0].requests == 3);
+      CHECK(observation[0].stalled_requests == (stops ? 0 : 1));
     }
   }
 
-  TEST_CASE("figures of all balancers decide between targets of the same load") {
+  TEST_CASE("target health from all balancers decides between equal loads") {
     SteeringState state = make_state({{"alpha", 1}}, {});
     for (TargetId id = 1; id <= 4; ++id) {
       state.put(target(id, "alpha"));
@@ -483,15 +485,15 @@
       balancer.set_target_health({{101, 120, false}, {104, 100, true}}, kStart);
       ++flows[balancer.on_packet(opening(1), kStart).target->id];
     }
-    // Near ones win often, the one with the higher pressure less often, the troubled one never; but
-    // not all choose the same one, which would only move the pressure.
+    // Local targets win often, the more loaded one less so, and the unhealthy one never. Not all
+    // balancers may select the same target.
     CHECK(flows[4] == 0);
     CHECK(flows[2] > flows[1] + 100);
     CHECK(flows[1] > flows[3]);
     CHECK(flows[3] > 50);
   }
 
-  TEST_CASE("new flows spread evenly, and shares of pools hold") {
+  TEST_CASE("new flows spread evenly by pool weights") {
     SteeringBalancer test(make_state(
         {{"alpha", 9}, {"beta", 1}},
         {target(1, "alpha"), target(2, "alpha"), target(3, "alpha"), target(4, "beta")}));
@@ -507,7 +509,7 @@
     CHECK(flows[3] == 90);
   }
 
-  TEST_CASE("a slow target gets fewer new flows soon") {
+  TEST_CASE("a slow target soon gets fewer new flows") {
     SteeringBalancer test(
         make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha"), target(3, "alpha")}));
     std::map<TargetId, int> late;
@@ -527,14 +529,14 @@
     CHECK(late[1] > 0);
   }
 
-  TEST_CASE("a frontend that was dropped resets its flows; one never known resets openings only") {
+  TEST_CASE("a dropped frontend resets its flows; an unknown one resets only opening packets") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha")});
     SteeringBalancer test(state);
-    ClientPacket stranger = established(1, 101);
-    stranger.flow.frontend = {5, 5};
-    CHECK(test.steering.on_packet(stranger, kStart).action == SteeringAction::kDrop);
-    stranger.opens = true;
-    CHECK(test.steering.on_packet(stranger, kStart).action == SteeringAction::kReset);
+    ClientPacket unknown = established(1, 101);
+    unknown.flow.frontend = {5, 5};
+    CHECK(test.steering.on_packet(unknown, kStart).action == SteeringAction::kDrop);
+    unknown.opens = true;
+    CHECK(test.steering.on_packet(unknown, kStart).action == SteeringAction::kReset);
     state.settings.version = 2;
     state.settings.frontends.clear();
     test.steering.adopt(state, kStart);
@@ -544,7 +546,7 @@
     CHECK(test.steering.on_packet(reset, kStart).action == SteeringAction::kDrop);
   }
 
-  TEST_CASE("without a target the caller is told at once; without a state nothing is guessed") {
+  TEST_CASE("a new flow without a target is reset; without a state it is dropped") {
     FlowSteering empty(7);
     CHECK(empty.on_packet(opening(1), kStart).reason == SteeringReason::kNoState);
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha", TargetPhase::kDraining)}));
@@ -553,30 +555,29 @@
     CHECK(decision.reason == SteeringReason::kNoTarget);
   }
 
-  TEST_CASE(
-      "until its state is confirmed a balancer forwards open flows and decides nothing else") {
-    // After a loss of all machines a replica shows what it has on disk before there is a leader.
+  TEST_CASE("with an unconfirmed state a balancer only forwards open flows") {
+    // After a full outage a replica serves its stored state before there is a leader.
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha")});
     FlowSteering steering(7);
     steering.adopt(state, kStart);
     CHECK(steering.on_packet(established(1, 101), kStart).target->id == 1);
     CHECK(steering.on_packet(opening(2), kStart).reason == SteeringReason::kNoState);
     CHECK(steering.on_packet(established(3, 555), kStart).reason == SteeringReason::kNoState);
-    ClientPacket stranger = established(1, 101);
-    stranger.flow.frontend = {5, 5};
-    CHECK(steering.on_packet(stranger, kStart).reason == SteeringReason::kNoState);
+    ClientPacket unknown = established(1, 101);
+    unknown.flow.frontend = {5, 5};
+    CHECK(steering.on_packet(unknown, kStart).reason == SteeringReason::kNoState);
     state.targets.at(1).phase = TargetPhase::kEnded;
     state.put(target(2, "alpha"));
     state.targets.at(2).address = state.targets.at(1).address;
     steering.adopt(state, kStart);
-    // Its target was replaced by what is known; that may be corrected, so nothing is reset.
+    // The unconfirmed state shows a replaced target, which may be outdated, so nothing is reset.
     CHECK(steering.on_packet(established(1, 101), kStart).reason == SteeringReason::kNoState);
     steering.confirm(kStart);
     CHECK(steering.on_packet(established(1, 101), kStart).action == SteeringAction::kReset);
     CHECK(steering.on_packet(opening(2), kStart).target->id == 2);
   }
 
-  TEST_CASE("open flows are counted once, and forgotten after a rest") {
+  TEST_CASE("open flows are counted once and evicted when idle") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     test.steering.on_packet(opening(1), kStart);
     test.steering.on_packet(established(1, 101), kStart);
@@ -596,101 +597,99 @@
     CHECK(test.steering.scores().find(1)->open_flows == 0);
   }
 
-  TEST_CASE("held packets are given up when their callers are, and are bounded in number") {
+  TEST_CASE("buffered packets expire with their clients and are bounded in number") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     SteeringPolicy policy;
     policy.hold_ms = 1200;
-    BufferedPackets held(policy);
+    BufferedPackets buffer(policy);
     const Bytes bytes = {1};
     std::vector<std::uint16_t> taken;
     const auto take = [&](const HeldPacket& packet) {
       taken.push_back(packet.packet.flow.client.port);
       return false;
     };
-    // The frontend's callers give up after a second.
-    held.hold(opening(1), bytes, kStart);
-    held.hold(opening(2), bytes, kStart + milliseconds(900));
-    held.release(test.steering, kStart + milliseconds(1100), take);
+    // Clients of the frontend time out after one second.
+    buffer.hold(opening(1), bytes, kStart);
+    buffer.hold(opening(2), bytes, kStart + milliseconds(900));
+    buffer.release(test.steering, kStart + milliseconds(1100), take);
     CHECK(taken == std::vector<std::uint16_t>{2});
-    // What is not taken stays, and keeps its age.
-    CHECK(held.size() == 1);
-    held.release(test.steering, kStart + milliseconds(2000), take);
-    CHECK(held.size() == 0);
-    // A copy tells how old its flow is; for an unknown frontend the policy's bound holds.
-    ClientPacket copy = opening(3, 2);
-    copy.age = milliseconds(600);
-    held.hold(copy, bytes, kStart);
-    ClientPacket stranger = opening(4);
-    stranger.flow.frontend = {5, 5};
-    held.hold(stranger, bytes, kStart);
-    held.release(test.steering, kStart + milliseconds(500), take);
-    CHECK(held.size() == 1);
-    held.release(test.steering, kStart + milliseconds(1199), take);
-    CHECK(held.size() == 1);
-    held.release(test.steering, kStart + milliseconds(1201), take);
-    CHECK(held.size() == 0);
+    // A packet that is not taken stays buffered and keeps its age.
+    CHECK(buffer.size() == 1);
+    buffer.release(test.steering, kStart + milliseconds(2000), take);
+    CHECK(buffer.size() == 0);
+    // A retransmission carries the age of its flow; an unknown frontend gets the policy's limit.
+    ClientPacket retransmission = opening(3, 2);
+    retransmission.age = milliseconds(600);
+    buffer.hold(retransmission, bytes, kStart);
+    ClientPacket unknown = opening(4);
+    unknown.flow.frontend = {5, 5};
+    buffer.hold(unknown, bytes, kStart);
+    buffer.release(test.steering, kStart + milliseconds(500), take);
+    CHECK(buffer.size() == 1);
+    buffer.release(test.steering, kStart + milliseconds(1199), take);
+    CHECK(buffer.size() == 1);
+    buffer.release(test.steering, kStart + milliseconds(1201), take);
+    CHECK(buffer.size() == 0);
     for (std::size_t i = 0; i < BufferedPackets::kMaxPackets + 5; ++i) {
-      held.hold(opening(static_cast<std::uint16_t>(i)), bytes, kStart);
+      buffer.hold(opening(static_cast<std::uint16_t>(i)), bytes, kStart);
     }
-    CHECK(held.size() == BufferedPackets::kMaxPackets);
+    CHECK(buffer.size() == BufferedPackets::kMaxPackets);
     policy.hold_ms = 0;
     BufferedPackets none(policy);
     none.hold(opening(1), bytes, kStart);
     CHECK(none.size() == 0);
   }
 
-  TEST_CASE("held packets come back in the order in which they came") {
+  TEST_CASE("buffered packets are released in order of arrival") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-    BufferedPackets held(SteeringPolicy{});
+    BufferedPackets buffer(SteeringPolicy{});
     for (const std::uint16_t port : {3, 1, 2}) {
-      held.hold(opening(port), {}, kStart + milliseconds(port));
+      buffer.hold(opening(port), {}, kStart + milliseconds(port));
     }
     std::vector<std::uint16_t> order;
-    held.release(test.steering, kStart + milliseconds(10), [&](const HeldPacket& packet) {
+    buffer.release(test.steering, kStart + milliseconds(10), [&](const HeldPacket& packet) {
       order.push_back(packet.packet.flow.client.port);
       return packet.packet.flow.client.port != 1;
     });
     CHECK(order == std::vector<std::uint16_t>{3, 1, 2});
-    // What was not taken stays.
-    CHECK(held.size() == 1);
+    // A packet that is not taken stays buffered.
+    CHECK(buffer.size() == 1);
   }
 
-  TEST_CASE("a copy of an opening packet replaces the held one and keeps its age") {
+  TEST_CASE("a retransmitted opening packet replaces the buffered one and keeps its age") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
-    BufferedPackets held(SteeringPolicy{});
+    BufferedPackets buffer(SteeringPolicy{});
     const Bytes first = {1};
-    const Bytes copy = {2};
-    held.hold(opening(1), first, kStart);
-    held.hold(opening(1, 1), copy, kStart + milliseconds(200));
-    CHECK(held.size() == 1);
-    held.release(test.steering, kStart + milliseconds(210), [&](const HeldPacket& packet) {
-      CHECK(packet.bytes == copy);
+    const Bytes retransmission = {2};
+    buffer.hold(opening(1), first, kStart);
+    buffer.hold(opening(1, 1), retransmission, kStart + milliseconds(200));
+    CHECK(buffer.size() == 1);
+    buffer.release(test.steering, kStart + milliseconds(210), [&](const HeldPacket& packet) {
+      CHECK(packet.bytes == retransmission);
       CHECK(packet.sent_at == kStart);
       return test.steering.on_packet(packet.packet, kStart).action == SteeringAction::kForward;
     });
-    CHECK(held.size() == 0);
-    // One flow was opened, and nobody blames its target for the copy.
+    CHECK(buffer.size() == 0);
+    // One flow is open, and the retransmission does not count against its target.
     CHECK(test.steering.flows() == 1);
     CHECK(test.steering.scores().find(1)->unanswered == 0);
   }
 
-  TEST_CASE("data that comes again makes a balancer probe, and a dead target's flows end at once") {
-    // Requests on open flows of dark targets waited for their deadlines, one after the other: 617
-    // of 131,000 on a day at the size of 295 balancers and 600 targets.
+  TEST_CASE("retransmitted data triggers probes, and flows of a failed target are reset") {
+    // Requests on open flows of a failed target must not wait for their deadlines.
     FailingTarget test;
     test.send_request(1, test.failing);
     CHECK_FALSE(test.steering().is_probing());
     test.send_request(1, test.failing, milliseconds(200));
     CHECK(test.steering().is_probing());
-    const auto concluded = test.run(milliseconds(200), {test.healthy});
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].target == test.failing);
-    // The idle flow at the same target ends, too, before its caller sends anything that cannot be
-    // sent twice.
+    const auto detected = test.run(milliseconds(200), {test.healthy});
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].target == test.failing);
+    // The idle flow at the target is closed, too, before its client sends a non-idempotent request.
     const auto resets = test.steering().reset_flows_to(test.failing);
     REQUIRE(resets.size() == 2);
     CHECK(resets[0].acknowledged == 500);
-    // What still comes is told at once; other flows go on; new ones go elsewhere.
+    // Later packets are reset, other flows continue, and new flows go to the other target.
     const auto late =
         test.steering().on_packet(established(1, test.token(test.failing), 500, 100), test.now);
     CHECK(late.action == SteeringAction::kReset);
@@ -703,14 +702,14 @@
       REQUIRE(placed.target != nullptr);
       CHECK(placed.target->id == test.healthy);
     }
-    // All balancers are told.
-    const auto seen = test.steering().take_observations();
-    CHECK(std::any_of(seen.begin(), seen.end(), [&](const TargetObservation& one) {
+    // The failure is reported to all balancers.
+    const auto observation = test.steering().take_observations();
+    CHECK(std::any_of(observation.begin(), observation.end(), [&](const TargetObservation& one) {
       return one.token == test.token(test.failing) && one.unreachable == 1;
     }));
   }
 
-  TEST_CASE("flows of a target that accepts probes go on, however often callers repeat") {
+  TEST_CASE("retransmissions never reset flows of a target that accepts probes") {
     FailingTarget test;
     for (const int at : {0, 200, 600, 1400, 3000}) {
       test.now = kStart + seconds(1) + milliseconds(at);
@@ -720,13 +719,13 @@
     }
   }
 
-  TEST_CASE("targets of an evacuated zone get no new flow, by a whole state and by a change") {
+  TEST_CASE("targets of an evacuated zone get no new flow, with a snapshot and with a delta") {
     EvacuatedState test;
-    SteeringBalancer by_whole(test.evacuated());
-    SteeringBalancer by_change(test.state);
-    by_change.steering.apply(test.change({{"zone-a", 2}}), kStart);
+    SteeringBalancer by_snapshot(test.evacuated());
+    SteeringBalancer by_delta(test.state);
+    by_delta.steering.apply(test.change({{"zone-a", 2}}), kStart);
     for (std::uint16_t port = 1; port < 100; ++port) {
-      for (SteeringBalancer* balancer : {&by_whole, &by_change}) {
+      for (SteeringBalancer* balancer : {&by_snapshot, &by_delta}) {
         const auto decision = balancer->steering.on_packet(opening(port), kStart);
         REQUIRE(decision.action == SteeringAction::kForward);
         CHECK(decision.target->zone == "zone-b");
@@ -746,7 +745,7 @@
     }
   }
 
-  TEST_CASE("a copy of an opening does not go to the first target once its zone is evacuated") {
+  TEST_CASE("a retransmitted opening packet leaves the first target once its zone is evacuated") {
     EvacuatedState test;
     SteeringBalancer balancer(test.state);
     for (std::uint16_t port = 1; port < 100; ++port) {
@@ -754,24 +753,25 @@
     }
     balancer.steering.apply(test.change({{"zone-a", 2}}), kStart);
     for (std::uint16_t port = 1; port < 100; ++port) {
-      const auto copy = balancer.steering.on_packet(opening(port, 1), kStart + milliseconds(200));
-      REQUIRE(copy.action == SteeringAction::kForward);
-      CHECK(copy.target->zone == "zone-b");
+      const auto retransmission =
+          balancer.steering.on_packet(opening(port, 1), kStart + milliseconds(200));
+      REQUIRE(retransmission.action == SteeringAction::kForward);
+      CHECK(retransmission.target->zone == "zone-b");
     }
   }
 
-  TEST_CASE("a held opening does not go to a zone that was evacuated meanwhile") {
+  TEST_CASE("a buffered opening packet does not go to a zone evacuated later") {
     EvacuatedState test;
     FlowSteering steering{7};
-    BufferedPackets held{SteeringPolicy{}};
+    BufferedPackets buffer{SteeringPolicy{}};
     steering.adopt(test.state, kStart);
     REQUIRE(steering.on_packet(opening(1), kStart).reason == SteeringReason::kNoState);
     const Bytes bytes(32);
-    held.hold(opening(1), bytes, kStart);
+    buffer.hold(opening(1), bytes, kStart);
     steering.apply(test.change({{"zone-a", 2}}), kStart);
     steering.confirm(kStart);
     std::vector<std::string> zones;
-    held.release(steering, kStart, [&](const HeldPacket& packet) {
+    buffer.release(steering, kStart, [&](const HeldPacket& packet) {
       zones.push_back(steering.on_packet(packet.packet, kStart).target->zone);
       return true;
     });
@@ -788,7 +788,7 @@
     CHECK(decision.target->id == 1);
   }
 
-  TEST_CASE("callers are refused at once while all zones are evacuated, copies too") {
+  TEST_CASE("new flows and retransmissions are reset while all zones are evacuated") {
     EvacuatedState test;
     SteeringBalancer balancer(test.state);
     balancer.steering.on_packet(opening(1), kStart);
@@ -800,7 +800,7 @@
     }
   }
 
-  TEST_CASE("a zone that was taken back gets new flows like any other") {
+  TEST_CASE("a zone whose evacuation ends gets its share of new flows") {
     EvacuatedState test;
     SteeringBalancer balancer(test.evacuated());
     balancer.steering.apply(test.change({}), kStart);
@@ -812,7 +812,7 @@
     CHECK(flows["zone-b"] == 33);
   }
 
-  TEST_CASE("a target that turned cold again takes less, until it is warm") {
+  TEST_CASE("a target that warms up again gets fewer flows until it is warm") {
     SteeringState state = make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")});
     SteeringBalancer balancer(state);
     const auto flows_at_first = [&](std::uint16_t first_port) {
@@ -830,7 +830,7 @@
     balancer.steering.apply(cold, kStart);
     CHECK(balancer.steering.scores().find(1)->warm_at == kStart + seconds(30));
     CHECK(flows_at_first(2000) < 20);
-    // The same announcement in a later state does not begin it anew.
+    // A repeated announcement does not restart the warm-up.
     balancer.steering.apply(cold, kStart + seconds(10));
     CHECK(balancer.steering.scores().find(1)->warm_at == kStart + seconds(30));
     cold.upserted_targets[0].sequence = 2;
@@ -840,7 +840,7 @@
   }
 
   TEST_CASE(
-      "what another balancer could not reach is probed where it has flows, and nowhere else") {
+      "a target unreachable for another balancer is probed only by balancers with flows there") {
     FailingTarget test;
     SteeringBalancer without_flows(test.state);
     const std::vector<TargetHealth> figures = {{test.token(test.failing), 100, true, true}};
@@ -848,32 +848,31 @@
     CHECK_FALSE(without_flows.steering.is_probing());
     test.steering().set_target_health(figures, test.now);
     CHECK(test.steering().is_probing());
-    // It can be reached from here: what others saw is not taken for true.
+    // The target is reachable from here, so the report is not adopted.
     CHECK(test.run(milliseconds(300), {test.healthy, test.failing}).empty());
-    // The same figures again are no news.
+    // An unchanged report does not trigger probes.
     test.now += seconds(2);
     test.steering().set_target_health(figures, test.now);
     CHECK_FALSE(test.steering().is_probing());
   }
 
-  TEST_CASE(
-      "a target at whose address another one announces itself is gone once data comes again") {
+  TEST_CASE("a target whose address is reused is unreachable after a retransmission") {
     FailingTarget test;
-    RegisteredTarget heir = target(9, "alpha");
-    heir.address = target(test.failing, "alpha").address;
+    RegisteredTarget new_owner = target(9, "alpha");
+    new_owner.address = target(test.failing, "alpha").address;
     SteeringDelta delta;
-    delta.upserted_targets.push_back(heir);
+    delta.upserted_targets.push_back(new_owner);
     test.steering().apply(delta, test.now);
     CHECK(test.send_request(1, test.failing).action == SteeringAction::kForward);
     test.send_request(1, test.failing, milliseconds(200));
-    // What listens there accepts, but it is another one.
-    const auto concluded = test.run(milliseconds(100), {test.healthy, test.failing});
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kReplaced);
+    // Another target accepts connections at the address.
+    const auto detected = test.run(milliseconds(100), {test.healthy, test.failing});
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kReplaced);
   }
 
-  TEST_CASE("a flow that comes from another balancer does not clear its target") {
-    // Found by the seeded workload: flows that moved kept a dead target from being found out.
+  TEST_CASE("a flow that moves from another balancer does not clear its target") {
+    // Flows that move between balancers must not delay the detection of a failed target.
     FailingTarget test;
     test.send_request(1, test.failing);
     test.send_request(1, test.failing, milliseconds(200));
@@ -883,7 +882,7 @@
     CHECK(test.run(milliseconds(200), {test.healthy}).size() == 1);
   }
 
-  TEST_CASE("where answers take long, the first repetition is no sign") {
+  TEST_CASE("while responses are slow, the first retransmission raises no suspicion") {
     FailingTarget test;
     test.answer_time = milliseconds(180);
     for (int request = 0; request < 10; ++request) {
@@ -896,54 +895,56 @@
     CHECK(test.steering().is_probing());
   }
 
-  TEST_CASE("repetitions that the own link explains raise no suspicion") {
+  TEST_CASE("retransmissions explained by local congestion raise no suspicion") {
     FailingTarget test;
     test.send_request(1, test.failing);
     test.steering().set_link_congested(true, test.now + milliseconds(20));
     test.steering().set_link_congested(false, test.now + milliseconds(40));
-    // What was kept back has to come again, although the link is free by now.
+    // A delayed packet is retransmitted although the link is no longer congested.
     test.send_request(1, test.failing, milliseconds(200));
     CHECK_FALSE(test.steering().is_probing());
-    // The next one cannot be explained so.
+    // Congestion does not explain the next retransmission.
     test.send_request(1, test.failing, milliseconds(400));
     CHECK(test.steering().is_probing());
     CHECK(test.run(milliseconds(200), {test.healthy}).size() == 1);
   }
 
-  TEST_CASE("on a link that stays congested targets are not blamed for silence") {
+  TEST_CASE("silence does not count against targets while the link stays congested") {
     FailingTarget test;
     test.steering().set_link_congested(true, test.now);
     test.send_request(1, test.failing);
     test.send_request(1, test.failing, milliseconds(200));
     test.send_request(1, test.failing, milliseconds(400));
     CHECK_FALSE(test.steering().is_probing());
-    // A refusal would be found out now.
+    // A refusal would be detected now.
     test.send_request(1, test.failing, milliseconds(800));
     CHECK(test.steering().is_probing());
     CHECK(test.run(seconds(2), {test.healthy}).empty());
     CHECK(test.send_request(2, test.failing).action == SteeringAction::kForward);
   }
 
-  TEST_CASE("openings and requests that the own link keeps back blame no target") {
+  TEST_CASE(
+      "opening packets and requests delayed by local congestion do not count against targets") {
     for (const bool is_congested : {false, true}) {
       SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha"), target(2, "alpha")}));
       Instant now = kStart + seconds(2);
       test.steering.set_link_congested(is_congested, now);
-      // A copy of an opening; one that nothing follows; a request that is not answered.
+      // A retransmitted opening packet, an unanswered one, and an unanswered request.
       test.steering.on_packet(opening(1), now);
       test.steering.on_packet(opening(2), now);
       test.steering.on_packet(established(3, 101, 1, 100), now);
       test.steering.on_packet(opening(1, 1), now + milliseconds(200));
       test.steering.check_reply_timeouts(now + milliseconds(500));
-      std::uint32_t blamed = 0;
-      for (const auto& seen : test.steering.take_observations()) {
-        blamed += seen.unanswered_flows + seen.refused_flows + seen.stalled_requests;
+      std::uint32_t failures = 0;
+      for (const auto& observation : test.steering.take_observations()) {
+        failures +=
+            observation.unanswered_flows + observation.refused_flows + observation.stalled_requests;
       }
-      CHECK(blamed == (is_congested ? 0 : 3));
+      CHECK(failures == (is_congested ? 0 : 3));
     }
   }
 
-  TEST_CASE("a transfer that goes on is not stalled, however long it takes") {
+  TEST_CASE("a long transfer that makes progress is not stalled") {
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     const Instant began = kStart + seconds(2);
     ClientPacket packet = established(1, 101, 1, 1200);
@@ -952,27 +953,27 @@
       test.steering.on_packet(packet, began + milliseconds(20) * sent);
       test.steering.check_reply_timeouts(began + milliseconds(20) * sent);
     }
-    for (const auto& seen : test.steering.take_observations()) {
-      CHECK(seen.stalled_requests == 0);
+    for (const auto& observation : test.steering.take_observations()) {
+      CHECK(observation.stalled_requests == 0);
     }
   }
 
-  TEST_CASE("a target that refuses probes is gone once its caller repeats data twice") {
+  TEST_CASE("a target that refuses probes is unreachable after a second retransmission") {
     FailingTarget test;
     test.send_request(1, test.failing);
     test.send_request(1, test.failing, milliseconds(200));
     REQUIRE(test.steering().is_probing());
     CHECK(test.run(milliseconds(400), {test.healthy}, true).empty());
     test.send_request(1, test.failing);
-    const auto concluded = test.run(milliseconds(50), {test.healthy}, true);
-    REQUIRE(concluded.size() == 1);
-    CHECK(concluded[0].reason == UnreachableReason::kRefused);
+    const auto detected = test.run(milliseconds(50), {test.healthy}, true);
+    REQUIRE(detected.size() == 1);
+    CHECK(detected[0].reason == UnreachableReason::kRefused);
   }
 
-  TEST_CASE("a full target that refuses probes keeps the flows that it answers") {
+  TEST_CASE("a full target that refuses probes keeps the flows it responds to") {
     FailingTarget test;
     for (int request = 0; request < 5; ++request) {
-      // Each request is sent twice, and answered late.
+      // Each request is retransmitted and answered late.
       test.send_request(1, test.failing);
       test.send_request(1, test.failing, milliseconds(200));
       CHECK(test.run(milliseconds(300), {test.healthy}, true).empty());
@@ -985,7 +986,7 @@
     CHECK(test.steering().unreachable_targets() == 0);
   }
 
-  TEST_CASE("on a busy link a full target that refuses probes is not blamed") {
+  TEST_CASE("a full target that refuses probes is not unreachable while the link is congested") {
     FailingTarget test;
     test.steering().set_link_congested(true, test.now);
     test.send_request(1, test.failing);
--- a/tests/unit/test_handshake_times.cc
+++ b/tests/unit/test_handshake_times.cc
@@ -15,12 +15,12 @@
 }  // namespace
 
 TEST_SUITE("handshake_times") {
-  TEST_CASE("before the first answer of a zone, half of the time to a copy counts") {
+  TEST_CASE("without samples the timeout is half of the retransmission timeout") {
     const HandshakeTimes times;
     CHECK(times.overdue_timeout(kNear) == HandshakeTimes::kMaxTimeout);
   }
 
-  TEST_CASE("an opening is overdue above what is usual in its target's zone, from 1 to 60 ms") {
+  TEST_CASE("the timeout exceeds the zone's handshake time, from 1 to 60 ms") {
     for (const auto round_trip : {1, 4, 12, 24, 60}) {
       HandshakeTimes times;
       times.add_zone(kNear);
@@ -36,7 +36,7 @@
     }
   }
 
-  TEST_CASE("where openings slow down, the bound follows, up to half of the time to a copy") {
+  TEST_CASE("the timeout follows slower handshakes up to half of the retransmission timeout") {
     HandshakeTimes times;
     times.add_zone(kNear);
     times.add_zone(kFar);
--- a/tests/unit/test_response_times.cc
+++ b/tests/unit/test_response_times.cc
@@ -16,7 +16,7 @@
 }  // namespace
 
 TEST_SUITE("response_times") {
-  TEST_CASE("without a late answer nothing is known, and pools are kept apart") {
+  TEST_CASE("latency is unknown without a recent response, and pools are independent") {
     ResponseTimes times;
     times.add_pool(kPool);
     CHECK(times.latency_level(kPool, kStart) == LatencyLevel::kUnknown);
@@ -26,7 +26,7 @@
     CHECK(times.latency_level(kPool, kStart + seconds(2)) == LatencyLevel::kUnknown);
   }
 
-  TEST_CASE("queues that fill show within half a second, one slow answer does not count") {
+  TEST_CASE("queueing is detected within half a second, a single slow response is ignored") {
     ResponseTimes times;
     times.add_pool(kPool);
     Instant now = kStart;
--- a/tests/unit/test_steering_policy.cc
+++ b/tests/unit/test_steering_policy.cc
@@ -7,7 +7,7 @@
 namespace gorsevalve {
 
 TEST_SUITE("steering_policy") {
-  TEST_CASE("fields are read by name, and written back where they differ") {
+  TEST_CASE("fields are parsed by name and formatted if they differ from the defaults") {
     const auto policy = parse_policy("near_preference=1,hold_ms=250.5");
     REQUIRE(policy.has_value());
     CHECK(policy->near_preference == 1);
@@ -17,7 +17,7 @@
     CHECK(to_string(*parse_policy("")).empty());
   }
 
-  TEST_CASE("what is wrong is refused with the field's name") {
+  TEST_CASE("errors name the invalid field") {
     CHECK(parse_policy("nearness=1").error() == "unknown policy field \"nearness\"");
     CHECK(parse_policy("near_preference=0").error() ==
           "near_preference: must be a number from 1 to 1000, not \"0\"");
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -1,7 +1,6 @@
-/// Random calls of everything that FlowSteering offers, in any order: states and changes in which
-/// targets move, end, come back under their id, and share addresses; packets of all kinds, held
-/// ones, figures, probes with and without answers, and a link that gets congested. It is for the
-/// sanitizers: what is checked here is only that decisions name a target exactly when they forward.
+/// Calls FlowSteering at random for the sanitizers: snapshots and deltas with moving, ending,
+/// restarting and address-sharing targets, packets, buffered packets, target health, probes, and
+/// congestion. Checks only that a decision names a target exactly when it forwards.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -71,7 +70,7 @@
   RegisteredTarget random_target() {
     RegisteredTarget target;
     target.id = 1 + random_below(kTargets);
-    // Few addresses: they are shared and given on.
+    // Few addresses, so that targets share and reuse them.
     target.token = static_cast<FlowToken>(100 + target.id);
     target.pool = random_pool();
     target.address = {10, static_cast<std::uint16_t>(8000 + random_below(kTargets / 2))};
@@ -127,17 +126,17 @@
 
   void step_probes() {
     for (const auto& probe : steering_.take_probes(now_)) {
-      const std::uint64_t fate = random_below(5);
-      if (fate == 0) {
+      const std::uint64_t outcome = random_below(5);
+      if (outcome == 0) {
         steering_.on_probe_not_sent(probe.number, now_);
-      } else if (fate < 3) {
+      } else if (outcome < 3) {
         steering_.on_probe_answer(probe.number,
-                                  fate == 1 ? ProbeAnswer::kAccepted : ProbeAnswer::kRefused,
+                                  outcome == 1 ? ProbeAnswer::kAccepted : ProbeAnswer::kRefused,
                                   now_ + milliseconds(random_below(20)));
       }
     }
-    for (const auto& concluded : steering_.evaluate_reachability(now_)) {
-      static_cast<void>(steering_.reset_flows_to(concluded.target));
+    for (const auto& unreachable : steering_.evaluate_reachability(now_)) {
+      static_cast<void>(steering_.reset_flows_to(unreachable.target));
     }
     static_cast<void>(steering_.take_restored());
   }
@@ -163,8 +162,8 @@
   }
 
   void release() {
-    held_.release(steering_, now_, [&](const HeldPacket& held) {
-      const SteeringDecision decision = steering_.on_packet(held.packet, now_);
+    held_.release(steering_, now_, [&](const HeldPacket& buffered) {
+      const SteeringDecision decision = steering_.on_packet(buffered.packet, now_);
       check(decision);
       return decision.reason != SteeringReason::kNoState;
     });
@@ -186,7 +185,7 @@
 }  // namespace
 
 TEST_SUITE("steering_random") {
-  TEST_CASE("any order of calls is well defined") {
+  TEST_CASE("any order of calls is well-defined") {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
       RandomCalls(seed).run();
     }
