--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -54,7 +54,7 @@
 struct SteeringDecision {
   SteeringAction action = SteeringAction::kDrop;
   SteeringReason reason = SteeringReason::kNoState;
-  /// Set when the packet is forwarded; valid until the next `update_targets` or `apply`.
+  /// Set when the packet is forwarded; valid until the next `adopt` or `apply`.
   const RegisteredTarget* target = nullptr;
 };
 
@@ -109,7 +109,7 @@
   /// while none is pending.
   [[nodiscard]] std::optional<Instant> next_reply_deadline() const;
 
-  /// Reports whether the local link is so congested that packets and replies may be delayed or lost
+  /// Sets whether the local link is so congested that packets and replies may be delayed or lost
   /// (LinkModel::is_congested). Missing replies are then not attributed to targets. Call before
   /// packets and probe steps; the link counts as uncongested by default.
   void set_link_congested(bool is_congested, Instant now);
@@ -126,13 +126,13 @@
   [[nodiscard]] bool has_refused_probe() const { return scores_.has_refused_probe(); }
   void set_target_health(const std::vector<TargetHealth>& health, Instant now);
   /// Handles targets that recently refused probes of other balancers.
-  void on_refusing(const RefusingTargets& told, Instant now);
+  void on_refusing(const RefusingTargets& report, Instant now);
 
   /// Sets this balancer's rank among all balancers; a count of 0 means unknown.
   void set_balancer_rank(const BalancerRank& rank, Instant now) { warm_up_.set_rank(rank, now); }
   [[nodiscard]] const WarmUpBudget& warm_up() const { return warm_up_; }
-  /// Targets that began to warm up since the last call, ordered by id, and targets that have
-  /// finished warming up.
+  /// Targets that began to warm up since the last call, ordered by id; `take_warmed` returns those
+  /// that have finished.
   [[nodiscard]] std::vector<TargetId> take_newly_cold();
   [[nodiscard]] std::vector<WarmedTarget> take_warmed(Instant now) {
     return warm_up_.take_warmed(now);
@@ -227,7 +227,8 @@
   void suspect_target(TargetId target, Instant now);
   /// Sorts resets to make output independent of the hash table order.
   static void sort_by_flow(std::vector<FlowReset>& resets);
-  /// Checks the path to the target's zone, because a packet sent to it at `sent_at` is unanswered.
+  /// Starts a path check of the target's zone, because a packet sent to the target at `sent_at` is
+  /// unanswered.
   void suspect_zone(TargetId target, Instant sent_at, Instant now);
   /// Suspects the zones of targets with replies past the reply timeout.
   void check_zone_timeouts(Instant now);
@@ -239,7 +240,7 @@
   /// Marks other targets at the same address as replaced when they match the condition.
   template <typename Condition>
   void mark_replaced(const RegisteredTarget& target, Condition is_gone);
-  /// The flow of an opening packet without a reply; nullptr when there is none.
+  /// The flow of an opening packet without a reply; nullptr if it was answered or closed.
   [[nodiscard]] const FlowEntry* find_unanswered(const PendingReply& opening);
   /// When an opening packet exceeds the expected handshake time.
   [[nodiscard]] Instant overdue_at(const PendingReply& opening) const;
@@ -267,7 +268,7 @@
   bool is_confirmed_ = false;
   /// Packets before this time are not used to assess targets.
   Instant observes_from_;
-  /// Response times before this time do not indicate queueing.
+  /// Until this time, fast responses do not rule out queueing.
   Instant latency_valid_from_;
   SteeringView view_;
   FlowTable flows_;
