--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -58,11 +58,11 @@
   if (inputs.refusals.is_refusing(target.id, now)) {
     return Impairment::kRefusing;
   }
-  const bool is_troubled = target.phase != TargetPhase::kReady ||
-                           inputs.scores.is_suspected(target.id, now) ||
-                           (inputs.zone_paths.is_recovering() &&
-                            !inputs.zone_paths.admits(target.id, recovery_hash(flow_key), now));
-  if (is_troubled) {
+  const bool is_unhealthy = target.phase != TargetPhase::kReady ||
+                            inputs.scores.is_suspected(target.id, now) ||
+                            (inputs.zone_paths.is_recovering() &&
+                             !inputs.zone_paths.admits(target.id, recovery_hash(flow_key), now));
+  if (is_unhealthy) {
     return Impairment::kSuspected;
   }
   return admission == WarmUpAdmission::kUnknownAge ? Impairment::kUnknownAge : Impairment::kNone;
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -48,7 +48,7 @@
   [[nodiscard]] bool was_dropped(const Endpoint& address) const {
     return dropped_.contains(address);
   }
-  /// Returned pointers stay valid until the target is removed.
+  /// Returned pointers stay valid until the target is removed or `reset` is called.
   [[nodiscard]] const RegisteredTarget* target(FlowToken token) const;
   [[nodiscard]] const RegisteredTarget* target_by_id(TargetId id) const;
   /// True when the target's pool is a current or former pool of the frontend.
@@ -62,7 +62,7 @@
   [[nodiscard]] bool is_evacuated(const RegisteredTarget& target) const {
     return evacuated_zones_.contains(target.zone);
   }
-  /// Targets of a pool that may get new flows: neither draining, ended, nor in an evacuated zone.
+  /// Targets of a pool that may get new flows: not draining, ended, or in an evacuated zone.
   [[nodiscard]] const std::vector<const RegisteredTarget*>& pool_targets(std::uint32_t pool) const {
     return pool_targets_[pool];
   }
