--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -1,5 +1,5 @@
-/// What FlowSteering does about targets that refuse new flows: which openings are overdue, what
-/// probes and other balancers tell of their targets, and which other targets are looked at then.
+/// FlowSteering's handling of targets that refuse new flows: timeouts of opening packets, probe
+/// results, reports from other balancers, and probing of neighbors.
 #include <algorithm>
 #include <set>
 #include <string_view>
@@ -10,15 +10,15 @@
 namespace gorsevalve {
 namespace {
 
-/// When a first opening packet is followed by nothing for this long, not even by a copy, which
-/// callers send after 200 ms, the caller was told that there is no flow.
+/// Without a reply or a retransmission by this time, the client was reset: clients retransmit after
+/// 200 ms.
 constexpr Duration kRefusalTimeout = std::chrono::milliseconds(300);
-/// Pause between two looks around.
+/// Minimum time between two rounds of probing neighbors.
 constexpr Duration kNeighborProbeInterval = std::chrono::seconds(1);
-/// Balancers of a zone that look at each of its targets, where all zones have as many: some may
-/// have died with the targets.
+/// Balancers per zone that probe each target, if zones are equally large. More than one, since some
+/// may fail together with the targets.
 constexpr std::uint64_t kProbersPerTarget = 3;
-/// Parts of a zone's targets while a balancer does not know how many others there are.
+/// Partitions of a zone's targets while the number of balancers is unknown.
 constexpr std::uint64_t kDefaultPartitions = 8;
 constexpr std::uint64_t kNeighborProbeSalt = 0x6c6f6f6b00ULL;
 
@@ -34,7 +34,7 @@
   reachability_.on_progress(entry.target, now);
   refusals_.on_established(entry.target, sent_at);
   const RegisteredTarget* target = view_.target_by_id(entry.target);
-  // An answer to a copy may be one to the packet before it.
+  // A reply after a retransmission may belong to the earlier packet (Karn's algorithm).
   if (target != nullptr && !entry.is_retransmitted) {
     handshake_times_.on_established(target->zone, now - sent_at);
   }
@@ -48,8 +48,8 @@
 }
 
 LatencyLevel FlowSteering::latency_level(const RegisteredTarget& target, Instant now) const {
-  const bool may_be_told = now >= latency_valid_from_;
-  return may_be_told ? response_times_.latency_level(target.pool, now) : LatencyLevel::kHigh;
+  const bool is_latency_valid = now >= latency_valid_from_;
+  return is_latency_valid ? response_times_.latency_level(target.pool, now) : LatencyLevel::kHigh;
 }
 
 const FlowEntry* FlowSteering::find_unanswered(const PendingReply& opening) {
@@ -61,9 +61,9 @@
 
 Instant FlowSteering::overdue_at(const PendingReply& opening) const {
   const RegisteredTarget* target = view_.target_by_id(opening.target);
-  const Duration usual = target == nullptr ? HandshakeTimes::kMaxTimeout
-                                           : handshake_times_.overdue_timeout(target->zone);
-  return opening.sent_at + usual;
+  const Duration timeout = target == nullptr ? HandshakeTimes::kMaxTimeout
+                                             : handshake_times_.overdue_timeout(target->zone);
+  return opening.sent_at + timeout;
 }
 
 std::optional<Instant> FlowSteering::next_reply_deadline() const {
@@ -108,10 +108,10 @@
   }
 }
 
-void FlowSteering::on_refusing(const RefusingTargets& told, Instant now) {
-  for (const FlowToken token : told.targets) {
+void FlowSteering::on_refusing(const RefusingTargets& report, Instant now) {
+  for (const FlowToken token : report.targets) {
     const RegisteredTarget* target = view_.target(token);
-    const bool counts = target != nullptr && (told.zone == zone_ || told.zone == target->zone);
+    const bool counts = target != nullptr && (report.zone == zone_ || report.zone == target->zone);
     if (counts && latency_level(*target, now) != LatencyLevel::kHigh) {
       refusals_.on_remote_refusal(target->id, now);
       on_refusal(*target, now);
@@ -120,8 +120,8 @@
 }
 
 void FlowSteering::on_refusal(const RegisteredTarget& target, Instant now) {
-  const bool may_look = policy_.looks_around > 0 && target.zone == zone_;
-  if (may_look && now >= next_neighbor_probe_at_ &&
+  const bool may_probe_neighbors = policy_.looks_around > 0 && target.zone == zone_;
+  if (may_probe_neighbors && now >= next_neighbor_probe_at_ &&
       latency_level(target, now) == LatencyLevel::kLow) {
     next_neighbor_probe_at_ = now + kNeighborProbeInterval;
     probe_neighbors(now);
--- a/src/core/steering/handshake_times.cc
+++ b/src/core/steering/handshake_times.cc
@@ -6,8 +6,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Shares of a new sample in the smoothed time and in its deviation, and how many deviations above
-/// the smoothed time an opening is overdue: those of RFC 6298.
+/// Gains of the mean and of the deviation, and the factor of the deviation in the timeout (RFC
+/// 6298).
 constexpr double kMeanGain = 1.0 / 8;
 constexpr double kDeviationGain = 1.0 / 4;
 constexpr double kDeviationFactor = 4;
@@ -36,8 +36,8 @@
     return kMaxTimeout;
   }
   const Estimate& estimate = found->second;
-  const double usual_us = estimate.mean_us + kDeviationFactor * estimate.deviation_us;
-  return std::clamp(Duration(static_cast<std::int64_t>(usual_us)), kMinTimeout, kMaxTimeout);
+  const double timeout_us = estimate.mean_us + kDeviationFactor * estimate.deviation_us;
+  return std::clamp(Duration(static_cast<std::int64_t>(timeout_us)), kMinTimeout, kMaxTimeout);
 }
 
 }  // namespace gorsevalve
--- a/src/core/steering/steering_policy.cc
+++ b/src/core/steering/steering_policy.cc
@@ -14,36 +14,37 @@
 namespace {
 
 constexpr std::array kFields = {
-    PolicyField{"hold_ms", &SteeringPolicy::hold_ms, 0, 5000,
-                "milliseconds for which a packet waits for a state; 0: none waits"},
+    PolicyField{
+        "hold_ms", &SteeringPolicy::hold_ms, 0, 5000,
+        "maximum time to buffer a packet without a state, in milliseconds; 0: no buffering"},
     PolicyField{"copies_at_same_target", &SteeringPolicy::copies_at_same_target, 0, 10,
-                "copies of an opening packet that meet the target of the first"},
+                "retransmissions of an opening packet that go to the first target"},
     PolicyField{"suspect_after", &SteeringPolicy::suspect_after, 0, 100,
-                "unanswered openings in a row after which a target is avoided; 0: never"},
+                "consecutive unanswered opening packets after which a target is avoided; 0: never"},
     PolicyField{"refusals", &SteeringPolicy::refusals, 0, 1,
-                "1: a target that refuses a flow is avoided, and all balancers are told"},
+                "1: targets that refuse flows are avoided and reported to all balancers"},
     PolicyField{"stalls", &SteeringPolicy::stalls, 0, 1,
-                "1: requests without an answer are reported"},
+                "1: requests without a response are reported"},
     PolicyField{"probes", &SteeringPolicy::probes, 0, 1,
-                "1: targets that seem dead are probed, and flows at those that are get reset"},
+                "1: suspected targets are probed, and flows at unreachable ones are reset"},
     PolicyField{"refusal_probes", &SteeringPolicy::refusal_probes, 0, 1,
-                "1: targets whose openings are overdue are probed, and refusals are told at once"},
+                "1: targets with overdue handshakes are probed, and refusals reported immediately"},
     PolicyField{"looks_around", &SteeringPolicy::looks_around, 0, 1,
-                "1: where a target refuses, others of its zone are probed as well"},
+                "1: when a target refuses, other targets of its zone are probed too"},
     PolicyField{"load_step", &SteeringPolicy::load_step, 0, 100,
-                "loads within one step count as equal; 0: the own view alone decides"},
+                "loads within one step count as equal; 0: only the local load counts"},
     PolicyField{"busy_weight", &SteeringPolicy::busy_weight, 0, 100,
-                "open flows that a request under way counts as"},
+                "weight of a request in flight, in open flows"},
     PolicyField{"cold_penalty", &SteeringPolicy::cold_penalty, 1, 100,
-                "factor on the load of a target that warms up"},
+                "factor on the load of a target that is warming up"},
     PolicyField{"slow_factor", &SteeringPolicy::slow_factor, 0, 100,
-                "multiple of the usual answer time from which a target is slow; 0: never"},
+                "multiple of the median response time from which a target is slow; 0: never"},
     PolicyField{"pressure_exponent", &SteeringPolicy::pressure_exponent, 0, 100,
-                "how strongly what all balancers saw decides between equal loads"},
+                "how strongly load reported by all balancers decides between equal local loads"},
     PolicyField{"near_preference", &SteeringPolicy::near_preference, 1, 1000,
-                "how often a target in the own zone wins against one elsewhere"},
+                "weight of a target in the local zone relative to one elsewhere"},
     PolicyField{"sample", &SteeringPolicy::sample, 0, 100000,
-                "targets that an opening looks at in a larger pool; 0: all"},
+                "targets examined per new flow in a larger pool; 0: all"},
 };
 
 std::string format_number(double value) { return absl::StrCat(value); }
@@ -75,11 +76,11 @@
 }
 
 std::string to_string(const SteeringPolicy& policy) {
-  const SteeringPolicy usual;
+  const SteeringPolicy defaults;
   std::vector<std::string> parts;
   for (const auto& field : kFields) {
     const double value = policy.*(field.value);
-    if (value != usual.*(field.value)) {
+    if (value != defaults.*(field.value)) {
       parts.push_back(std::string(field.name) + "=" + format_number(value));
     }
   }
