--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -17,10 +17,10 @@
 /// How a request may be handled when its outcome is unknown.
 enum class RequestKind : std::uint8_t {
   /// Idempotent: may be sent again.
-  kRepeatable = 0,
+  kIdempotent = 0,
   /// Non-idempotent: runs at most once. It is recorded at the backup first, then sent once to one
   /// target.
-  kOnceOnly = 1,
+  kNonIdempotent = 1,
   /// Observe registration (RFC 7641): stays open and gets any number of notifications.
   kObserve = 2,
 };
@@ -75,7 +75,7 @@
   CoapToken token;
   std::uint16_t message_id = 0;
   CoapType type = CoapType::kConfirmable;
-  RequestKind kind = RequestKind::kRepeatable;
+  RequestKind kind = RequestKind::kIdempotent;
   RequestState state = RequestState::kDispatched;
   /// The verdict and its retry time; valid in state kGivenUp.
   Execution execution = Execution::kMayHaveRun;
--- a/src/core/balancer/replication.cc
+++ b/src/core/balancer/replication.cc
@@ -55,7 +55,7 @@
   partition.in_flight.reset();
   partition.copy_pending = partition.backup.has_value();
   for (const auto& [id, record] : partition.store.requests()) {
-    if (record->kind != RequestKind::kRepeatable) {
+    if (record->kind != RequestKind::kIdempotent) {
       partition.unconfirmed.requests.insert(id);
     }
   }
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -70,7 +70,7 @@
 }
 
 void RequestActions::plan_resend(Partition& partition, RequestRecord& record, Instant now) {
-  if (record.kind == RequestKind::kOnceOnly || record.request.empty()) {
+  if (record.kind == RequestKind::kNonIdempotent || record.request.empty()) {
     state_.set_deadline(partition.id, record, record.give_up_at);
     return;
   }
@@ -111,7 +111,7 @@
   auto& counters = state_.counters();
   ++(execution == Execution::kNotRun ? counters.verdicts_not_run : counters.verdicts_may_have_run);
   ++counters.given_up[static_cast<std::size_t>(reason)];
-  const bool once_only = record.kind == RequestKind::kOnceOnly;
+  const bool once_only = record.kind == RequestKind::kNonIdempotent;
   if (once_only) {
     replicator_.mark_changed(partition, record);
   }
@@ -160,7 +160,7 @@
 
 void RequestActions::delete_record(Partition& partition, RequestRecord& record) {
   release_outstanding(record);
-  if (record.kind != RequestKind::kRepeatable) {
+  if (record.kind != RequestKind::kIdempotent) {
     replicator_.mark_deleted(partition, record);
   }
   partition.store.erase_request(&record);
--- a/src/core/balancer/request_context.h
+++ b/src/core/balancer/request_context.h
@@ -23,7 +23,7 @@
   CoapToken token;
   std::uint16_t message_id = 0;
   CoapType type = CoapType::kConfirmable;
-  RequestKind kind = RequestKind::kRepeatable;
+  RequestKind kind = RequestKind::kIdempotent;
   bool continuation = false;
   std::optional<std::uint32_t> observe;
   /// Selected target; empty when there is none.
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -17,9 +17,9 @@
   switch (kind) {
     case RequestKind::kObserve:
       return QueuePriority::kObserve;
-    case RequestKind::kOnceOnly:
-      return QueuePriority::kOnceOnly;
-    case RequestKind::kRepeatable:
+    case RequestKind::kNonIdempotent:
+      return QueuePriority::kNonIdempotent;
+    case RequestKind::kIdempotent:
       return QueuePriority::kOther;
   }
   return QueuePriority::kOther;
@@ -27,16 +27,16 @@
 
 RequestKind classify(const CoapSummary& summary, const ServiceView& service) {
   if (contains(service.once_only_paths, summary.path_hash)) {
-    return RequestKind::kOnceOnly;
+    return RequestKind::kNonIdempotent;
   }
   const bool idempotent = summary.code != coap_code::kPost && summary.code != coap_code::kPatch;
   if (!idempotent && !contains(service.repeatable_paths, summary.path_hash)) {
-    return RequestKind::kOnceOnly;
+    return RequestKind::kNonIdempotent;
   }
   const bool is_registration =
       summary.observe && *summary.observe == 0 &&
       (summary.code == coap_code::kGet || summary.code == coap_code::kFetch);
-  return is_registration ? RequestKind::kObserve : RequestKind::kRepeatable;
+  return is_registration ? RequestKind::kObserve : RequestKind::kIdempotent;
 }
 
 FilterStatus DuplicateFilter::on_request(RequestContext& context) {
@@ -50,7 +50,7 @@
 }
 
 void DuplicateFilter::respond_to_duplicate(RequestContext& context, RequestRecord& record) {
-  const bool once_only = record.kind == RequestKind::kOnceOnly;
+  const bool once_only = record.kind == RequestKind::kNonIdempotent;
   switch (record.state) {
     case RequestState::kRecording:
     case RequestState::kQueued:
@@ -94,7 +94,7 @@
 }
 
 FilterStatus LeaseFilter::on_request(RequestContext& context) {
-  if (context.kind != RequestKind::kOnceOnly) {
+  if (context.kind != RequestKind::kNonIdempotent) {
     return FilterStatus::kContinue;
   }
   const bool has_lease = context.now < state_.lease_until() || state_.faults().skip_lease_check;
@@ -141,7 +141,7 @@
 }
 
 FilterStatus RecordFilter::on_request(RequestContext& context) {
-  if (context.kind != RequestKind::kOnceOnly) {
+  if (context.kind != RequestKind::kNonIdempotent) {
     return FilterStatus::kContinue;
   }
   RequestRecord& record = actions_.make_record(context, RequestState::kRecording);
@@ -201,7 +201,7 @@
 FilterStatus DispatchFilter::on_request(RequestContext& context) {
   RequestRecord& record = actions_.make_record(context, RequestState::kQueued);
   const bool has_lease = context.now < state_.lease_until() || state_.faults().skip_lease_check;
-  if (context.kind == RequestKind::kOnceOnly && !has_lease) {
+  if (context.kind == RequestKind::kNonIdempotent && !has_lease) {
     actions_.give_up(context.partition, record, Execution::kMayHaveRun, FailureReason::kNoLease,
                      context.now);
     return FilterStatus::kStop;
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -130,7 +130,7 @@
 bool ResponseHandler::retry_on_other_target(Partition& partition, RequestRecord& record,
                                             Instant now) {
   const ServiceView* service = state_.view()->service(record.flow.service);
-  const bool may_retry = record.kind != RequestKind::kOnceOnly && !record.continuation &&
+  const bool may_retry = record.kind != RequestKind::kNonIdempotent && !record.continuation &&
                          record.retries < kMaxRetries && !record.request.empty() &&
                          record.state == RequestState::kDispatched && service != nullptr;
   if (!may_retry) {
@@ -163,14 +163,14 @@
   if (refused && retry_on_other_target(partition, record, now)) {
     return;
   }
-  if (record.kind == RequestKind::kOnceOnly && record.state == RequestState::kAnswered) {
+  if (record.kind == RequestKind::kNonIdempotent && record.state == RequestState::kAnswered) {
     // A duplicate of the response that the client already has.
     forward(partition, record, target_message, std::nullopt);
     return;
   }
   forward(partition, record, target_message, std::nullopt);
   actions_.release_outstanding(record);
-  if (record.kind == RequestKind::kOnceOnly) {
+  if (record.kind == RequestKind::kNonIdempotent) {
     record.state = RequestState::kAnswered;
     record.response.assign(target_message.message.begin(), target_message.message.end());
     record.request.clear();
--- a/src/core/balancer/target_table.h
+++ b/src/core/balancer/target_table.h
@@ -31,7 +31,7 @@
 };
 
 /// Priorities of queued requests, highest first.
-enum class QueuePriority : std::uint8_t { kObserve = 0, kOnceOnly = 1, kOther = 2 };
+enum class QueuePriority : std::uint8_t { kObserve = 0, kNonIdempotent = 1, kOther = 2 };
 constexpr std::size_t kQueuePriorities = 3;
 
 struct TargetState {
--- a/src/core/steering/buffered_packets.cc
+++ b/src/core/steering/buffered_packets.cc
@@ -7,7 +7,8 @@
 namespace {
 
 /// When the client of a buffered packet times out.
-Instant expires_at(const HeldPacket& buffered, const FrontendView* frontend, Duration max_wait) {
+Instant expires_at(const BufferedPacket& buffered, const FrontendView* frontend,
+                   Duration max_wait) {
   const Duration wait = frontend == nullptr ? max_wait : std::min(max_wait, frontend->timeout);
   return buffered.sent_at + wait;
 }
@@ -24,7 +25,7 @@
   Bytes payload(bytes.begin(), bytes.end());
   if (packet.opens) {
     const auto existing =
-        std::find_if(packets_.begin(), packets_.end(), [&](const HeldPacket& buffered) {
+        std::find_if(packets_.begin(), packets_.end(), [&](const BufferedPacket& buffered) {
           return buffered.packet.opens && buffered.packet.flow == packet.flow;
         });
     if (existing != packets_.end()) {
@@ -40,7 +41,7 @@
 }
 
 void BufferedPackets::release(const FlowSteering& steering, Instant now, const Visitor& take) {
-  std::erase_if(packets_, [&](const HeldPacket& buffered) {
+  std::erase_if(packets_, [&](const BufferedPacket& buffered) {
     const FrontendView* frontend = steering.frontend(buffered.packet.flow.frontend);
     return expires_at(buffered, frontend, max_wait_) < now;
   });
--- a/src/core/steering/buffered_packets.h
+++ b/src/core/steering/buffered_packets.h
@@ -12,7 +12,7 @@
 
 namespace gorsevalve {
 
-struct HeldPacket {
+struct BufferedPacket {
   ClientPacket packet;
   Bytes bytes;
   /// When the client first sent this opening packet, or when this packet of an open flow arrived.
@@ -24,7 +24,7 @@
   static constexpr std::size_t kMaxPackets = 1024;
 
   /// Returns true when the packet is handled, and false when it must stay buffered.
-  using Visitor = std::function<bool(const HeldPacket&)>;
+  using Visitor = std::function<bool(const BufferedPacket&)>;
 
   explicit BufferedPackets(const SteeringPolicy& policy);
 
@@ -40,7 +40,7 @@
 
   Duration max_wait_;
   /// In order of arrival.
-  std::deque<HeldPacket> packets_;
+  std::deque<BufferedPacket> packets_;
 };
 
 }  // namespace gorsevalve
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -108,7 +108,7 @@
     }
     const WarmUpAdmission admission =
         has_cold_ ? inputs_.warm_up.admission(target.id, now_) : WarmUpAdmission::kUnrestricted;
-    if (admission == WarmUpAdmission::kOtherTurn) {
+    if (admission == WarmUpAdmission::kOtherSlot) {
       choice.skipped_cold = true;
       return;
     }
@@ -127,7 +127,7 @@
     double load = inputs_.scores.load(target, typical_us_, now_);
     // In its time slot a target that is warming up gets no penalty: the budget already limits its
     // load.
-    if (admission == WarmUpAdmission::kOwnTurn) {
+    if (admission == WarmUpAdmission::kOwnSlot) {
       load /= policy_.cold_penalty;
     }
     return quantizes_load_ ? std::floor(load / policy_.load_step) : load;
@@ -135,8 +135,8 @@
 
   [[nodiscard]] double weight_of(const RegisteredTarget& target, WarmUpAdmission admission) const {
     const double weight = inputs_.scores.preference(target);
-    const bool has_time_slot = admission == WarmUpAdmission::kOwnTurn;
-    return has_time_slot ? weight * inputs_.warm_up.turn_weight(target.id) : weight;
+    const bool has_time_slot = admission == WarmUpAdmission::kOwnSlot;
+    return has_time_slot ? weight * inputs_.warm_up.slot_weight(target.id) : weight;
   }
 
   const PlacementInputs& inputs_;
@@ -202,7 +202,7 @@
 void FlowPlacement::count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
                                   Instant now) {
   const auto lacks_time_slot = [&](const RegisteredTarget* target) {
-    return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kOtherTurn;
+    return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kOtherSlot;
   };
   const bool has_cold =
       std::any_of(frontend.shares.begin(), frontend.shares.end(), [&](const PoolShare& share) {
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -105,11 +105,11 @@
     }
   }
   for (const TargetId id : delta.removed_targets) {
-    scores_.on_forgotten(id);
-    warm_up_.forget(id);
-    reachability_.forget(id);
-    refusals_.forget(id);
-    zone_paths_.on_forgotten(id);
+    scores_.on_removed(id);
+    warm_up_.remove(id);
+    reachability_.remove(id);
+    refusals_.remove(id);
+    zone_paths_.on_removed(id);
   }
   for (const auto& address : delta.removed_frontends) {
     placement_.on_frontend_dropped(address);
@@ -130,9 +130,9 @@
   };
   forget_expected(openings_);
   forget_expected(requests_);
-  reachability_.forget(target);
-  refusals_.forget(target);
-  warm_up_.forget(target);
+  reachability_.remove(target);
+  refusals_.remove(target);
+  warm_up_.remove(target);
 }
 
 void FlowSteering::confirm(Instant now) {
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -178,7 +178,7 @@
   void set_faults(const SteeringFaults& faults) {
     faults_ = faults;
     reachability_.set_faults(faults.reachability);
-    warm_up_.set_takes_all_turns(faults.take_whole_budget);
+    warm_up_.set_uses_all_slots(faults.take_whole_budget);
     zone_paths_.set_faults(faults.zone_paths);
   }
 
--- a/src/core/steering/flow_warm_up.cc
+++ b/src/core/steering/flow_warm_up.cc
@@ -11,7 +11,7 @@
   const TargetScore* score = scores_.find(target.id);
   const bool is_cold = rate > 0 && score != nullptr && now < score->warm_at;
   if (!is_cold || target.phase == TargetPhase::kEnded) {
-    warm_up_.forget(target.id);
+    warm_up_.remove(target.id);
     return;
   }
   if (warm_up_.add({target.id, target.token, rate, score->warm_at, is_age_known}, now)) {
--- a/src/core/steering/target_reachability.cc
+++ b/src/core/steering/target_reachability.cc
@@ -132,7 +132,7 @@
   return std::exchange(restored_, {});
 }
 
-void TargetReachability::forget(TargetId target) {
+void TargetReachability::remove(TargetId target) {
   suspicions_.erase(target);
   unreachable_.erase(target);
   replaced_.erase(target);
--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -96,7 +96,7 @@
   void on_answer(std::uint64_t probe, ProbeAnswer answer, Instant now);
   /// A probe could not be sent; it proves nothing.
   void on_not_sent(std::uint64_t probe, Instant now);
-  void forget(TargetId target);
+  void remove(TargetId target);
 
   /// Probes to send now. Call it every `kStepInterval` while `is_probing`, otherwise occasionally.
   [[nodiscard]] std::vector<ProbeRequest> take_probes(Instant now);
--- a/src/core/steering/target_refusals.cc
+++ b/src/core/steering/target_refusals.cc
@@ -49,7 +49,7 @@
   }
 }
 
-void TargetRefusals::forget(TargetId target) {
+void TargetRefusals::remove(TargetId target) {
   probed_targets_.erase(target);
   refusing_.erase(target);
   cleared_until_.erase(target);
--- a/src/core/steering/target_refusals.h
+++ b/src/core/steering/target_refusals.h
@@ -30,7 +30,7 @@
   void on_remote_refusal(TargetId target, Instant now);
   /// The target replied to an opening packet (SYN) that was sent to it at `sent_at`.
   void on_established(TargetId target, Instant sent_at);
-  void forget(TargetId target);
+  void remove(TargetId target);
 
   /// Probes to send now. Call it every `TargetReachability::kStepInterval` while `is_probing`.
   /// Their numbers are above `kProbeNumberBase` and not above `ZonePaths::kProbeNumberBase`.
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -63,7 +63,7 @@
   return score != nullptr && score->started_at_ms != target.started_at_ms;
 }
 
-void TargetScores::on_forgotten(TargetId id) {
+void TargetScores::on_removed(TargetId id) {
   const auto found = scores_.find(id);
   if (found != scores_.end()) {
     by_token_.erase(found->second.unreported.token);
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -54,7 +54,7 @@
   void on_target(const RegisteredTarget& target, Instant now);
   /// True when the entry describes another incarnation of the target.
   [[nodiscard]] bool is_other_incarnation(const RegisteredTarget& target) const;
-  void on_forgotten(TargetId id);
+  void on_removed(TargetId id);
 
   [[nodiscard]] TargetScore& at(TargetId id) { return scores_[id]; }
   [[nodiscard]] const TargetScore* find(TargetId id) const;
--- a/src/core/steering/warm_up_budget.cc
+++ b/src/core/steering/warm_up_budget.cc
@@ -18,7 +18,7 @@
 constexpr double kUsedFraction = 0.8;
 /// Unused time slots expire after this time: long enough that a balancer with 5 new flows per
 /// second uses most of its slots, short enough to limit the burst after an idle time.
-constexpr Duration kTurnLifetime = milliseconds(500);
+constexpr Duration kSlotLifetime = milliseconds(500);
 /// A rank that was not reported again for this time is not used, because its count misses balancers
 /// that started since. Half of the time for which a lost balancer keeps its rank.
 constexpr Duration kRankLifetime = seconds(30);
@@ -33,9 +33,9 @@
   return static_cast<double>((to - from).count()) / kMicrosecondsPerSecond;
 }
 
-/// Duration of a time slot in seconds; shorter than `kTurnLifetime` for short rounds.
+/// Duration of a time slot in seconds; shorter than `kSlotLifetime` for short rounds.
 double lifetime_s(double round_s) {
-  constexpr double kLifetime = static_cast<double>(kTurnLifetime.count()) / kMicrosecondsPerSecond;
+  constexpr double kLifetime = static_cast<double>(kSlotLifetime.count()) / kMicrosecondsPerSecond;
   return std::min(kLifetime, round_s / 2);
 }
 
@@ -75,11 +75,11 @@
 }
 
 double WarmUpBudget::round_s(const Budget& budget) const {
-  const std::uint32_t count = takes_all_turns_ ? 1 : rank_.count;
+  const std::uint32_t count = uses_all_slots_ ? 1 : rank_.count;
   return count / (kUsedFraction * budget.flows_per_s);
 }
 
-bool WarmUpBudget::has_turn(const Budget& budget, Instant now) const {
+bool WarmUpBudget::owns_slot(const Budget& budget, Instant now) const {
   if (rank_.count == 0 || now - rank_received_at_ > kRankLifetime) {
     return false;
   }
@@ -97,7 +97,7 @@
   return is_open && is_pause_over;
 }
 
-double WarmUpBudget::turn_weight(TargetId id) const {
+double WarmUpBudget::slot_weight(TargetId id) const {
   const auto found = cold_.find(id);
   if (found == cold_.end()) {
     return 1;
@@ -114,7 +114,7 @@
   if (!found->second.is_age_known) {
     return WarmUpAdmission::kUnknownAge;
   }
-  return has_turn(found->second, now) ? WarmUpAdmission::kOwnTurn : WarmUpAdmission::kOtherTurn;
+  return owns_slot(found->second, now) ? WarmUpAdmission::kOwnSlot : WarmUpAdmission::kOtherSlot;
 }
 
 void WarmUpBudget::on_placed(TargetId id, Instant now) {
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -24,13 +24,13 @@
   /// The target has no warm-up budget.
   kUnrestricted = 0,
   /// The target is warming up, and it is this balancer's time slot.
-  kOwnTurn = 1,
+  kOwnSlot = 1,
   /// The target came with a snapshot, which does not say when its warm-up began, so it may be
   /// warming up. It is still used if no warm target is left, because most targets that a starting
   /// balancer finds are warm.
   kUnknownAge = 2,
   /// The target is warming up, and it is the time slot of another balancer.
-  kOtherTurn = 3,
+  kOtherSlot = 3,
 };
 
 /// A target that starts its warm-up.
@@ -72,7 +72,7 @@
   /// Adds a target until its warm-up ends. Returns false, and keeps the time slots, for a target
   /// that is present with the same end.
   bool add(const ColdTarget& target, Instant now);
-  void forget(TargetId id) { cold_.erase(id); }
+  void remove(TargetId id) { cold_.erase(id); }
   /// Updates the limits after a change of settings. `rate_of` returns the flows per second of a
   /// target, or 0 for no limit.
   template <typename RateOf>
@@ -91,7 +91,7 @@
   /// Relative weight of a target during its time slot, compared with a target that may be chosen at
   /// any time. The slot stands for a whole round, so the target gets its share of flows if the
   /// budget allows it. 1 for a target without a budget.
-  [[nodiscard]] double turn_weight(TargetId id) const;
+  [[nodiscard]] double slot_weight(TargetId id) const;
   /// The first packet of a flow, or a retransmission that went to another target before, goes to
   /// the target.
   void on_placed(TargetId id, Instant now);
@@ -106,7 +106,7 @@
 
   /// Injected fault for a test that shows that its check can fail: each balancer uses all time
   /// slots.
-  void set_takes_all_turns(bool takes_all) { takes_all_turns_ = takes_all; }
+  void set_uses_all_slots(bool takes_all) { uses_all_slots_ = takes_all; }
 
  private:
   struct Budget {
@@ -123,7 +123,7 @@
 
   /// Time in which each balancer has one time slot, in seconds.
   [[nodiscard]] double round_s(const Budget& budget) const;
-  [[nodiscard]] bool has_turn(const Budget& budget, Instant now) const;
+  [[nodiscard]] bool owns_slot(const Budget& budget, Instant now) const;
 
   absl::flat_hash_map<TargetId, Budget> cold_;
   BalancerRank rank_;
@@ -132,7 +132,7 @@
   std::uint32_t max_count_ = 0;
   Instant max_count_at_;
   WarmUpCounters counters_;
-  bool takes_all_turns_ = false;
+  bool uses_all_slots_ = false;
 };
 
 }  // namespace gorsevalve
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -61,14 +61,14 @@
 
 void ZonePaths::on_target(const RegisteredTarget& target) {
   if (target.phase == TargetPhase::kEnded) {
-    on_forgotten(target.id);
+    on_removed(target.id);
     return;
   }
   const auto known = by_target_.find(target.id);
   if (known != by_target_.end() && zones_[known->second].name == target.zone) {
     return;
   }
-  on_forgotten(target.id);
+  on_removed(target.id);
   if (target.zone.empty()) {
     return;
   }
@@ -79,7 +79,7 @@
   }
 }
 
-void ZonePaths::on_forgotten(TargetId target) {
+void ZonePaths::on_removed(TargetId target) {
   const auto found = by_target_.find(target);
   if (found != by_target_.end()) {
     std::erase(zones_[found->second].targets, target);
--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -60,7 +60,7 @@
   /// Removes all targets; cut paths stay cut.
   void clear_targets();
   void on_target(const RegisteredTarget& target);
-  void on_forgotten(TargetId target);
+  void on_removed(TargetId target);
 
   /// True when `suspect` would start a check of the zone of the target.
   [[nodiscard]] bool may_check(TargetId target, Instant now) const;
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -274,7 +274,7 @@
     return;
   }
   held_.release(steering_, now,
-                [&](const HeldPacket& held) { return decide(held.packet, held.bytes, now); });
+                [&](const BufferedPacket& held) { return decide(held.packet, held.bytes, now); });
   socket_->flush();
 }
 
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -604,7 +604,7 @@
     BufferedPackets buffer(policy);
     const Bytes bytes = {1};
     std::vector<std::uint16_t> taken;
-    const auto take = [&](const HeldPacket& packet) {
+    const auto take = [&](const BufferedPacket& packet) {
       taken.push_back(packet.packet.flow.client.port);
       return false;
     };
@@ -647,7 +647,7 @@
       buffer.hold(opening(port), {}, kStart + milliseconds(port));
     }
     std::vector<std::uint16_t> order;
-    buffer.release(test.steering, kStart + milliseconds(10), [&](const HeldPacket& packet) {
+    buffer.release(test.steering, kStart + milliseconds(10), [&](const BufferedPacket& packet) {
       order.push_back(packet.packet.flow.client.port);
       return packet.packet.flow.client.port != 1;
     });
@@ -664,7 +664,7 @@
     buffer.hold(opening(1), first, kStart);
     buffer.hold(opening(1, 1), retransmission, kStart + milliseconds(200));
     CHECK(buffer.size() == 1);
-    buffer.release(test.steering, kStart + milliseconds(210), [&](const HeldPacket& packet) {
+    buffer.release(test.steering, kStart + milliseconds(210), [&](const BufferedPacket& packet) {
       CHECK(packet.bytes == retransmission);
       CHECK(packet.sent_at == kStart);
       return test.steering.on_packet(packet.packet, kStart).action == SteeringAction::kForward;
@@ -771,7 +771,7 @@
     steering.apply(test.change({{"zone-a", 2}}), kStart);
     steering.confirm(kStart);
     std::vector<std::string> zones;
-    buffer.release(steering, kStart, [&](const HeldPacket& packet) {
+    buffer.release(steering, kStart, [&](const BufferedPacket& packet) {
       zones.push_back(steering.on_packet(packet.packet, kStart).target->zone);
       return true;
     });
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -162,7 +162,7 @@
   }
 
   void release() {
-    held_.release(steering_, now_, [&](const HeldPacket& buffered) {
+    held_.release(steering_, now_, [&](const BufferedPacket& buffered) {
       const SteeringDecision decision = steering_.on_packet(buffered.packet, now_);
       check(decision);
       return decision.reason != SteeringReason::kNoState;
--- a/tests/unit/test_target_reachability.cc
+++ b/tests/unit/test_target_reachability.cc
@@ -196,7 +196,7 @@
     CHECK(detected[0].reason == UnreachableReason::kReplaced);
     targets.run(seconds(9));
     CHECK(targets.reachability.is_unreachable(kSuspected));
-    targets.reachability.forget(kSuspected);
+    targets.reachability.remove(kSuspected);
     CHECK_FALSE(targets.reachability.is_unreachable(kSuspected));
   }
 
--- a/tests/unit/test_target_refusals.cc
+++ b/tests/unit/test_target_refusals.cc
@@ -112,7 +112,7 @@
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     const auto probes = refusals.take_probes(kStart);
-    refusals.forget(kTarget);
+    refusals.remove(kTarget);
     refusals.on_answer(probes[0].number, ProbeAnswer::kRefused, kStart);
     CHECK_FALSE(refusals.is_refusing(kTarget, kStart));
     CHECK(refusals.take_refused().empty());
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -28,7 +28,7 @@
 std::vector<Instant> placed(WarmUpBudget& budget, Instant from, Instant to) {
   std::vector<Instant> result;
   for (Instant now = from; now < to; now += milliseconds(10)) {
-    if (budget.admission(kCold, now) == WarmUpAdmission::kOwnTurn) {
+    if (budget.admission(kCold, now) == WarmUpAdmission::kOwnSlot) {
       budget.on_placed(kCold, now);
       result.push_back(now);
     }
@@ -185,7 +185,7 @@
     CHECK(warmed[0].flows == flows);
     CHECK(budget.is_empty());
     budget.add(cold_target(100, seconds(9)), kStart);
-    budget.forget(kCold);
+    budget.remove(kCold);
     CHECK(budget.is_empty());
   }
 
@@ -263,21 +263,21 @@
     test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(2, 9000)), test.now);
     test.now += milliseconds(1300);
-    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOtherTurn) {
+    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOtherSlot) {
       test.now += milliseconds(10);
     }
     ClientPacket packet;
     packet.flow = {{0x64500000, 1}, kFrontend};
     packet.opens = true;
     REQUIRE(test.steering.on_packet(packet, test.now).target->id == 1);
-    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOwnTurn) {
+    while (test.steering.warm_up().admission(2, test.now) != WarmUpAdmission::kOwnSlot) {
       test.now += milliseconds(10);
     }
     packet.retransmissions = 2;
     const SteeringDecision again = test.steering.on_packet(packet, test.now);
     REQUIRE(again.target->id == 2);
     CHECK(test.steering.warm_up().counters().placed == 1);
-    CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kOtherTurn);
+    CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kOtherSlot);
   }
 
   TEST_CASE("new settings change or remove the rate limit of cold targets") {
--- a/tests/unit/test_zone_paths.cc
+++ b/tests/unit/test_zone_paths.cc
@@ -348,7 +348,7 @@
     }
     CHECK(paths.may_check(ZonePaths::kMaxZones, kStart));
     CHECK_FALSE(paths.may_check(ZonePaths::kMaxZones + 1, kStart));
-    paths.on_forgotten(1);
+    paths.on_removed(1);
     CHECK_FALSE(paths.may_check(1, kStart));
   }
 }
