--- a/src/programs/balancer_main.cc
+++ b/src/programs/balancer_main.cc
@@ -77,13 +77,13 @@
       return;
     }
     main_loop_.post([this, number, path = request.path] {
-      loop_.post([this, number, path, snapshot = balancer_.snapshot()] {
+      loop_.post([this, number, path, snapshot = balancer_.status()] {
         server_->respond(number, render(path, snapshot));
       });
     });
   }
 
-  static HttpResponse render(const std::string& path, const BalancerSnapshot& snapshot) {
+  static HttpResponse render(const std::string& path, const BalancerStatus& snapshot) {
     if (path == "/metrics") {
       std::vector<MetricSample> samples = to_samples(snapshot.counters);
       samples.push_back({"gorsevalve_revision",
@@ -100,7 +100,7 @@
                          {}});
       samples.push_back({"gorsevalve_messages_refused_total",
                          "Messages that were not authentic",
-                         static_cast<double>(snapshot.messages_refused),
+                         static_cast<double>(snapshot.messages_rejected),
                          true,
                          {}});
       samples.push_back({"gorsevalve_zones_evacuated",
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -171,7 +171,7 @@
       {"gorsevalve_control_zones_evacuated", "Zones that are evacuated by the committed state",
        static_cast<double>(node.state().fleet().steering.evacuated_zones.size()), false},
       {"gorsevalve_control_messages_refused_total", "Messages that were not authentic",
-       static_cast<double>(control.messages_refused()), true},
+       static_cast<double>(control.messages_rejected()), true},
   });
 }
 
@@ -301,7 +301,7 @@
       request.path.substr(kEvacuationPrefix.size()),
       request.method == "PUT" ? EvacuationAction::kEvacuate : EvacuationAction::kRestore};
   main_loop_.post([this, number, command] {
-    control_.order_evacuation(command, [this, number, command](const SteeringReply& reply) {
+    control_.submit_evacuation(command, [this, number, command](const SteeringReply& reply) {
       const HttpResponse response = to_response(command, reply);
       respond(number, response.status, response.body);
     });
--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -5,14 +5,14 @@
 
 #include "codec/archive.h"
 #include "storage/log_store.h"
-#include "tasks/following_log.h"
 #include "tasks/log.h"
 #include "tasks/random_number.h"
+#include "tasks/subscription_log.h"
 
 namespace gorsevalve {
 namespace {
 
-constexpr const char* kFleetName = "fleet";
+constexpr const char* kFleetFile = "fleet";
 /// The fleet state kept over a restart; an empty one when there is none or it is damaged, since the
 /// control replicas give it again.
 FleetState read_fleet(Disk* disk) {
@@ -20,10 +20,10 @@
     return {};
   }
   const auto names = disk->list();
-  if (!names || std::find(names->begin(), names->end(), kFleetName) == names->end()) {
+  if (!names || std::find(names->begin(), names->end(), kFleetFile) == names->end()) {
     return {};
   }
-  const auto bytes = disk->read(kFleetName);
+  const auto bytes = disk->read(kFleetFile);
   const auto body = bytes ? decode_frame(*bytes) : std::nullopt;
   return body ? decode_archive<FleetState>(*body).value_or(FleetState{}) : FleetState{};
 }
@@ -69,7 +69,7 @@
   }
   const auto opened = envelope_.open(datagram);
   if (!opened || opened->kind != MessageKind::kPeer) {
-    ++messages_refused_;
+    ++messages_rejected_;
     return;
   }
   balancer_->on_peer_message(opened->sender, std::get<PeerMessage>(opened->message),
@@ -79,7 +79,7 @@
 std::optional<Endpoint> BalancerTask::on_frame(ByteView frame) {
   const auto opened = envelope_.open(frame);
   if (!opened || opened->kind != MessageKind::kNode) {
-    ++messages_refused_;
+    ++messages_rejected_;
     return std::nullopt;
   }
   control_.on_message(opened->sender, std::get<NodeMessage>(opened->message), monotonic_now());
@@ -92,27 +92,27 @@
   control_.on_tick(balancer_->settled_revision(), now);
   socket_->flush();
   flush_log();
-  if (stop_.on_tick(control_.may_stop() && balancer_->has_released_all(now), now)) {
+  if (shutdown_.on_tick(control_.may_stop() && balancer_->has_released_all(now), now)) {
     log_event(LogEvent::kStopped);
     loop_.stop();
   }
 }
 
 void BalancerTask::leave() {
-  stop_.begin();
+  shutdown_.begin();
   control_.leave();
   log_event(LogEvent::kLeaving);
 }
 
-BalancerSnapshot BalancerTask::snapshot() const {
-  BalancerSnapshot snapshot;
+BalancerStatus BalancerTask::status() const {
+  BalancerStatus snapshot;
   snapshot.counters = balancer_->counters();
   snapshot.revision = balancer_->revision();
   snapshot.settled_revision = balancer_->settled_revision();
   snapshot.digest = fleet_digest(control_.fleet());
   snapshot.flows = balancer_->flow_count();
   snapshot.requests = balancer_->request_count();
-  snapshot.messages_refused = messages_refused_;
+  snapshot.messages_rejected = messages_rejected_;
   snapshot.zones_evacuated = control_.fleet().steering.evacuated_zones.size();
   return snapshot;
 }
@@ -163,7 +163,7 @@
 
 void BalancerTask::on_fleet(const FleetState& fleet, Instant now) {
   if (disk_ != nullptr) {
-    const auto kept = disk_->replace(kFleetName, encode_frame(encode_archive(fleet)));
+    const auto kept = disk_->replace(kFleetFile, encode_frame(encode_archive(fleet)));
     if (!kept) {
       // The copy only shortens the next start; the control replicas have the state.
       log_event(LogEvent::kFleetNotKept, {{"error", kept.error().message}});
@@ -189,11 +189,11 @@
 
 void BalancerTask::on_replica_silent(const Endpoint& replica) {
   log_replica_silent(replica);
-  network_.drop(replica);
+  network_.disconnect(replica);
 }
 
 void BalancerTask::on_updates_overdue(const Endpoint& replica, Revision revisions) {
-  log_behind(replica, revisions, control_.fleet().revision);
+  log_updates_overdue(replica, revisions, control_.fleet().revision);
 }
 
 void BalancerTask::on_update_refused(const RefusedUpdate& refused) {
--- a/src/tasks/balancer_task.h
+++ b/src/tasks/balancer_task.h
@@ -31,14 +31,14 @@
 };
 
 /// What the administration task shows of a balancer.
-struct BalancerSnapshot {
+struct BalancerStatus {
   BalancerCounters counters;
   Revision revision = 0;
   Revision settled_revision = 0;
   std::uint64_t digest = 0;
   std::size_t flows = 0;
   std::size_t requests = 0;
-  std::uint64_t messages_refused = 0;
+  std::uint64_t messages_rejected = 0;
   std::size_t zones_evacuated = 0;
 };
 
@@ -52,7 +52,7 @@
   /// Begins a planned stop: the task ends the loop when its partitions have moved.
   void leave();
 
-  [[nodiscard]] BalancerSnapshot snapshot() const;
+  [[nodiscard]] BalancerStatus status() const;
   /// Targets with a health endpoint, for the poller.
   [[nodiscard]] std::vector<Target> polled_targets() const;
   void on_target_report(const TargetReport& report);
@@ -86,8 +86,8 @@
   ControlClient control_;
   std::unique_ptr<UdpSocket> socket_;
   FrameNetwork network_;
-  std::uint64_t messages_refused_ = 0;
-  GracefulShutdown stop_;
+  std::uint64_t messages_rejected_ = 0;
+  GracefulShutdown shutdown_;
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -12,16 +12,16 @@
 namespace {
 
 /// A pause between two ticks that is worth a line in the log.
-constexpr Duration kStallLogged = std::chrono::milliseconds(120);
+constexpr Duration kStallLogThreshold = std::chrono::milliseconds(120);
 /// Encoded messages that are kept for further peers: an update from nothing, some from the latest
 /// revisions, and figures.
-constexpr std::size_t kEncodedMessages = 8;
+constexpr std::size_t kMaxCachedMessages = 8;
 
 std::string describe(const StorageError& error) { return error.message; }
 
 }  // namespace
 
-ReplicaSet founding_replicas(const std::string& cluster, const std::vector<Endpoint>& addresses) {
+ReplicaSet initial_replica_set(const std::string& cluster, const std::vector<Endpoint>& addresses) {
   ReplicaSet set;
   for (const auto& address : addresses) {
     const std::string text = cluster + "/" + to_string(address);
@@ -42,7 +42,7 @@
   }
   ReplicaIdentity identity;
   identity.cluster = config.cluster;
-  identity.initial_replicas = founding_replicas(config.cluster, config.replicas);
+  identity.initial_replicas = initial_replica_set(config.cluster, config.replicas);
   for (const auto& replica : identity.initial_replicas.replicas) {
     if (replica.address == config.address) {
       identity.id = replica.id;
@@ -112,7 +112,7 @@
 std::optional<Endpoint> ControlTask::on_frame(ByteView frame) {
   const auto opened = envelope_.open(frame);
   if (!opened) {
-    ++messages_refused_;
+    ++messages_rejected_;
     return std::nullopt;
   }
   const Instant now = monotonic_now();
@@ -124,15 +124,15 @@
       node_->on_node_message(sender, copy, monotonic_now());
     });
   }
-  answer_waiting(now);
-  proposals_.answer(*node_, now);
-  answer_forwarded(now);
+  complete_submissions(now);
+  proposals_.complete(*node_, now);
+  complete_forwarded(now);
   return opened->sender;
 }
 
 void ControlTask::on_tick() {
   const Instant now = monotonic_now();
-  if (last_tick_ != Instant{} && now - last_tick_ > kStallLogged) {
+  if (last_tick_ != Instant{} && now - last_tick_ > kStallLogThreshold) {
     // A slow disk, a frozen machine, or too much work in one turn.
     log_event(
         LogEvent::kLoopStalled,
@@ -141,10 +141,10 @@
   last_tick_ = now;
   flush_log();
   node_->on_tick(now);
-  answer_waiting(now);
-  proposals_.answer(*node_, now);
-  answer_forwarded(now);
-  decide_held_calls(now);
+  complete_submissions(now);
+  proposals_.complete(*node_, now);
+  complete_forwarded(now);
+  retry_buffered_requests(now);
   if (node_->replica().has_failed()) {
     log_event(LogEvent::kStorageFailedStopping);
     loop_.stop();
@@ -160,8 +160,8 @@
               {{"term", replica.term()}});
   }
   const bool hears_leader = replica.is_leader() || replica.has_leader_contact(now);
-  if (hears_leader != heard_leader_) {
-    heard_leader_ = hears_leader;
+  if (hears_leader != had_leader_contact_) {
+    had_leader_contact_ = hears_leader;
     log_event(hears_leader ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
               {{"term", replica.term()}});
   }
@@ -174,15 +174,15 @@
     }
     log_event(LogEvent::kReplicaSet, {{"replicas", members}});
   }
-  log_troubled_targets();
+  log_unhealthy_targets();
 }
 
-void ControlTask::log_troubled_targets() {
+void ControlTask::log_unhealthy_targets() {
   const std::vector<FlowToken> troubled = node_->target_health().unhealthy();
-  if (troubled == logged_troubled_ || !node_->replica().is_leader()) {
+  if (troubled == logged_unhealthy_ || !node_->replica().is_leader()) {
     return;
   }
-  logged_troubled_ = troubled;
+  logged_unhealthy_ = troubled;
   nlohmann::json targets = nlohmann::json::array();
   for (const auto& [id, target] : node_->state().fleet().steering.targets) {
     if (std::binary_search(troubled.begin(), troubled.end(), target.token)) {
@@ -203,12 +203,12 @@
     callback(result);
     return;
   }
-  waiting_.push_back({id, std::move(callback), now + kDecisionTimeout});
+  pending_submissions_.push_back({id, std::move(callback), now + kSubmissionTimeout});
 }
 
-void ControlTask::answer_waiting(Instant now) {
-  std::vector<Waiting> still_waiting;
-  for (auto& waiting : std::exchange(waiting_, {})) {
+void ControlTask::complete_submissions(Instant now) {
+  std::vector<PendingSubmission> still_waiting;
+  for (auto& waiting : std::exchange(pending_submissions_, {})) {
     const SubmissionResult result = node_->outcome(waiting.id, now);
     const bool decided = result.status == ControlStatus::kOk;
     if (decided || now >= waiting.deadline) {
@@ -218,8 +218,9 @@
     }
   }
   // A callback may have submitted more.
-  std::move(waiting_.begin(), waiting_.end(), std::back_inserter(still_waiting));
-  waiting_ = std::move(still_waiting);
+  std::move(pending_submissions_.begin(), pending_submissions_.end(),
+            std::back_inserter(still_waiting));
+  pending_submissions_ = std::move(still_waiting);
 }
 
 SubmissionResult ControlTask::outcome(const SubmissionId& id) const {
@@ -245,10 +246,10 @@
   }
   std::vector<SteeringCallback> callbacks;
   callbacks.push_back(std::move(callback));
-  wait_for(node_->propose(command, now), std::move(callbacks), version);
+  await_proposal(node_->propose(command, now), std::move(callbacks), version);
 }
 
-void ControlTask::order_evacuation(const EvacuationCommand& command, SteeringCallback callback) {
+void ControlTask::submit_evacuation(const EvacuationCommand& command, SteeringCallback callback) {
   const Instant now = monotonic_now();
   if (stopping_ || !node_->replica().has_lease(now)) {
     callback(not_leader());
@@ -269,12 +270,12 @@
   }
   std::vector<SteeringCallback> callbacks;
   callbacks.push_back(std::move(callback));
-  wait_for(node_->propose(command, now), std::move(callbacks), command);
+  await_proposal(node_->propose(command, now), std::move(callbacks), command);
 }
 
-void ControlTask::wait_for(const std::optional<Proposal>& proposal,
-                           std::vector<SteeringCallback> callbacks,
-                           WaitingProposals::Subject subject) {
+void ControlTask::await_proposal(const std::optional<Proposal>& proposal,
+                                 std::vector<SteeringCallback> callbacks,
+                                 PendingProposals::Subject subject) {
   const Instant now = monotonic_now();
   if (!proposal) {
     for (const auto& callback : callbacks) {
@@ -284,7 +285,7 @@
   }
   proposals_.add(
       {*proposal, std::move(callbacks), std::move(subject), now, now + config_.steering_timeout});
-  proposals_.answer(*node_, now);
+  proposals_.complete(*node_, now);
 }
 
 tl::expected<std::string, SteeringReply> ControlTask::read_steering() const {
@@ -317,47 +318,47 @@
 }
 
 bool ControlTask::send_shared(const Endpoint& to, const SharedNodeMessage& message) {
-  return network_.send(to, envelope_.seal(encoded(message)), is_replica(to));
+  return network_.send(to, envelope_.seal(encode_cached(message)), is_replica(to));
 }
 
 void ControlTask::on_update_retransmitted(const UpdateRetransmission& repeated) {
-  ++updates_repeated_;
+  ++updates_retransmitted_;
   log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(repeated.balancer)},
                                         {"confirmed", repeated.confirmed},
                                         {"sent", repeated.sent},
                                         {"has_gap", repeated.has_gap}});
 }
 
-const EncodedMessage& ControlTask::encoded(const SharedNodeMessage& message) {
-  const auto found = std::find_if(encoded_.begin(), encoded_.end(),
+const EncodedMessage& ControlTask::encode_cached(const SharedNodeMessage& message) {
+  const auto found = std::find_if(encoded_messages_.begin(), encoded_messages_.end(),
                                   [&](const auto& one) { return one.first == message; });
-  if (found != encoded_.end()) {
+  if (found != encoded_messages_.end()) {
     return found->second;
   }
-  if (encoded_.size() >= kEncodedMessages) {
-    encoded_.pop_front();
+  if (encoded_messages_.size() >= kMaxCachedMessages) {
+    encoded_messages_.pop_front();
   }
-  encoded_.emplace_back(message, encode_message(*message));
-  return encoded_.back().second;
+  encoded_messages_.emplace_back(message, encode_message(*message));
+  return encoded_messages_.back().second;
 }
 
-bool ControlTask::check(const StorageResult<void>& result) {
+bool ControlTask::check_write(const StorageResult<void>& result) {
   if (!result) {
     storage_damaged_ = result.error().kind != StorageErrorKind::kOperation;
-    if (!storage_refuses_) {
+    if (!storage_failing_) {
       log_event(LogEvent::kStorageRefuses, {{"error", result.error().message}});
     }
-  } else if (storage_refuses_) {
+  } else if (storage_failing_) {
     log_event(LogEvent::kStorageAcceptsAgain);
   }
-  storage_refuses_ = !result;
+  storage_failing_ = !result;
   return result.has_value();
 }
 
-bool ControlTask::append(const LogFrame& frame) { return check(store_.append(frame)); }
+bool ControlTask::append(const LogFrame& frame) { return check_write(store_.append(frame)); }
 
 bool ControlTask::replace_with_snapshot(const Snapshot& snapshot, const LogFrame& frame) {
-  return check(store_.replace_with_snapshot(snapshot, frame));
+  return check_write(store_.replace_with_snapshot(snapshot, frame));
 }
 
 }  // namespace gorsevalve
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -14,9 +14,9 @@
 #include "core/control/control_node.h"
 #include "storage/log_store.h"
 #include "tasks/event_loop.h"
-#include "tasks/forwarded_calls.h"
+#include "tasks/forwarded_requests.h"
 #include "tasks/frame_network.h"
-#include "tasks/waiting_proposals.h"
+#include "tasks/pending_proposals.h"
 
 namespace gorsevalve {
 
@@ -42,7 +42,7 @@
 
 /// Replicas that found a cluster: their identities follow from the cluster's name and their
 /// addresses.
-ReplicaSet founding_replicas(const std::string& cluster, const std::vector<Endpoint>& addresses);
+ReplicaSet initial_replica_set(const std::string& cluster, const std::vector<Endpoint>& addresses);
 
 class ControlTask : private ControlOutput, private ReplicaStorage {
  public:
@@ -57,14 +57,14 @@
                                                                       ControlTaskConfig config,
                                                                       Disk& disk);
 
-  /// Submits settings; calls back when they are decided, or with kPending after kDecisionTimeout.
+  /// Submits settings; calls back when they are decided, or with kPending after kSubmissionTimeout.
   void submit(SettingsCommand command, SubmissionCallback callback);
   [[nodiscard]] SubmissionResult outcome(const SubmissionId& id) const;
 
   /// Submits a whole steering file; the highest version holds.
   void submit_steering(const SteeringCommand& command, SteeringCallback callback);
   /// Evacuates a zone or takes it back; acknowledged once it is committed, or when it is in force.
-  void order_evacuation(const EvacuationCommand& command, SteeringCallback callback);
+  void submit_evacuation(const EvacuationCommand& command, SteeringCallback callback);
   /// A target announced itself.
   void announce(RegisteredTarget announced, SteeringCallback callback);
   /// A target said that it has ended; it may tell when that life started.
@@ -76,14 +76,14 @@
   /// Hands leadership over before a planned stop, and refuses everything from now on.
   void prepare_stop();
   [[nodiscard]] const ControlNode& node() const { return *node_; }
-  [[nodiscard]] std::uint64_t messages_refused() const { return messages_refused_; }
-  [[nodiscard]] std::uint64_t updates_repeated() const { return updates_repeated_; }
+  [[nodiscard]] std::uint64_t messages_rejected() const { return messages_rejected_; }
+  [[nodiscard]] std::uint64_t updates_retransmitted() const { return updates_retransmitted_; }
   [[nodiscard]] const FrameCounters& frames() const { return network_.counters(); }
 
-  static constexpr Duration kDecisionTimeout = std::chrono::seconds(5);
+  static constexpr Duration kSubmissionTimeout = std::chrono::seconds(5);
 
  private:
-  struct Waiting {
+  struct PendingSubmission {
     SubmissionId id;
     SubmissionCallback callback;
     Instant deadline;
@@ -94,31 +94,33 @@
   std::optional<Endpoint> on_frame(ByteView frame);
   void log_changes(Instant now);
   void on_tick();
-  void log_troubled_targets();
-  void answer_waiting(Instant now);
+  void log_unhealthy_targets();
+  void complete_submissions(Instant now);
   [[nodiscard]] SteeringReply not_leader() const;
-  void wait_for(const std::optional<Proposal>& proposal, std::vector<SteeringCallback> callbacks,
-                WaitingProposals::Subject subject);
+  void await_proposal(const std::optional<Proposal>& proposal,
+                      std::vector<SteeringCallback> callbacks, PendingProposals::Subject subject);
   /// Answers a call of a target, proposes what it said, passes it on, or keeps the call until there
   /// is a leader; `make_call` gives what makes the call anew, since most calls need no copy.
   template <typename Said, typename MakeCall>
-  void decide(AnnouncementStatus status, const Said& said, const SteeringCallback& callback,
-              Instant now, const MakeCall& make_call);
-  void queue_registration(const ForwardedCalls::Said& said, SteeringCallback callback);
-  /// Passes a call on to the leader; `decide_again` makes it anew.
-  void forward(ForwardedCalls::Said said, SteeringCallback callback,
+  void handle_target_request(AnnouncementStatus status, const Said& said,
+                             const SteeringCallback& callback, Instant now,
+                             const MakeCall& make_call);
+  void queue_registration(const ForwardedRequests::ForwardedChange& said,
+                          SteeringCallback callback);
+  /// Passes a call on to the leader; `retry` makes it anew.
+  void forward(ForwardedRequests::ForwardedChange said, SteeringCallback callback,
                std::function<void()> decide_again);
   void send_forwarded();
-  void answer_forwarded(Instant now);
+  void complete_forwarded(Instant now);
   /// True shortly after the start while no replica leads: then no other one can answer either.
   [[nodiscard]] bool awaits_first_leader(Instant now) const;
-  [[nodiscard]] bool may_hold_call(Instant now) const;
+  [[nodiscard]] bool may_buffer_request(Instant now) const;
   /// Decides about the calls of targets that came before there was a leader.
-  void decide_held_calls(Instant now);
+  void retry_buffered_requests(Instant now);
   void propose_registrations();
   /// Logs what targets said to this replica.
-  void log_said(const std::vector<RegisteredTarget>& announced,
-                const std::vector<TargetIncarnation>& ended) const;
+  void log_registrations(const std::vector<RegisteredTarget>& announced,
+                         const std::vector<TargetIncarnation>& ended) const;
   /// Logs that an announcement begins another life of a target that is known.
   void log_restart(const RegisteredTarget& announced) const;
 
@@ -127,12 +129,12 @@
   bool send_shared(const Endpoint& to, const SharedNodeMessage& message) override;
   void on_update_retransmitted(const UpdateRetransmission& repeated) override;
   [[nodiscard]] bool is_replica(const Endpoint& address) const;
-  const EncodedMessage& encoded(const SharedNodeMessage& message);
+  const EncodedMessage& encode_cached(const SharedNodeMessage& message);
   [[nodiscard]] bool append(const LogFrame& frame) override;
   [[nodiscard]] bool replace_with_snapshot(const Snapshot& snapshot,
                                            const LogFrame& frame) override;
   [[nodiscard]] bool can_retry() const override { return !storage_damaged_; }
-  bool check(const StorageResult<void>& result);
+  bool check_write(const StorageResult<void>& result);
 
   EventLoop& loop_;
   ControlTaskConfig config_;
@@ -141,27 +143,27 @@
   FrameNetwork network_;
   std::unique_ptr<ControlNode> node_;
   /// Messages that went to several peers, the latest last, with their encoded form.
-  std::deque<std::pair<SharedNodeMessage, EncodedMessage>> encoded_;
-  std::vector<Waiting> waiting_;
-  WaitingProposals proposals_;
+  std::deque<std::pair<SharedNodeMessage, EncodedMessage>> encoded_messages_;
+  std::vector<PendingSubmission> pending_submissions_;
+  PendingProposals proposals_;
   /// Registrations of this turn of the loop: they go into one entry.
   RegistrationCommand registrations_;
   std::vector<SteeringCallback> registration_callbacks_;
   /// Calls of targets that the leader decides about.
-  ForwardedCalls forwarded_;
-  bool is_forwarding_ = false;
+  ForwardedRequests forwarded_requests_;
+  bool forward_scheduled_ = false;
   /// Calls of targets that wait for the first leader since the start; each decides itself.
-  std::vector<std::function<void()>> held_calls_;
+  std::vector<std::function<void()>> buffered_requests_;
   Instant started_at_ = monotonic_now();
   bool storage_damaged_ = false;
-  bool storage_refuses_ = false;
+  bool storage_failing_ = false;
   bool stopping_ = false;
-  std::uint64_t messages_refused_ = 0;
-  std::uint64_t updates_repeated_ = 0;
+  std::uint64_t messages_rejected_ = 0;
+  std::uint64_t updates_retransmitted_ = 0;
   bool was_leader_ = false;
-  bool heard_leader_ = false;
+  bool had_leader_contact_ = false;
   ReplicaSet logged_replicas_;
-  std::vector<FlowToken> logged_troubled_;
+  std::vector<FlowToken> logged_unhealthy_;
   Instant last_tick_;
 };
 
--- a/src/tasks/control_task_targets.cc
+++ b/src/tasks/control_task_targets.cc
@@ -12,9 +12,9 @@
 /// that were refused would at once ask the next replica, which cannot answer either: their calls,
 /// several for each, kept the replicas from their election. Less than the second for which targets
 /// wait.
-constexpr Duration kFirstLeaderTime = std::chrono::milliseconds(800);
+constexpr Duration kFirstLeaderTimeout = std::chrono::milliseconds(800);
 /// Calls that wait at most; further ones are refused.
-constexpr std::size_t kMaxHeldCalls = 4096;
+constexpr std::size_t kMaxBufferedRequests = 4096;
 
 }  // namespace
 
@@ -22,8 +22,9 @@
   const Instant now = monotonic_now();
   const AnnouncementStatus status =
       stopping_ ? AnnouncementStatus::kNotLeader : node_->on_announcement(announced, now);
-  decide(status, announced, callback, now,
-         [&] { return [this, announced, callback] { announce(announced, callback); }; });
+  handle_target_request(status, announced, callback, now, [&] {
+    return [this, announced, callback] { announce(announced, callback); };
+  });
 }
 
 void ControlTask::end_target(TargetId id, std::optional<TargetStart> started_at_ms,
@@ -32,22 +33,23 @@
   const TargetIncarnation life = node_->incarnation_to_end(id, started_at_ms, unix_now_ms());
   const AnnouncementStatus status =
       stopping_ ? AnnouncementStatus::kNotLeader : node_->check_target_end(life, now);
-  decide(status, life, callback, now, [&] {
+  handle_target_request(status, life, callback, now, [&] {
     return [this, id, started_at_ms, callback] { end_target(id, started_at_ms, callback); };
   });
 }
 
 template <typename Said, typename MakeCall>
-void ControlTask::decide(AnnouncementStatus status, const Said& said,
-                         const SteeringCallback& callback, Instant now, const MakeCall& make_call) {
+void ControlTask::handle_target_request(AnnouncementStatus status, const Said& said,
+                                        const SteeringCallback& callback, Instant now,
+                                        const MakeCall& make_call) {
   if (status == AnnouncementStatus::kCommitted) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
   } else if (status == AnnouncementStatus::kPropose) {
     queue_registration(said, callback);
-  } else if (status == AnnouncementStatus::kForward && !forwarded_.is_full()) {
+  } else if (status == AnnouncementStatus::kForward && !forwarded_requests_.is_full()) {
     forward(said, callback, make_call());
-  } else if (status == AnnouncementStatus::kNotLeader && may_hold_call(now)) {
-    held_calls_.emplace_back(make_call());
+  } else if (status == AnnouncementStatus::kNotLeader && may_buffer_request(now)) {
+    buffered_requests_.emplace_back(make_call());
   } else {
     callback(not_leader());
   }
@@ -55,46 +57,47 @@
 
 bool ControlTask::awaits_first_leader(Instant now) const {
   const bool has_leader = node_->replica().is_leader() || node_->other_leader(now).has_value();
-  return !stopping_ && !has_leader && now - started_at_ < kFirstLeaderTime;
+  return !stopping_ && !has_leader && now - started_at_ < kFirstLeaderTimeout;
 }
 
-bool ControlTask::may_hold_call(Instant now) const {
-  return awaits_first_leader(now) && held_calls_.size() < kMaxHeldCalls;
+bool ControlTask::may_buffer_request(Instant now) const {
+  return awaits_first_leader(now) && buffered_requests_.size() < kMaxBufferedRequests;
 }
 
-void ControlTask::decide_held_calls(Instant now) {
-  if (held_calls_.empty() || awaits_first_leader(now)) {
+void ControlTask::retry_buffered_requests(Instant now) {
+  if (buffered_requests_.empty() || awaits_first_leader(now)) {
     return;
   }
-  for (const auto& call : std::exchange(held_calls_, {})) {
+  for (const auto& call : std::exchange(buffered_requests_, {})) {
     call();
   }
 }
 
-void ControlTask::forward(ForwardedCalls::Said said, SteeringCallback callback,
+void ControlTask::forward(ForwardedRequests::ForwardedChange said, SteeringCallback callback,
                           std::function<void()> decide_again) {
-  forwarded_.add(std::move(said), std::move(callback), std::move(decide_again),
-                 monotonic_now() + config_.steering_timeout);
+  forwarded_requests_.add(std::move(said), std::move(callback), std::move(decide_again),
+                          monotonic_now() + config_.steering_timeout);
   // What comes in one turn of the loop goes in one message.
-  if (!std::exchange(is_forwarding_, true)) {
+  if (!std::exchange(forward_scheduled_, true)) {
     loop_.post([this] { send_forwarded(); });
   }
 }
 
 void ControlTask::send_forwarded() {
-  is_forwarding_ = false;
-  const ForwardedRegistrations said = forwarded_.take_unsent();
-  log_said(said.announced, said.ended);
+  forward_scheduled_ = false;
+  const ForwardedRegistrations said = forwarded_requests_.take_unsent();
+  log_registrations(said.announced, said.ended);
   node_->forward(said);
 }
 
-void ControlTask::answer_forwarded(Instant now) {
-  forwarded_.answer(*node_, now);
+void ControlTask::complete_forwarded(Instant now) {
+  forwarded_requests_.complete(*node_, now);
   const Replica& replica = node_->replica();
-  forwarded_.follow_leader(replica.is_leader() ? config_.address : node_->other_leader(now));
+  forwarded_requests_.set_leader(replica.is_leader() ? config_.address : node_->other_leader(now));
 }
 
-void ControlTask::queue_registration(const ForwardedCalls::Said& said, SteeringCallback callback) {
+void ControlTask::queue_registration(const ForwardedRequests::ForwardedChange& said,
+                                     SteeringCallback callback) {
   if (const auto* announced = std::get_if<RegisteredTarget>(&said)) {
     registrations_.announced.push_back(*announced);
   } else {
@@ -108,13 +111,13 @@
 
 void ControlTask::propose_registrations() {
   const RegistrationCommand command = std::exchange(registrations_, {});
-  log_said(command.announced, command.ended);
-  wait_for(node_->propose(command, monotonic_now()), std::exchange(registration_callbacks_, {}),
-           std::monostate{});
+  log_registrations(command.announced, command.ended);
+  await_proposal(node_->propose(command, monotonic_now()),
+                 std::exchange(registration_callbacks_, {}), std::monostate{});
 }
 
-void ControlTask::log_said(const std::vector<RegisteredTarget>& announced,
-                           const std::vector<TargetIncarnation>& ended) const {
+void ControlTask::log_registrations(const std::vector<RegisteredTarget>& announced,
+                                    const std::vector<TargetIncarnation>& ended) const {
   for (const auto& target : announced) {
     log_event(LogEvent::kTargetAnnounced, {{"target", target.id},
                                            {"pool", target.pool},
--- a/src/tasks/dial_attempts.h
+++ b/src/tasks/dial_attempts.h
@@ -9,14 +9,16 @@
 namespace gorsevalve::dialling {
 
 /// Another attempt begins when the last one has taken this long.
-constexpr Duration kAgainAfter = std::chrono::milliseconds(50);
+constexpr Duration kNextAttemptDelay = std::chrono::milliseconds(50);
 /// Attempts go on for this long after the latest frame for the peer.
-constexpr Duration kKeepDialling = std::chrono::milliseconds(300);
+constexpr Duration kRetryWindow = std::chrono::milliseconds(300);
 /// An attempt is given up after this time.
-constexpr Duration kGivenUpAfter = std::chrono::milliseconds(900);
+constexpr Duration kAttemptTimeout = std::chrono::milliseconds(900);
 
 /// True when an attempt that began at `began` should not be waited for alone any more.
-constexpr bool wants_another(Instant began, Instant now) { return now - began >= kAgainAfter; }
-constexpr bool is_given_up(Instant began, Instant now) { return now - began >= kGivenUpAfter; }
+constexpr bool needs_another_attempt(Instant began, Instant now) {
+  return now - began >= kNextAttemptDelay;
+}
+constexpr bool has_timed_out(Instant began, Instant now) { return now - began >= kAttemptTimeout; }
 
 }  // namespace gorsevalve::dialling
--- a/src/tasks/event_loop.cc
+++ b/src/tasks/event_loop.cc
@@ -53,13 +53,13 @@
 };
 
 /// A message in the queue between threads.
-struct EventLoop::Letter {
+struct EventLoop::PostedAction {
   h2o_multithread_message_t message{};
   std::function<void()> action;
 };
 
 EventLoop::EventLoop() : loop_(h2o_evloop_create()), queue_(h2o_multithread_create_queue(loop_)) {
-  h2o_multithread_register_receiver(queue_, &receiver_, &EventLoop::on_letters);
+  h2o_multithread_register_receiver(queue_, &receiver_, &EventLoop::run_posted_actions);
 }
 
 EventLoop::~EventLoop() {
@@ -100,16 +100,17 @@
 }
 
 void EventLoop::post(std::function<void()> action) {
-  auto* letter = new Letter;
+  auto* letter = new PostedAction;
   letter->action = std::move(action);
   h2o_multithread_send_message(&receiver_, &letter->message);
 }
 
-void EventLoop::on_letters(h2o_multithread_receiver_t* /*receiver*/, h2o_linklist_t* messages) {
+void EventLoop::run_posted_actions(h2o_multithread_receiver_t* /*receiver*/,
+                                   h2o_linklist_t* messages) {
   while (!h2o_linklist_is_empty(messages)) {
     auto* message = H2O_STRUCT_FROM_MEMBER(h2o_multithread_message_t, link, messages->next);
     h2o_linklist_unlink(&message->link);
-    const std::unique_ptr<Letter> letter(reinterpret_cast<Letter*>(message));
+    const std::unique_ptr<PostedAction> letter(reinterpret_cast<PostedAction*>(message));
     letter->action();
   }
 }
--- a/src/tasks/event_loop.h
+++ b/src/tasks/event_loop.h
@@ -41,23 +41,23 @@
 
   /// Keeps something until the loop and its timers are gone: what h2o's lists of the loop lead to
   /// (timeouts, contexts) must outlive the owner of it.
-  void keep(std::shared_ptr<void> held) { kept_.push_back(std::move(held)); }
+  void retain(std::shared_ptr<void> held) { retained_.push_back(std::move(held)); }
   /// Timers that are held, those that have fired lately among them.
   [[nodiscard]] std::size_t timers() const { return timers_.size(); }
   [[nodiscard]] h2o_loop_t* raw() { return loop_; }
 
  private:
   struct Timer;
-  struct Letter;
+  struct PostedAction;
   void drop_finished_timers();
-  static void on_letters(h2o_multithread_receiver_t* receiver, h2o_linklist_t* messages);
+  static void run_posted_actions(h2o_multithread_receiver_t* receiver, h2o_linklist_t* messages);
 
   h2o_loop_t* loop_;
   h2o_multithread_queue_t* queue_;
   h2o_multithread_receiver_t receiver_{};
   std::atomic<bool> stopping_{false};
   /// Freed after the timers.
-  std::vector<std::shared_ptr<void>> kept_;
+  std::vector<std::shared_ptr<void>> retained_;
   std::vector<std::unique_ptr<Timer>> timers_;
 };
 
--- a/src/tasks/forwarded_calls.h
+++ b/src/tasks/forwarded_requests.h
@@ -9,39 +9,39 @@
 #include <vector>
 
 #include "core/control/control_node.h"
-#include "tasks/waiting_proposals.h"
+#include "tasks/pending_proposals.h"
 
 namespace gorsevalve {
 
-class ForwardedCalls {
+class ForwardedRequests {
  public:
   /// What a target said: something of itself, or that a life of it has ended.
-  using Said = std::variant<RegisteredTarget, TargetIncarnation>;
+  using ForwardedChange = std::variant<RegisteredTarget, TargetIncarnation>;
 
   /// Calls that wait at most; further ones are sent to the leader.
-  static constexpr std::size_t kMaxWaiting = 4096;
+  static constexpr std::size_t kMaxPending = 4096;
 
-  [[nodiscard]] bool is_full() const { return waiting_.size() >= kMaxWaiting; }
-  /// Keeps a call until it is decided; `decide_again` is what to do with it when the leader
+  [[nodiscard]] bool is_full() const { return pending_.size() >= kMaxPending; }
+  /// Keeps a call until it is decided; `retry` is what to do with it when the leader
   /// changes.
-  void add(Said said, SteeringCallback callback, std::function<void()> decide_again,
+  void add(ForwardedChange said, SteeringCallback callback, std::function<void()> decide_again,
            Instant deadline);
   /// What has been added since the last call, to be sent to the leader.
   [[nodiscard]] ForwardedRegistrations take_unsent();
   /// Answers calls that the committed state holds by now, and those whose deadline has passed.
-  void answer(const ControlNode& node, Instant now);
+  void complete(const ControlNode& node, Instant now);
   /// What was sent to an earlier leader may be lost: calls are decided anew when another one leads.
-  void follow_leader(const std::optional<Endpoint>& leader);
+  void set_leader(const std::optional<Endpoint>& leader);
 
  private:
-  struct Waiting {
-    Said said;
+  struct PendingRequest {
+    ForwardedChange change;
     SteeringCallback callback;
-    std::function<void()> decide_again;
+    std::function<void()> retry;
     Instant deadline;
   };
 
-  std::vector<Waiting> waiting_;
+  std::vector<PendingRequest> pending_;
   ForwardedRegistrations unsent_;
   std::optional<Endpoint> leader_;
   /// The revision that the calls were last held against.
--- a/src/tasks/frame_network.cc
+++ b/src/tasks/frame_network.cc
@@ -19,19 +19,19 @@
 
 constexpr std::size_t kLengthSize = 4;
 /// Octets that may wait on one connection.
-constexpr std::size_t kMaxWaiting = 2 * kMaxEnvelopeSize;
+constexpr std::size_t kMaxQueuedBytes = 2 * kMaxEnvelopeSize;
 /// Share of the process's descriptors that peers' connections may take: beside those of callers, it
 /// leaves a tenth for connections of our own and for files.
 constexpr double kDescriptorShare = 0.35;
 /// A connection over which frames went for this long without anything coming back is given up: a
 /// peer behind a cut, or without power, says nothing.
-constexpr Duration kSilentAfter = std::chrono::milliseconds(1500);
+constexpr Duration kReplyTimeout = std::chrono::milliseconds(1500);
 /// How long the kernel keeps sending to a peer that acknowledges nothing.
 constexpr unsigned kUserTimeoutMs = 2000;
 /// Pause between two lines about dropped frames: a peer that is gone costs one for each message.
 constexpr Duration kDropLogInterval = std::chrono::seconds(1);
 /// Looks at idle connections in the time after which they are closed.
-constexpr int kIdleChecks = 4;
+constexpr int kIdleChecksPerTimeout = 4;
 
 void set_user_timeout(h2o_socket_t* socket) {
   const int descriptor = h2o_socket_get_fd(socket);
@@ -40,7 +40,7 @@
   ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-Bytes with_length(const Bytes& frame) {
+Bytes add_length_prefix(const Bytes& frame) {
   const std::uint32_t length = htonl(static_cast<std::uint32_t>(frame.size()));
   Bytes out(kLengthSize);
   std::memcpy(out.data(), &length, kLengthSize);
@@ -60,30 +60,30 @@
   /// When the attempt to connect began.
   Instant dialled_at;
   std::optional<Endpoint> peer;
-  WaitingFrames waiting;
+  FrameQueue queue;
   bool writing = false;
   bool is_accepted = false;
   /// When a frame came last, or the connection began.
-  Instant heard_at;
+  Instant last_received_at;
   /// When the first frame went that nothing came back after.
   std::optional<Instant> unanswered_since;
 };
 
-void FrameNetwork::WaitingFrames::push(Bytes frame, Instant now) {
-  size += frame.size();
+void FrameNetwork::FrameQueue::push(Bytes frame, Instant now) {
+  total_bytes += frame.size();
   frames.push_back(std::move(frame));
-  latest_at = now;
+  last_queued_at = now;
 }
 
-void FrameNetwork::WaitingFrames::pop() {
-  size -= frames.front().size();
+void FrameNetwork::FrameQueue::pop() {
+  total_bytes -= frames.front().size();
   frames.pop_front();
 }
 
-void FrameNetwork::WaitingFrames::append(WaitingFrames later) {
+void FrameNetwork::FrameQueue::append(FrameQueue later) {
   std::move(later.frames.begin(), later.frames.end(), std::back_inserter(frames));
-  size += later.size;
-  latest_at = std::max(latest_at, later.latest_at);
+  total_bytes += later.total_bytes;
+  last_queued_at = std::max(last_queued_at, later.last_queued_at);
 }
 
 FrameNetwork::FrameNetwork(EventLoop& loop, Receiver receiver, Duration idle_timeout)
@@ -96,7 +96,7 @@
 }
 
 tl::expected<void, std::string> FrameNetwork::listen(const Endpoint& address) {
-  auto listener = Listener::open(loop_, address, connections_for_share(kDescriptorShare),
+  auto listener = Listener::open(loop_, address, max_connections_for_share(kDescriptorShare),
                                  [this](h2o_socket_t* socket) { on_accepted(socket); });
   if (!listener) {
     return tl::unexpected(listener.error());
@@ -107,7 +107,7 @@
 }
 
 void FrameNetwork::on_accepted(h2o_socket_t* socket) {
-  Connection* connection = adopt(socket);
+  Connection* connection = add_connection(socket);
   connection->connected = true;
   connection->is_accepted = true;
   h2o_socket_read_start(socket, [](h2o_socket_t* raw, const char* error) {
@@ -116,11 +116,11 @@
   });
 }
 
-FrameNetwork::Connection* FrameNetwork::adopt(h2o_socket_t* socket) {
+FrameNetwork::Connection* FrameNetwork::add_connection(h2o_socket_t* socket) {
   auto connection = std::make_unique<Connection>();
   connection->network = this;
   connection->socket = socket;
-  connection->heard_at = monotonic_now();
+  connection->last_received_at = monotonic_now();
   socket->data = connection.get();
   set_user_timeout(socket);
   connections_.push_back(std::move(connection));
@@ -138,54 +138,54 @@
   if (socket == nullptr) {
     return;
   }
-  Connection* connection = adopt(socket);
+  Connection* connection = add_connection(socket);
   connection->peer = to;
   connection->dialled_at = monotonic_now();
   by_peer_[to] = connection;
-  dial_again_later(to);
+  schedule_redial(to);
 }
 
-void FrameNetwork::dial_again_later(const Endpoint& to) {
-  loop_.after(dialling::kAgainAfter, [this, to, lives = std::weak_ptr<bool>(lives_)] {
+void FrameNetwork::schedule_redial(const Endpoint& to) {
+  loop_.after(dialling::kNextAttemptDelay, [this, to, lives = std::weak_ptr<bool>(alive_)] {
     if (!lives.expired()) {
-      dial_again(to);
+      redial(to);
     }
   });
 }
 
-void FrameNetwork::dial_again(const Endpoint& to) {
+void FrameNetwork::redial(const Endpoint& to) {
   const Instant now = monotonic_now();
   const auto found = by_peer_.find(to);
   Connection* latest = found == by_peer_.end() ? nullptr : found->second;
   if (latest != nullptr &&
-      (latest->connected || !dialling::wants_another(latest->dialled_at, now))) {
-    refused_.erase(to);
+      (latest->connected || !dialling::needs_another_attempt(latest->dialled_at, now))) {
+    redial_queues_.erase(to);
     return;
   }
-  WaitingFrames& waiting = latest == nullptr ? refused_[to] : latest->waiting;
-  WaitingFrames frames;
-  if (!waiting.frames.empty() && now - waiting.latest_at <= dialling::kKeepDialling) {
+  FrameQueue& waiting = latest == nullptr ? redial_queues_[to] : latest->queue;
+  FrameQueue frames;
+  if (!waiting.frames.empty() && now - waiting.last_queued_at <= dialling::kRetryWindow) {
     frames = std::exchange(waiting, {});
   }
-  refused_.erase(to);
+  redial_queues_.erase(to);
   if (frames.frames.empty()) {
     return;
   }
-  give_up_attempts(to, now);
+  close_expired_attempts(to, now);
   dial(to);
   // The latest attempt has all frames; an earlier one that comes through takes them over.
   if (const auto dialled = by_peer_.find(to); dialled != by_peer_.end()) {
-    dialled->second->waiting = std::move(frames);
+    dialled->second->queue = std::move(frames);
   }
 }
 
 void FrameNetwork::on_connected(Connection& connection, const char* error) {
   if (error != nullptr) {
-    on_refused(connection);
+    on_connect_failed(connection);
     return;
   }
   connection.connected = true;
-  take_over(connection);
+  replace_later_attempt(connection);
   h2o_socket_read_start(connection.socket, [](h2o_socket_t* socket, const char* read_error) {
     auto* found = static_cast<Connection*>(socket->data);
     found->network->on_read(*found, read_error);
@@ -193,23 +193,23 @@
   write_next(connection);
 }
 
-void FrameNetwork::on_refused(Connection& connection) {
+void FrameNetwork::on_connect_failed(Connection& connection) {
   const Endpoint peer = *connection.peer;
   const auto latest = by_peer_.find(peer);
   if (latest != by_peer_.end() && latest->second == &connection) {
-    refused_[peer] = std::move(connection.waiting);
-    dial_again_later(peer);
+    redial_queues_[peer] = std::move(connection.queue);
+    schedule_redial(peer);
   }
   close(connection);
 }
 
 void FrameNetwork::on_read(Connection& connection, const char* error) {
-  if (error != nullptr || !take_frames(connection)) {
+  if (error != nullptr || !read_frames(connection)) {
     close(connection);
   }
 }
 
-bool FrameNetwork::take_frames(Connection& connection) {
+bool FrameNetwork::read_frames(Connection& connection) {
   while (connection.socket->input->size >= kLengthSize) {
     const auto* bytes = reinterpret_cast<const std::uint8_t*>(connection.socket->input->bytes);
     std::uint32_t length = 0;
@@ -224,7 +224,7 @@
     const Bytes frame(bytes + kLengthSize, bytes + kLengthSize + length);
     h2o_buffer_consume(&connection.socket->input, kLengthSize + length);
     connection.unanswered_since.reset();
-    connection.heard_at = monotonic_now();
+    connection.last_received_at = monotonic_now();
     const std::optional<Endpoint> sender = receiver_(frame);
     if (!sender) {
       return false;
@@ -254,12 +254,12 @@
   }
   Connection& connection = *found;
   connection.unanswered_since = connection.unanswered_since.value_or(now);
-  if (connection.waiting.size + frame.size() > kMaxWaiting) {
-    ++counters_.dropped_when_full;
+  if (connection.queue.total_bytes + frame.size() > kMaxQueuedBytes) {
+    ++counters_.dropped_queue_full;
     log_drop(to, "full");
     return false;
   }
-  connection.waiting.push(with_length(frame), now);
+  connection.queue.push(add_length_prefix(frame), now);
   write_next(connection);
   return true;
 }
@@ -270,14 +270,14 @@
     return nullptr;
   }
   Connection& connection = *found->second;
-  if (!connection.connected && dialling::wants_another(connection.dialled_at, now)) {
-    give_up_attempts(to, now);
+  if (!connection.connected && dialling::needs_another_attempt(connection.dialled_at, now)) {
+    close_expired_attempts(to, now);
     return nullptr;
   }
-  if (connection.unanswered_since && now - *connection.unanswered_since > kSilentAfter) {
-    ++counters_.connections_given_up;
+  if (connection.unanswered_since && now - *connection.unanswered_since > kReplyTimeout) {
+    ++counters_.connections_timed_out;
     log_event(LogEvent::kConnectionGivenUp,
-              {{"peer", to_string(to)}, {"frames_waiting", connection.waiting.frames.size()}});
+              {{"peer", to_string(to)}, {"frames_waiting", connection.queue.frames.size()}});
     close(connection);
     return nullptr;
   }
@@ -293,14 +293,14 @@
   log_event(LogEvent::kFramesDropped,
             {{"peer", to_string(to)},
              {"reason", reason},
-             {"dropped", counters_.dropped_without_connection + counters_.dropped_when_full}});
+             {"dropped", counters_.dropped_without_connection + counters_.dropped_queue_full}});
 }
 
-void FrameNetwork::give_up_attempts(const Endpoint& to, Instant now) {
+void FrameNetwork::close_expired_attempts(const Endpoint& to, Instant now) {
   std::vector<Connection*> expired;
   for (const auto& connection : connections_) {
     const bool is_attempt = !connection->connected && connection->peer == to;
-    if (is_attempt && dialling::is_given_up(connection->dialled_at, now)) {
+    if (is_attempt && dialling::has_timed_out(connection->dialled_at, now)) {
       expired.push_back(connection.get());
     }
   }
@@ -313,7 +313,7 @@
   const Instant now = monotonic_now();
   std::vector<Connection*> idle;
   for (const auto& connection : connections_) {
-    if (connection->is_accepted && now - connection->heard_at >= idle_timeout_) {
+    if (connection->is_accepted && now - connection->last_received_at >= idle_timeout_) {
       idle.push_back(connection.get());
     }
   }
@@ -321,18 +321,18 @@
     ++counters_.idle_closed;
     close(*connection);
   }
-  loop_.after(idle_timeout_ / kIdleChecks, [this, lives = std::weak_ptr<bool>(lives_)] {
+  loop_.after(idle_timeout_ / kIdleChecksPerTimeout, [this, lives = std::weak_ptr<bool>(alive_)] {
     if (!lives.expired()) {
       close_idle();
     }
   });
 }
 
-void FrameNetwork::take_over(Connection& connection) {
+void FrameNetwork::replace_later_attempt(Connection& connection) {
   Connection*& present = by_peer_[*connection.peer];
   if (present != nullptr && present != &connection && !present->connected) {
     // What waits there is later than what waits here.
-    connection.waiting.append(std::move(present->waiting));
+    connection.queue.append(std::move(present->queue));
     Connection* later = std::exchange(present, &connection);
     close(*later);
   }
@@ -341,7 +341,7 @@
   }
 }
 
-void FrameNetwork::drop(const Endpoint& peer) {
+void FrameNetwork::disconnect(const Endpoint& peer) {
   const auto found = by_peer_.find(peer);
   if (found != by_peer_.end()) {
     close(*found->second);
@@ -349,11 +349,11 @@
 }
 
 void FrameNetwork::write_next(Connection& connection) {
-  if (!connection.connected || connection.writing || connection.waiting.frames.empty()) {
+  if (!connection.connected || connection.writing || connection.queue.frames.empty()) {
     return;
   }
   connection.writing = true;
-  Bytes& frame = connection.waiting.frames.front();
+  Bytes& frame = connection.queue.frames.front();
   h2o_iovec_t part = h2o_iovec_init(frame.data(), frame.size());
   h2o_socket_write(connection.socket, &part, 1, [](h2o_socket_t* socket, const char* error) {
     auto* written = static_cast<Connection*>(socket->data);
@@ -363,7 +363,7 @@
       return;
     }
     written->writing = false;
-    written->waiting.pop();
+    written->queue.pop();
     network->write_next(*written);
   });
 }
@@ -381,7 +381,7 @@
   if (closed_.size() > 1) {
     return;
   }
-  loop_.after(Duration::zero(), [this, lives = std::weak_ptr<bool>(lives_)] {
+  loop_.after(Duration::zero(), [this, lives = std::weak_ptr<bool>(alive_)] {
     if (!lives.expired()) {
       closed_.clear();
     }
--- a/src/tasks/frame_network.h
+++ b/src/tasks/frame_network.h
@@ -24,8 +24,8 @@
 /// What became of frames and connections since the start.
 struct FrameCounters {
   std::uint64_t dropped_without_connection = 0;
-  std::uint64_t dropped_when_full = 0;
-  std::uint64_t connections_given_up = 0;
+  std::uint64_t dropped_queue_full = 0;
+  std::uint64_t connections_timed_out = 0;
   /// Accepted connections that were closed since nothing came over them.
   std::uint64_t idle_closed = 0;
 };
@@ -55,34 +55,34 @@
   bool send(const Endpoint& to, const Bytes& frame, bool may_dial);
 
   /// Closes the connection to a peer, if there is one.
-  void drop(const Endpoint& peer);
+  void disconnect(const Endpoint& peer);
 
   [[nodiscard]] const FrameCounters& counters() const { return counters_; }
 
  private:
   struct Connection;
   /// Frames that wait for a connection.
-  struct WaitingFrames {
+  struct FrameQueue {
     std::deque<Bytes> frames;
-    std::size_t size = 0;
+    std::size_t total_bytes = 0;
     /// When the latest one came.
-    Instant latest_at;
+    Instant last_queued_at;
 
     void push(Bytes frame, Instant now);
     void pop();
     /// Appends later frames.
-    void append(WaitingFrames later);
+    void append(FrameQueue later);
   };
 
   void on_accepted(h2o_socket_t* socket);
   void dial(const Endpoint& to);
   /// Dials again, a moment later, while frames wait that are not old.
-  void dial_again_later(const Endpoint& to);
-  void dial_again(const Endpoint& to);
-  Connection* adopt(h2o_socket_t* socket);
+  void schedule_redial(const Endpoint& to);
+  void redial(const Endpoint& to);
+  Connection* add_connection(h2o_socket_t* socket);
   void on_connected(Connection& connection, const char* error);
   /// Nobody listens at the peer's address.
-  void on_refused(Connection& connection);
+  void on_connect_failed(Connection& connection);
   void on_read(Connection& connection, const char* error);
   void write_next(Connection& connection);
   /// Ends a connection for good; it is freed in a later turn of the loop, since a caller up the
@@ -93,12 +93,12 @@
   Connection* find_live(const Endpoint& to, Instant now);
   /// Writes a line about a dropped frame, at most one for each kDropLogInterval.
   void log_drop(const Endpoint& to, std::string_view reason);
-  void give_up_attempts(const Endpoint& to, Instant now);
+  void close_expired_attempts(const Endpoint& to, Instant now);
   /// Closes accepted connections that have been idle for too long, again and again.
   void close_idle();
   /// An earlier attempt came through: it takes over from a later one.
-  void take_over(Connection& connection);
-  [[nodiscard]] bool take_frames(Connection& connection);
+  void replace_later_attempt(Connection& connection);
+  [[nodiscard]] bool read_frames(Connection& connection);
 
   EventLoop& loop_;
   Receiver receiver_;
@@ -110,11 +110,11 @@
   /// The connection, or the latest attempt to connect, of each peer.
   std::map<Endpoint, Connection*> by_peer_;
   /// Frames for peers whose latest attempt was refused.
-  std::map<Endpoint, WaitingFrames> refused_;
+  std::map<Endpoint, FrameQueue> redial_queues_;
   FrameCounters counters_;
   Instant drop_logged_at_;
   /// Timers outlive the network; they hold this weakly.
-  std::shared_ptr<bool> lives_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/http_client.cc
+++ b/src/tasks/http_client.cc
@@ -85,7 +85,7 @@
 
 HttpClient::HttpClient(EventLoop& loop, Duration timeout)
     : internals_(std::make_shared<Internals>()) {
-  loop.keep(internals_);
+  loop.retain(internals_);
   const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count();
   h2o_timeout_init(loop.raw(), &internals_->timeout, static_cast<std::uint64_t>(milliseconds));
   internals_->queue = h2o_multithread_create_queue(loop.raw());
--- a/src/tasks/http_server.cc
+++ b/src/tasks/http_server.cc
@@ -14,14 +14,14 @@
 std::string to_string(const h2o_iovec_t& text) { return {text.base, text.len}; }
 
 /// Lives in the request's memory pool: tells the server when the request is gone.
-struct Ticket {
-  std::map<HttpServer::RequestNumber, h2o_req_t*>* waiting;
+struct RequestTracker {
+  std::map<HttpServer::RequestNumber, h2o_req_t*>* pending;
   HttpServer::RequestNumber number;
 };
 
-void on_ticket_disposed(void* raw) {
-  auto* ticket = static_cast<Ticket*>(raw);
-  ticket->waiting->erase(ticket->number);
+void on_request_disposed(void* raw) {
+  auto* ticket = static_cast<RequestTracker*>(raw);
+  ticket->pending->erase(ticket->number);
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
   };
   Handler* handler = nullptr;
   /// Requests that wait for their answers.
-  std::map<RequestNumber, h2o_req_t*> waiting;
+  std::map<RequestNumber, h2o_req_t*> pending;
   h2o_globalconf_t config{};
   h2o_context_t context{};
   h2o_accept_ctx_t accept{};
@@ -49,9 +49,9 @@
                                                                         Handler handler) {
   std::unique_ptr<HttpServer> server(new HttpServer(std::move(handler)));
   Internals& internals = *server->internals_;
-  loop.keep(server->internals_);
+  loop.retain(server->internals_);
   h2o_config_init(&internals.config);
-  internals.config.max_request_entity_size = kMaxBody;
+  internals.config.max_request_entity_size = kMaxBodySize;
   h2o_hostconf_t* host =
       h2o_config_register_host(&internals.config, h2o_iovec_init(H2O_STRLIT("default")), 65535);
   h2o_pathconf_t* path = h2o_config_register_path(host, "/", 0);
@@ -68,7 +68,7 @@
   internals.accept.ctx = &internals.context;
   internals.accept.hosts = internals.config.hosts;
   auto listener =
-      Listener::open(loop, address, connections_for_share(kDescriptorShare),
+      Listener::open(loop, address, max_connections_for_share(kDescriptorShare),
                      [&internals](h2o_socket_t* socket) { h2o_accept(&internals.accept, socket); });
   if (!listener) {
     return tl::unexpected(listener.error());
@@ -90,7 +90,7 @@
   HttpRequest copy;
   copy.method = to_string(request->method);
   copy.path = to_string(request->path_normalized);
-  copy.sent_path = to_string(request->path);
+  copy.raw_path = to_string(request->path);
   if (request->query_at != SIZE_MAX) {
     copy.query = to_string(request->path).substr(request->query_at + 1);
   }
@@ -100,16 +100,16 @@
     copy.authorization = to_string(request->headers.entries[header].value);
   }
   const RequestNumber number = ++last_number_;
-  auto* ticket = static_cast<Ticket*>(
-      h2o_mem_alloc_shared(&request->pool, sizeof(Ticket), &on_ticket_disposed));
-  *ticket = {&internals_->waiting, number};
-  internals_->waiting[number] = request;
+  auto* ticket = static_cast<RequestTracker*>(
+      h2o_mem_alloc_shared(&request->pool, sizeof(RequestTracker), &on_request_disposed));
+  *ticket = {&internals_->pending, number};
+  internals_->pending[number] = request;
   handler_(number, copy);
   return 0;
 }
 
 void HttpServer::respond(RequestNumber number, const HttpResponse& response) {
-  auto& waiting = internals_->waiting;
+  auto& waiting = internals_->pending;
   const auto found = waiting.find(number);
   if (found == waiting.end()) {
     return;
--- a/src/tasks/http_server.h
+++ b/src/tasks/http_server.h
@@ -18,7 +18,7 @@
   /// Path without the query, decoded.
   std::string path;
   /// Path as it was sent, with the query: what a redirect repeats.
-  std::string sent_path;
+  std::string raw_path;
   std::string query;
   std::string body;
   /// Value of the Authorization header, or "".
@@ -40,7 +40,7 @@
   using Handler = std::function<void(RequestNumber, const HttpRequest&)>;
 
   /// Largest request body, in octets.
-  static constexpr std::size_t kMaxBody = 5U << 20U;
+  static constexpr std::size_t kMaxBodySize = 5U << 20U;
 
   /// Listens at an address. The error names the address.
   static tl::expected<std::unique_ptr<HttpServer>, std::string> open(EventLoop& loop,
--- a/src/tasks/listener.cc
+++ b/src/tasks/listener.cc
@@ -16,16 +16,16 @@
 namespace {
 
 /// Used when the limit on descriptors cannot be read: the usual one of a Linux process.
-constexpr rlim_t kUsualDescriptors = 1024;
+constexpr rlim_t kDefaultDescriptorLimit = 1024;
 /// Pause between two lines in the log: at the bound, each connection that closes lets one in.
 constexpr Duration kPauseLogInterval = std::chrono::seconds(1);
 
 }  // namespace
 
-std::size_t connections_for_share(double share) {
+std::size_t max_connections_for_share(double share) {
   rlimit limit{};
   const bool is_known = ::getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY;
-  const rlim_t descriptors = is_known ? limit.rlim_cur : kUsualDescriptors;
+  const rlim_t descriptors = is_known ? limit.rlim_cur : kDefaultDescriptorLimit;
   const auto connections = static_cast<std::size_t>(static_cast<double>(descriptors) * share);
   return std::max<std::size_t>(connections, 1);
 }
@@ -80,14 +80,14 @@
     errno = 0;
     h2o_socket_t* accepted = h2o_evloop_socket_accept(socket_);
     if (accepted != nullptr) {
-      take(accepted);
+      on_accepted(accepted);
       continue;
     }
     const bool has_no_descriptor = errno == EMFILE || errno == ENFILE || errno == ENOMEM;
     if (has_no_descriptor) {
       // The socket stays readable: asking at once again and again would use up the processor.
       pause();
-      loop_.after(kPause, [weak = std::weak_ptr<State>(state_)] {
+      loop_.after(kRetryDelay, [weak = std::weak_ptr<State>(state_)] {
         const auto state = weak.lock();
         if (state != nullptr && state->listener != nullptr) {
           state->listener->resume();
@@ -112,10 +112,10 @@
 
 void Listener::log_pause() {
   const Instant now = monotonic_now();
-  if (now - logged_at_ < kPauseLogInterval) {
+  if (now - pause_logged_at_ < kPauseLogInterval) {
     return;
   }
-  logged_at_ = now;
+  pause_logged_at_ = now;
   log_event(LogEvent::kAcceptingPaused, {{"connections", state_->connections},
                                          {"most_connections", max_connections_},
                                          {"pauses", pauses_}});
@@ -128,7 +128,7 @@
   }
 }
 
-void Listener::take(h2o_socket_t* accepted) {
+void Listener::on_accepted(h2o_socket_t* accepted) {
   ++state_->connections;
   accepted->on_close.cb = &Listener::on_connection_closed;
   accepted->on_close.data = new std::shared_ptr<State>(state_);
--- a/src/tasks/listener.h
+++ b/src/tasks/listener.h
@@ -16,7 +16,7 @@
 
 /// Connections that one listener may hold when it gets this share of the descriptors that the
 /// process may open.
-std::size_t connections_for_share(double share);
+std::size_t max_connections_for_share(double share);
 
 class Listener {
  public:
@@ -24,7 +24,7 @@
   using Acceptor = std::function<void(h2o_socket_t*)>;
 
   /// Pause before accepting is tried again when there was no descriptor.
-  static constexpr Duration kPause = std::chrono::milliseconds(100);
+  static constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 
   /// The error names the address. `max_connections` counts those that are not closed.
   static tl::expected<std::unique_ptr<Listener>, std::string> open(EventLoop& loop,
@@ -52,7 +52,7 @@
   void pause();
   void resume();
   void log_pause();
-  void take(h2o_socket_t* accepted);
+  void on_accepted(h2o_socket_t* accepted);
   static void on_connection_closed(void* raw);
 
   EventLoop& loop_;
@@ -62,7 +62,7 @@
   std::shared_ptr<State> state_ = std::make_shared<State>();
   bool is_paused_ = false;
   std::uint64_t pauses_ = 0;
-  Instant logged_at_;
+  Instant pause_logged_at_;
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/log.cc
+++ b/src/tasks/log.cc
@@ -71,12 +71,12 @@
   return line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
 }
 
-std::size_t write_without_waiting(std::string_view text) {
+std::size_t write_nonblocking(std::string_view text) {
   const ssize_t written = ::write(STDOUT_FILENO, text.data(), text.size());
   return written < 0 ? 0 : static_cast<std::size_t>(written);
 }
 
-std::string dropped_line(const DroppedLines& dropped) {
+std::string format_dropped_lines(const DroppedLines& dropped) {
   return make_line(info_of(LogEvent::kLogLinesDropped),
                    {{"routine", dropped[static_cast<std::size_t>(LogClass::kRoutine)]},
                     {"state", dropped[static_cast<std::size_t>(LogClass::kState)]}}) +
@@ -86,7 +86,7 @@
 /// The queue to the standard output, shared by all threads of the process.
 struct StandardOutput {
   std::mutex mutex;
-  LogWriter writer{write_without_waiting, dropped_line};
+  LogWriter writer{write_nonblocking, format_dropped_lines};
 };
 
 StandardOutput& standard_output() {
@@ -95,7 +95,7 @@
 }
 
 /// Class of the line that this thread is about to write.
-thread_local LogClass class_of_line = LogClass::kState;
+thread_local LogClass current_log_class = LogClass::kState;
 
 }  // namespace
 
@@ -122,7 +122,7 @@
     line += '\n';
     StandardOutput& output = standard_output();
     const std::lock_guard<std::mutex> lock(output.mutex);
-    output.writer.offer(std::move(line), class_of_line);
+    output.writer.offer(std::move(line), current_log_class);
   }
 };
 
@@ -138,8 +138,9 @@
 /// Counts the lines of routine events within a second.
 class RateLimit {
  public:
-  /// True when the line may be written; `left_out` then holds how many were not since the last one.
-  bool allows(LogEvent event, std::uint64_t& left_out) {
+  /// True when the line may be written; `suppressed` then holds how many were not since the last
+  /// one.
+  bool allow(LogEvent event, std::uint64_t& left_out) {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(
                             std::chrono::steady_clock::now().time_since_epoch())
                             .count();
@@ -150,11 +151,11 @@
       state.written = 0;
     }
     if (state.written >= kRoutineLinesPerSecond) {
-      ++state.left_out;
+      ++state.suppressed;
       return false;
     }
     ++state.written;
-    left_out = std::exchange(state.left_out, 0);
+    left_out = std::exchange(state.suppressed, 0);
     return true;
   }
 
@@ -162,7 +163,7 @@
   struct State {
     std::int64_t second = 0;
     std::uint64_t written = 0;
-    std::uint64_t left_out = 0;
+    std::uint64_t suppressed = 0;
   };
   std::mutex mutex_;
   std::array<State, kLogEvents.size()> states_{};
@@ -201,10 +202,10 @@
   const log4cxx::LevelPtr native = to_level(info.level);
   std::uint64_t left_out = 0;
   if (!logger->isEnabledFor(native) ||
-      (info.log_class == LogClass::kRoutine && !rate_limit().allows(event, left_out))) {
+      (info.log_class == LogClass::kRoutine && !rate_limit().allow(event, left_out))) {
     return;
   }
-  class_of_line = info.log_class;
+  current_log_class = info.log_class;
   if (left_out == 0) {
     LOG4CXX_LOG(logger, native, make_line(info, fields));
     return;
--- a/src/tasks/log_events.h
+++ b/src/tasks/log_events.h
@@ -16,7 +16,7 @@
   /// What the process believes or promised: kept as long as anything is.
   kState = 1,
 };
-constexpr std::size_t kLogClasses = 2;
+constexpr std::size_t kLogClassCount = 2;
 
 enum class LogEvent : std::uint8_t {
   kStarting,
--- a/src/tasks/log_writer.cc
+++ b/src/tasks/log_writer.cc
@@ -7,20 +7,20 @@
 
 void LogWriter::count_dropped(LogClass log_class) {
   ++dropped_[static_cast<std::size_t>(log_class)];
-  ++untold_[static_cast<std::size_t>(log_class)];
+  ++unreported_[static_cast<std::size_t>(log_class)];
 }
 
 void LogWriter::drop_routine_lines(std::size_t needed) {
   // The first line may be half written: it stays.
-  auto at = waiting_.begin();
-  if (at != waiting_.end() && written_ > 0) {
+  auto at = queue_.begin();
+  if (at != queue_.end() && head_written_ > 0) {
     ++at;
   }
-  while (at != waiting_.end() && waiting_octets_ + needed > kMaxWaiting) {
+  while (at != queue_.end() && queued_bytes_ + needed > kMaxQueuedBytes) {
     if (at->log_class == LogClass::kRoutine) {
-      waiting_octets_ -= at->line.size();
+      queued_bytes_ -= at->line.size();
       count_dropped(at->log_class);
-      at = waiting_.erase(at);
+      at = queue_.erase(at);
     } else {
       ++at;
     }
@@ -29,39 +29,39 @@
 
 void LogWriter::offer(std::string line, LogClass log_class) {
   flush();
-  if (waiting_octets_ + line.size() > kMaxWaiting && log_class != LogClass::kRoutine) {
+  if (queued_bytes_ + line.size() > kMaxQueuedBytes && log_class != LogClass::kRoutine) {
     drop_routine_lines(line.size());
   }
-  if (waiting_octets_ + line.size() > kMaxWaiting) {
+  if (queued_bytes_ + line.size() > kMaxQueuedBytes) {
     count_dropped(log_class);
     return;
   }
-  waiting_octets_ += line.size();
-  waiting_.push_back({std::move(line), log_class});
-  write_waiting();
+  queued_bytes_ += line.size();
+  queue_.push_back({std::move(line), log_class});
+  write_queued();
 }
 
-void LogWriter::write_waiting() {
-  while (!waiting_.empty()) {
-    const std::string_view rest = std::string_view(waiting_.front().line).substr(written_);
+void LogWriter::write_queued() {
+  while (!queue_.empty()) {
+    const std::string_view rest = std::string_view(queue_.front().line).substr(head_written_);
     const std::size_t taken = std::min(sink_(rest), rest.size());
-    written_ += taken;
+    head_written_ += taken;
     if (taken < rest.size()) {
       return;
     }
-    waiting_octets_ -= waiting_.front().line.size();
-    waiting_.pop_front();
-    written_ = 0;
+    queued_bytes_ -= queue_.front().line.size();
+    queue_.pop_front();
+    head_written_ = 0;
   }
 }
 
 void LogWriter::flush() {
-  write_waiting();
-  if (waiting_.empty() && untold_ != DroppedLines{}) {
-    std::string line = dropped_line_(std::exchange(untold_, DroppedLines{}));
-    waiting_octets_ += line.size();
-    waiting_.push_back({std::move(line), LogClass::kState});
-    write_waiting();
+  write_queued();
+  if (queue_.empty() && unreported_ != DroppedLines{}) {
+    std::string line = format_dropped_(std::exchange(unreported_, DroppedLines{}));
+    queued_bytes_ += line.size();
+    queue_.push_back({std::move(line), LogClass::kState});
+    write_queued();
   }
 }
 
--- a/src/tasks/metrics.cc
+++ b/src/tasks/metrics.cc
@@ -30,9 +30,9 @@
   samples.back().reason = "state";
 }
 
-void add_frames(std::vector<MetricSample>& samples, const FrameCounters& frames) {
+void add_frame_metrics(std::vector<MetricSample>& samples, const FrameCounters& frames) {
   samples.push_back(counter("connections_given_up", "Connections without an answer for long",
-                            frames.connections_given_up));
+                            frames.connections_timed_out));
   samples.push_back(counter("connections_idle_closed",
                             "Accepted connections over which nothing came for long",
                             frames.idle_closed));
@@ -40,7 +40,7 @@
                             frames.dropped_without_connection));
   samples.back().reason = "no_connection";
   samples.push_back(counter("frames_dropped", "Messages to peers that were dropped, by reason",
-                            frames.dropped_when_full));
+                            frames.dropped_queue_full));
   samples.back().reason = "full";
 }
 
@@ -51,7 +51,7 @@
   return sample;
 }
 
-void add_link(std::vector<MetricSample>& samples, const LinkShaper& link) {
+void add_link_metrics(std::vector<MetricSample>& samples, const LinkShaper& link) {
   const LinkScheduler& scheduler = link.scheduler();
   const BulkAdmission& admission = link.admission();
   const LinkCounters& counters = scheduler.counters();
@@ -85,7 +85,7 @@
   const SteeringCounters& counters = task.counters();
   std::vector<MetricSample> samples = {
       counter("datagrams_malformed", "Datagrams dropped as malformed", counters.malformed),
-      counter("messages_refused", "Messages that were not authentic", counters.messages_refused),
+      counter("messages_refused", "Messages that were not authentic", counters.messages_rejected),
       counter("updates_refused", "Updates that did not follow the revision in force",
               counters.updates_refused),
       counter("resets", "Flows that callers were told of at once", counters.resets),
@@ -127,8 +127,8 @@
         counter("packets_decided", "Packets by how they were decided", counters.packets[i]));
     samples.back().reason = to_string(static_cast<SteeringReason>(i));
   }
-  add_link(samples, task.link());
-  add_frames(samples, task.frames());
+  add_link_metrics(samples, task.link());
+  add_frame_metrics(samples, task.frames());
   add_dropped_log_lines(samples);
   return samples;
 }
@@ -151,9 +151,10 @@
             static_cast<double>(node.state().fleet().steering.evacuated_zones.size())),
       gauge("balancers_served", "Balancers that get updates from here",
             static_cast<double>(node.balancers_served())),
-      counter("updates_repeated", "Updates that went to a balancer again", task.updates_repeated()),
+      counter("updates_repeated", "Updates that went to a balancer again",
+              task.updates_retransmitted()),
   };
-  add_frames(samples, task.frames());
+  add_frame_metrics(samples, task.frames());
   add_dropped_log_lines(samples);
   return samples;
 }
--- a/src/tasks/waiting_proposals.cc
+++ b/src/tasks/pending_proposals.cc
@@ -1,4 +1,4 @@
-#include "tasks/waiting_proposals.h"
+#include "tasks/pending_proposals.h"
 
 #include <algorithm>
 #include <iterator>
@@ -9,8 +9,8 @@
 namespace gorsevalve {
 namespace {
 
-void log_decision(const WaitingProposals::Waiting& waiting, const ControlNode& node, bool committed,
-                  Instant now) {
+void log_decision(const PendingProposals::PendingProposal& waiting, const ControlNode& node,
+                  bool committed, Instant now) {
   nlohmann::json fields = {{"index", waiting.proposal.index},
                            {"term", waiting.proposal.term},
                            {"outcome", committed ? "acknowledged" : "unknown"},
@@ -30,9 +30,9 @@
 
 }  // namespace
 
-void WaitingProposals::answer(const ControlNode& node, Instant now) {
-  std::vector<Waiting> still_waiting;
-  for (auto& waiting : std::exchange(waiting_, {})) {
+void PendingProposals::complete(const ControlNode& node, Instant now) {
+  std::vector<PendingProposal> still_waiting;
+  for (auto& waiting : std::exchange(pending_, {})) {
     const ProposalStatus status = node.status(waiting.proposal);
     if (status == ProposalStatus::kPending && now < waiting.deadline) {
       still_waiting.push_back(std::move(waiting));
@@ -45,8 +45,8 @@
     }
   }
   // A callback may have proposed more.
-  std::move(waiting_.begin(), waiting_.end(), std::back_inserter(still_waiting));
-  waiting_ = std::move(still_waiting);
+  std::move(pending_.begin(), pending_.end(), std::back_inserter(still_waiting));
+  pending_ = std::move(still_waiting);
 }
 
 }  // namespace gorsevalve
--- a/src/tasks/waiting_proposals.h
+++ b/src/tasks/pending_proposals.h
@@ -32,12 +32,12 @@
 
 using SteeringCallback = std::function<void(const SteeringReply&)>;
 
-class WaitingProposals {
+class PendingProposals {
  public:
   /// What an entry is about, for the log: an operator's file, an evacuation, or registrations.
   using Subject = std::variant<std::monostate, OperatorVersion, EvacuationCommand>;
 
-  struct Waiting {
+  struct PendingProposal {
     Proposal proposal;
     std::vector<SteeringCallback> callbacks;
     Subject subject;
@@ -45,12 +45,12 @@
     Instant deadline;
   };
 
-  void add(Waiting waiting) { waiting_.push_back(std::move(waiting)); }
+  void add(PendingProposal waiting) { pending_.push_back(std::move(waiting)); }
   /// Answers the callers of all entries that are decided by now, or whose deadline has passed.
-  void answer(const ControlNode& node, Instant now);
+  void complete(const ControlNode& node, Instant now);
 
  private:
-  std::vector<Waiting> waiting_;
+  std::vector<PendingProposal> pending_;
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
-#include "tasks/following_log.h"
 #include "tasks/log.h"
+#include "tasks/subscription_log.h"
 
 namespace gorsevalve {
 namespace {
@@ -15,22 +15,22 @@
 /// Tick while the first state is awaited.
 constexpr Duration kStartTickInterval = milliseconds(100);
 /// Timers count milliseconds.
-constexpr Duration kLeastWait = milliseconds(1);
+constexpr Duration kMinTimerDelay = milliseconds(1);
 constexpr ControlClientTiming kControlTiming{milliseconds(500), milliseconds(800),
                                              kStartTickInterval};
 /// Routers need this long to turn away; after it a stop waits for silence only.
-constexpr Duration kTurnAwayTime = milliseconds(1500);
-constexpr Duration kSilenceBeforeStop = milliseconds(700);
+constexpr Duration kRouterDrainTime = milliseconds(1500);
+constexpr Duration kIdleTimeBeforeStop = milliseconds(700);
 /// Pause between two reports of something urgent: what many callers meet at once goes together.
-constexpr Duration kUrgentPause = milliseconds(20);
+constexpr Duration kUrgentReportInterval = milliseconds(20);
 /// Age of the state that is worth a line: three pauses between heartbeats.
-constexpr Duration kUnconfirmedLogged = milliseconds(1500);
+constexpr Duration kUnconfirmedLogThreshold = milliseconds(1500);
 
 }  // namespace
 
 tl::expected<std::unique_ptr<SteeringTask>, std::string> SteeringTask::open(
     EventLoop& loop, SteeringTaskConfig config, const PacketFormat& format) {
-  auto socket = UdpSocket::open(loop, config.datagrams);
+  auto socket = UdpSocket::open(loop, config.datagram_address);
   if (!socket) {
     return tl::unexpected(socket.error());
   }
@@ -54,20 +54,20 @@
       steering_(config_.self.incarnation, config_.self.zone, config_.policy),
       control_(config_.self, config_.control, {}, *this),
       network_(loop, [this](ByteView frame) { return on_frame(frame); }),
-      held_(config_.policy),
-      link_(config_.link_octets_per_s),
+      buffered_(config_.policy),
+      link_(config_.link_bytes_per_s),
       prober_(loop, [this](std::uint64_t number, ProbeAnswer answer) {
         steering_.on_probe_answer(number, answer, monotonic_now());
-        probe_soon(monotonic_now());
+        probe_if_needed(monotonic_now());
         if (steering_.has_refused_probe()) {
-          report_soon();
+          schedule_report();
         }
       }) {
   control_.set_timing(kControlTiming);
 }
 
 bool SteeringTask::is_ready() const {
-  return !stop_since_ && steering_.has_settings() && control_.has_been_current();
+  return !shutdown_started_at_ && steering_.has_settings() && control_.has_been_current();
 }
 
 void SteeringTask::tick_until_ready() {
@@ -78,10 +78,10 @@
   loop_.after(kStartTickInterval, [this] { tick_until_ready(); });
 }
 
-void SteeringTask::begin_stop() {
-  stop_since_ = monotonic_now();
+void SteeringTask::begin_shutdown() {
+  shutdown_started_at_ = monotonic_now();
   steering_.stop_observing();
-  last_packet_ = *stop_since_;
+  last_packet_at_ = *shutdown_started_at_;
   log_event(LogEvent::kStopping, {{"flows", steering_.flows()}});
 }
 
@@ -91,55 +91,55 @@
     ++counters_.malformed;
     return;
   }
-  last_packet_ = now;
+  last_packet_at_ = now;
   const FrontendView* frontend =
       link_.model().is_rate_known() ? steering_.frontend(packet->flow.frontend) : nullptr;
   const LinkDecision verdict = link_.on_packet(*packet, datagram.size(), frontend, now);
   if (verdict != LinkDecision::kForward) {
     if (verdict == LinkDecision::kReject) {
-      refuse_for_want_of_room(*packet);
+      reject_for_full_link(*packet);
     }
     return;
   }
   if (!decide(*packet, datagram, now)) {
-    held_.hold(*packet, datagram, now);
+    buffered_.hold(*packet, datagram, now);
   }
-  if (steering_.is_probing() && !steps_probes_) {
-    look_after_targets(now);
+  if (steering_.is_probing() && !probe_step_scheduled_) {
+    check_reachability(now);
   }
   if (packet->opens) {
-    check_expectations_later(now);
+    schedule_reply_check(now);
   }
 }
 
-void SteeringTask::check_expectations(Instant now) {
+void SteeringTask::check_reply_timeouts(Instant now) {
   steering_.check_reply_timeouts(now);
-  probe_soon(now);
+  probe_if_needed(now);
   if (steering_.has_refused_probe()) {
-    report_soon();
+    schedule_report();
   }
-  check_expectations_later(now);
+  schedule_reply_check(now);
 }
 
-void SteeringTask::probe_soon(Instant now) {
-  if (steering_.is_probing() && steps_probes_) {
+void SteeringTask::probe_if_needed(Instant now) {
+  if (steering_.is_probing() && probe_step_scheduled_) {
     // What is due now does not wait for the next step.
     send_probes(now);
   } else if (steering_.is_probing()) {
-    look_after_targets(now);
+    check_reachability(now);
   }
 }
 
-void SteeringTask::check_expectations_later(Instant now) {
+void SteeringTask::schedule_reply_check(Instant now) {
   const std::optional<Instant> next = steering_.next_reply_deadline();
-  if (checks_later_ || !next) {
+  if (reply_check_scheduled_ || !next) {
     return;
   }
-  checks_later_ = true;
-  const Duration wait = std::max<Duration>(*next - now, kLeastWait);
+  reply_check_scheduled_ = true;
+  const Duration wait = std::max<Duration>(*next - now, kMinTimerDelay);
   loop_.after(wait, [this] {
-    checks_later_ = false;
-    check_expectations(monotonic_now());
+    reply_check_scheduled_ = false;
+    check_reply_timeouts(monotonic_now());
   });
 }
 
@@ -174,9 +174,9 @@
   }
 }
 
-void SteeringTask::look_after_targets(Instant now) {
+void SteeringTask::check_reachability(Instant now) {
   send_probes(now);
-  judge_zone_paths(now);
+  check_zone_paths(now);
   const std::vector<UnreachableTarget> unreachable = steering_.evaluate_reachability(now);
   for (const auto& one : unreachable) {
     on_unreachable(one);
@@ -186,27 +186,27 @@
   }
   if (!unreachable.empty()) {
     socket_->flush();
-    report_soon();
+    schedule_report();
   }
-  if (steering_.is_probing() && !steps_probes_) {
-    steps_probes_ = true;
-    loop_.after(TargetReachability::kStepInterval, [this] { step_probes(); });
+  if (steering_.is_probing() && !probe_step_scheduled_) {
+    probe_step_scheduled_ = true;
+    loop_.after(TargetReachability::kStepInterval, [this] { on_probe_step(); });
   }
 }
 
-void SteeringTask::report_soon() {
+void SteeringTask::schedule_report() {
   // Others with flows there should look for themselves soon. The control client may be up the
   // stack, with an answer that it has not noted yet: it goes on in the next turn.
-  if (reports_soon_) {
+  if (report_scheduled_) {
     return;
   }
-  reports_soon_ = true;
+  report_scheduled_ = true;
   const auto report = [this] {
-    reports_soon_ = false;
-    reported_at_ = monotonic_now();
-    control_.on_tick(0, reported_at_);
+    report_scheduled_ = false;
+    last_report_at_ = monotonic_now();
+    control_.on_tick(0, last_report_at_);
   };
-  const Duration rest = reported_at_ + kUrgentPause - monotonic_now();
+  const Duration rest = last_report_at_ + kUrgentReportInterval - monotonic_now();
   if (rest > Duration::zero()) {
     loop_.after(rest, report);
   } else {
@@ -214,9 +214,9 @@
   }
 }
 
-void SteeringTask::step_probes() {
-  steps_probes_ = false;
-  look_after_targets(monotonic_now());
+void SteeringTask::on_probe_step() {
+  probe_step_scheduled_ = false;
+  check_reachability(monotonic_now());
 }
 
 void SteeringTask::on_unreachable(const UnreachableTarget& unreachable) {
@@ -232,7 +232,7 @@
              {"flows_reset", resets.size()}});
 }
 
-void SteeringTask::judge_zone_paths(Instant now) {
+void SteeringTask::check_zone_paths(Instant now) {
   const std::vector<ZonePathChange> changes =
       steering_.evaluate_zone_paths(link_.model().is_congested(now), now);
   const std::vector<FlowReset> resets = steering_.reset_flows_to_unreachable_zones(now);
@@ -252,29 +252,30 @@
     socket_->flush();
   }
   if (!changes.empty()) {
-    report_soon();
+    schedule_report();
   }
 }
 
 void SteeringTask::on_target_health(const std::vector<TargetHealth>& figures) {
   const Instant now = monotonic_now();
   steering_.set_target_health(figures, now);
-  look_after_targets(now);
+  check_reachability(now);
 }
 
 void SteeringTask::on_refusing(const RefusingTargets& refusing, Instant now) {
   steering_.on_refusing(refusing, now);
-  probe_soon(now);
+  probe_if_needed(now);
   log_event(LogEvent::kTargetsRefusing,
             {{"zone", refusing.zone}, {"targets", refusing.targets.size()}});
 }
 
-void SteeringTask::release_held(Instant now) {
-  if (held_.size() == 0) {
+void SteeringTask::release_buffered(Instant now) {
+  if (buffered_.size() == 0) {
     return;
   }
-  held_.release(steering_, now,
-                [&](const BufferedPacket& held) { return decide(held.packet, held.bytes, now); });
+  buffered_.release(steering_, now, [&](const BufferedPacket& held) {
+    return decide(held.packet, held.bytes, now);
+  });
   socket_->flush();
 }
 
@@ -295,7 +296,7 @@
 std::optional<Endpoint> SteeringTask::on_frame(ByteView frame) {
   const auto opened = envelope_.open(frame);
   if (!opened || opened->kind != MessageKind::kNode) {
-    ++counters_.messages_refused;
+    ++counters_.messages_rejected;
     return std::nullopt;
   }
   control_.on_message(opened->sender, std::get<NodeMessage>(opened->message), monotonic_now());
@@ -307,23 +308,24 @@
   steering_.on_tick(now);
   prober_.on_tick(now);
   link_.on_tick(now);
-  look_after_targets(now);
+  check_reachability(now);
   control_.on_tick(0, now);
   log_warm_up(now);
-  log_freshness(now);
+  log_state_age(now);
   flush_log();
   if (is_ready() != was_ready_) {
     was_ready_ = !was_ready_;
     log_event(was_ready_ ? LogEvent::kReady : LogEvent::kNotReady,
               {{"revision", control_.fleet().revision}});
   }
-  if (!stop_since_) {
+  if (!shutdown_started_at_) {
     return;
   }
-  const bool turned_away = now - *stop_since_ > kTurnAwayTime;
-  const bool silent = now - last_packet_ > kSilenceBeforeStop;
+  const bool turned_away = now - *shutdown_started_at_ > kRouterDrainTime;
+  const bool silent = now - last_packet_at_ > kIdleTimeBeforeStop;
   const bool has_sent_all = link_.scheduler().queued_packets() == 0;
-  if ((turned_away && silent && has_sent_all) || now - *stop_since_ > config_.stop_time) {
+  if ((turned_away && silent && has_sent_all) ||
+      now - *shutdown_started_at_ > config_.shutdown_timeout) {
     log_event(LogEvent::kStopped);
     loop_.stop();
   }
@@ -335,11 +337,11 @@
 
 void SteeringTask::on_replica_silent(const Endpoint& replica) {
   log_replica_silent(replica);
-  network_.drop(replica);
+  network_.disconnect(replica);
 }
 
 void SteeringTask::on_updates_overdue(const Endpoint& replica, Revision revisions) {
-  log_behind(replica, revisions, control_.fleet().revision);
+  log_updates_overdue(replica, revisions, control_.fleet().revision);
 }
 
 void SteeringTask::on_replica_chosen(const Endpoint& replica, Revision held) {
@@ -377,13 +379,13 @@
                                      {"cold", steering_.warm_up().size()}});
 }
 
-void SteeringTask::log_freshness(Instant now) {
+void SteeringTask::log_state_age(Instant now) {
   const Duration age = state_age(now);
-  const bool is_unconfirmed = age > kUnconfirmedLogged;
-  if (is_unconfirmed == told_unconfirmed_ || !control_.confirmed_at()) {
+  const bool is_unconfirmed = age > kUnconfirmedLogThreshold;
+  if (is_unconfirmed == logged_unconfirmed_ || !control_.confirmed_at()) {
     return;
   }
-  told_unconfirmed_ = is_unconfirmed;
+  logged_unconfirmed_ = is_unconfirmed;
   const auto replica = control_.replica();
   log_event(is_unconfirmed ? LogEvent::kStateUnconfirmed : LogEvent::kStateConfirmedAgain,
             {{"replica", replica ? to_string(*replica) : "searching"},
@@ -411,9 +413,9 @@
   log_event(LogEvent::kRevisionInForce, {{"revision", fleet.revision},
                                          {"operator_version", fleet.steering.settings.version},
                                          {"targets", fleet.steering.targets.size()},
-                                         {"held_packets", held_.size()}});
+                                         {"held_packets", buffered_.size()}});
   log_evacuations(fleet);
-  release_held(now);
+  release_buffered(now);
 }
 
 void SteeringTask::log_evacuations(const FleetState& fleet) {
@@ -436,8 +438,8 @@
 void SteeringTask::on_confirmed(Instant now) {
   steering_.confirm(now);
   log_event(LogEvent::kRevisionConfirmed,
-            {{"revision", control_.fleet().revision}, {"held_packets", held_.size()}});
-  release_held(now);
+            {{"revision", control_.fleet().revision}, {"held_packets", buffered_.size()}});
+  release_buffered(now);
 }
 
 }  // namespace gorsevalve
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -41,15 +41,15 @@
 struct SteeringTaskConfig {
   /// `member.address` names this process to the control replicas.
   Member self;
-  Endpoint datagrams;
+  Endpoint datagram_address;
   std::vector<Endpoint> control;
   std::string cluster;
   ClusterKeys keys;
   SteeringPolicy policy;
   /// Rate of the machine's link each way, in octets per second; 0 when it is not known.
-  double link_octets_per_s = 0;
+  double link_bytes_per_s = 0;
   /// How long a planned stop may take.
-  Duration stop_time = std::chrono::milliseconds(5000);
+  Duration shutdown_timeout = std::chrono::milliseconds(5000);
 };
 
 /// Counters since the start, by the reason of each decision.
@@ -57,7 +57,7 @@
   std::uint64_t malformed = 0;
   std::array<std::uint64_t, kSteeringReasons> packets{};
   std::uint64_t resets = 0;
-  std::uint64_t messages_refused = 0;
+  std::uint64_t messages_rejected = 0;
   std::uint64_t updates_refused = 0;
 };
 
@@ -72,7 +72,7 @@
   /// newest state confirmed them, and no stop is under way.
   [[nodiscard]] bool is_ready() const;
   /// Begins a planned stop: not ready any more, forwards until packets cease, then ends the loop.
-  void begin_stop();
+  void begin_shutdown();
   void set_control_seeds(const std::vector<Endpoint>& seeds) { control_.set_seeds(seeds); }
   [[nodiscard]] const SteeringCounters& counters() const { return counters_; }
   [[nodiscard]] const FlowSteering& steering() const { return steering_; }
@@ -92,32 +92,32 @@
   /// Forwards or resets; false when nothing can be decided yet.
   bool decide(const ClientPacket& packet, ByteView datagram, Instant now);
   /// Refuses a flow that the machine's link has no room for.
-  void refuse_for_want_of_room(const ClientPacket& packet);
+  void reject_for_full_link(const ClientPacket& packet);
   /// Sends a packet to its target, or keeps it until the link has room for it.
   void forward(const ClientPacket& packet, ByteView datagram, const RegisteredTarget& target,
                Instant now);
   /// Sends what waits for the link and may leave now.
-  void send_due(Instant now);
-  void send_due_later(Instant now);
+  void send_queued(Instant now);
+  void schedule_send(Instant now);
   /// Writes a line while packets have to wait, at most one for each kLinkLogInterval.
-  void log_busy_link(Duration waited, Instant now);
+  void log_queueing_delay(Duration waited, Instant now);
   void send_reset(const FlowReset& reset);
   void send_probes(Instant now);
   /// Sends probes that are due, also between two steps.
-  void probe_soon(Instant now);
+  void probe_if_needed(Instant now);
   /// Probes targets that seem dead, each few milliseconds while there are any.
-  void look_after_targets(Instant now);
-  void step_probes();
+  void check_reachability(Instant now);
+  void on_probe_step();
   /// Reports to the chosen replica in the next turn, or after the pause between two such reports.
-  void report_soon();
+  void schedule_report();
   /// Looks at what should have been followed by something, and does so again when more is due.
-  void check_expectations(Instant now);
-  void check_expectations_later(Instant now);
+  void check_reply_timeouts(Instant now);
+  void schedule_reply_check(Instant now);
   void on_unreachable(const UnreachableTarget& unreachable);
   /// Concludes about paths to zones, and ends the flows into those that are cut off.
-  void judge_zone_paths(Instant now);
+  void check_zone_paths(Instant now);
   /// Gives held packets again, since more is known now.
-  void release_held(Instant now);
+  void release_buffered(Instant now);
   std::optional<Endpoint> on_frame(ByteView frame);
   void on_tick();
   /// Asks the replicas more often until the first state is confirmed.
@@ -150,7 +150,7 @@
   /// Tells which targets turned cold, and what those that are warm now took from here.
   void log_warm_up(Instant now);
   /// Tells when the state in force has not been confirmed for long, and when it is again.
-  void log_freshness(Instant now);
+  void log_state_age(Instant now);
 
   EventLoop& loop_;
   SteeringTaskConfig config_;
@@ -160,21 +160,21 @@
   ControlClient control_;
   FrameNetwork network_;
   std::unique_ptr<UdpSocket> socket_;
-  BufferedPackets held_;
+  BufferedPackets buffered_;
   LinkShaper link_;
-  bool sends_later_ = false;
+  bool send_scheduled_ = false;
   Instant link_logged_at_;
   TargetProber prober_;
-  bool steps_probes_ = false;
-  bool checks_later_ = false;
-  bool reports_soon_ = false;
-  Instant reported_at_;
+  bool probe_step_scheduled_ = false;
+  bool reply_check_scheduled_ = false;
+  bool report_scheduled_ = false;
+  Instant last_report_at_;
   SteeringCounters counters_;
-  Instant last_packet_;
-  std::optional<Instant> stop_since_;
+  Instant last_packet_at_;
+  std::optional<Instant> shutdown_started_at_;
   bool was_ready_ = false;
   Instant started_at_ = monotonic_now();
-  bool told_unconfirmed_ = false;
+  bool logged_unconfirmed_ = false;
   std::vector<EvacuatedZone> logged_evacuations_;
 };
 
--- a/src/tasks/steering_task_link.cc
+++ b/src/tasks/steering_task_link.cc
@@ -11,14 +11,14 @@
 using std::chrono::milliseconds;
 
 /// A wait that is worth a line: a quarter of the time after which senders repeat.
-constexpr Duration kWaitLogged = milliseconds(50);
+constexpr Duration kQueueingDelayLogThreshold = milliseconds(50);
 constexpr Duration kLinkLogInterval = std::chrono::seconds(1);
 /// Timers of the event loop count in milliseconds.
-constexpr Duration kLeastPause = milliseconds(1);
+constexpr Duration kMinSendDelay = milliseconds(1);
 
 }  // namespace
 
-void SteeringTask::refuse_for_want_of_room(const ClientPacket& packet) {
+void SteeringTask::reject_for_full_link(const ClientPacket& packet) {
   log_event(LogEvent::kFlowDecision,
             {{"flow", to_string(packet.flow.client) + ">" + to_string(packet.flow.frontend)},
              {"reason", "link_full"},
@@ -39,25 +39,25 @@
     const PacketDeadlines patience =
         LinkShaper::packet_deadlines(steering_.frontend(packet.flow.frontend), packet.opens);
     out = link_.scheduler().enqueue(packet, target.address, size, patience, now);
-    send_due_later(now);
+    schedule_send(now);
   }
   if (!out.empty()) {
     format_.write_forwarded(datagram, target, out);
   }
 }
 
-void SteeringTask::send_due(Instant now) {
+void SteeringTask::send_queued(Instant now) {
   while (const auto due = link_.scheduler().dequeue(now)) {
     socket_->send(due->to, due->bytes);
-    if (due->queueing_delay > kWaitLogged) {
-      log_busy_link(due->queueing_delay, now);
+    if (due->queueing_delay > kQueueingDelayLogThreshold) {
+      log_queueing_delay(due->queueing_delay, now);
     }
   }
   socket_->flush();
-  send_due_later(now);
+  schedule_send(now);
 }
 
-void SteeringTask::log_busy_link(Duration waited, Instant now) {
+void SteeringTask::log_queueing_delay(Duration waited, Instant now) {
   if (now - link_logged_at_ < kLinkLogInterval) {
     return;
   }
@@ -76,15 +76,15 @@
              {"dropped_as_given_up", counters.dropped_expired}});
 }
 
-void SteeringTask::send_due_later(Instant now) {
+void SteeringTask::schedule_send(Instant now) {
   const auto turn = link_.scheduler().next_dequeue_at();
-  if (!turn || sends_later_) {
+  if (!turn || send_scheduled_) {
     return;
   }
-  sends_later_ = true;
-  loop_.after(std::max(*turn - now, kLeastPause), [this] {
-    sends_later_ = false;
-    send_due(monotonic_now());
+  send_scheduled_ = true;
+  loop_.after(std::max(*turn - now, kMinSendDelay), [this] {
+    send_scheduled_ = false;
+    send_queued(monotonic_now());
   });
 }
 
--- a/src/tasks/submission_body.cc
+++ b/src/tasks/submission_body.cc
@@ -34,8 +34,9 @@
       return tl::unexpected(std::string(field) + ": must be a string");
     }
   }
-  if (submission.id.empty() || submission.id.size() > kMaxSubmissionId) {
-    return tl::unexpected("id: needs 1 to " + std::to_string(kMaxSubmissionId) + " characters");
+  if (submission.id.empty() || submission.id.size() > kMaxSubmissionIdLength) {
+    return tl::unexpected("id: needs 1 to " + std::to_string(kMaxSubmissionIdLength) +
+                          " characters");
   }
   const auto base = body.find("base_revision");
   if (base == body.end() || !base->is_number_unsigned()) {
--- a/src/tasks/submission_body.h
+++ b/src/tasks/submission_body.h
@@ -18,7 +18,7 @@
 };
 
 /// Longest submission id, in characters.
-constexpr std::size_t kMaxSubmissionId = 128;
+constexpr std::size_t kMaxSubmissionIdLength = 128;
 
 /// Reads a JSON body. The error names the field that is missing or of a wrong type.
 tl::expected<SubmissionBody, std::string> parse_submission_body(const std::string& body);
--- a/src/tasks/following_log.cc
+++ b/src/tasks/subscription_log.cc
@@ -1,4 +1,4 @@
-#include "tasks/following_log.h"
+#include "tasks/subscription_log.h"
 
 #include "tasks/log.h"
 
@@ -13,7 +13,7 @@
   log_event(LogEvent::kReplicaSilent, {{"replica", to_string(replica)}});
 }
 
-void log_behind(const Endpoint& replica, Revision behind, Revision in_force) {
+void log_updates_overdue(const Endpoint& replica, Revision behind, Revision in_force) {
   log_event(LogEvent::kRevisionsBehind,
             {{"replica", to_string(replica)}, {"revision", in_force}, {"behind", behind}});
 }
--- a/src/tasks/following_log.h
+++ b/src/tasks/subscription_log.h
@@ -10,7 +10,7 @@
 
 void log_replica_chosen(const Endpoint& replica, Revision held, Revision in_force);
 void log_replica_silent(const Endpoint& replica);
-void log_behind(const Endpoint& replica, Revision behind, Revision in_force);
+void log_updates_overdue(const Endpoint& replica, Revision behind, Revision in_force);
 void log_update_refused(const RefusedUpdate& refused, Revision in_force);
 
 }  // namespace gorsevalve
--- a/src/tasks/udp_socket.cc
+++ b/src/tasks/udp_socket.cc
@@ -13,22 +13,22 @@
 namespace gorsevalve {
 namespace {
 
-constexpr int kSocketBuffer = 4 << 20;
+constexpr int kSocketBufferSize = 4 << 20;
 /// Batches read in one turn before other events get theirs.
 constexpr int kBatchesPerTurn = 8;
 
 }  // namespace
 
 struct UdpSocket::Buffers {
-  std::array<std::array<std::uint8_t, kMaxDatagram>, kBatch> in{};
-  std::array<iovec, kBatch> in_parts{};
-  std::array<sockaddr_in, kBatch> in_addresses{};
-  std::array<mmsghdr, kBatch> in_headers{};
-
-  std::array<std::array<std::uint8_t, kMaxDatagram>, kBatch> out{};
-  std::array<iovec, kBatch> out_parts{};
-  std::array<sockaddr_in, kBatch> out_addresses{};
-  std::array<mmsghdr, kBatch> out_headers{};
+  std::array<std::array<std::uint8_t, kMaxDatagram>, kBatchSize> in{};
+  std::array<iovec, kBatchSize> in_parts{};
+  std::array<sockaddr_in, kBatchSize> in_addresses{};
+  std::array<mmsghdr, kBatchSize> in_headers{};
+
+  std::array<std::array<std::uint8_t, kMaxDatagram>, kBatchSize> out{};
+  std::array<iovec, kBatchSize> out_parts{};
+  std::array<sockaddr_in, kBatchSize> out_addresses{};
+  std::array<mmsghdr, kBatchSize> out_headers{};
   std::size_t out_count = 0;
 };
 
@@ -38,8 +38,8 @@
   if (descriptor < 0) {
     return tl::unexpected(std::string("socket: ") + std::strerror(errno));
   }
-  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &kSocketBuffer, sizeof(kSocketBuffer));
-  ::setsockopt(descriptor, SOL_SOCKET, SO_SNDBUF, &kSocketBuffer, sizeof(kSocketBuffer));
+  ::setsockopt(descriptor, SOL_SOCKET, SO_RCVBUF, &kSocketBufferSize, sizeof(kSocketBufferSize));
+  ::setsockopt(descriptor, SOL_SOCKET, SO_SNDBUF, &kSocketBufferSize, sizeof(kSocketBufferSize));
   const sockaddr_in raw = to_sockaddr(address);
   if (::bind(descriptor, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) != 0) {
     const std::string message = "bind " + to_string(address) + ": " + std::strerror(errno);
@@ -72,7 +72,7 @@
 void UdpSocket::on_readable() {
   Buffers& buffers = *buffers_;
   for (int turn = 0; turn < kBatchesPerTurn; ++turn) {
-    for (std::size_t i = 0; i < kBatch; ++i) {
+    for (std::size_t i = 0; i < kBatchSize; ++i) {
       buffers.in_parts[i] = {buffers.in[i].data(), kMaxDatagram};
       buffers.in_headers[i] = {};
       buffers.in_headers[i].msg_hdr.msg_iov = &buffers.in_parts[i];
@@ -80,7 +80,7 @@
       buffers.in_headers[i].msg_hdr.msg_name = &buffers.in_addresses[i];
       buffers.in_headers[i].msg_hdr.msg_namelen = sizeof(sockaddr_in);
     }
-    const int count = ::recvmmsg(descriptor_, buffers.in_headers.data(), kBatch, 0, nullptr);
+    const int count = ::recvmmsg(descriptor_, buffers.in_headers.data(), kBatchSize, 0, nullptr);
     for (int i = 0; i < count; ++i) {
       const auto index = static_cast<std::size_t>(i);
       const bool cut = (buffers.in_headers[index].msg_hdr.msg_flags & MSG_TRUNC) != 0;
@@ -89,7 +89,7 @@
                   from_sockaddr(buffers.in_addresses[index]));
       }
     }
-    if (count < static_cast<int>(kBatch)) {
+    if (count < static_cast<int>(kBatchSize)) {
       break;
     }
   }
@@ -112,7 +112,7 @@
   if (size > kMaxDatagram) {
     return {};
   }
-  if (buffers.out_count == kBatch) {
+  if (buffers.out_count == kBatchSize) {
     flush();
   }
   const std::size_t i = buffers.out_count++;
--- a/src/tasks/udp_socket.h
+++ b/src/tasks/udp_socket.h
@@ -40,7 +40,7 @@
   void flush();
 
  private:
-  static constexpr std::size_t kBatch = 32;
+  static constexpr std::size_t kBatchSize = 32;
   struct Buffers;
 
   UdpSocket(EventLoop& loop, int descriptor);
--- a/tests/unit/test_frame_network.cc
+++ b/tests/unit/test_frame_network.cc
@@ -18,29 +18,29 @@
 constexpr int kMaxTurns = 1000;
 
 /// Two networks on one loop: one asks, the other one answers with several frames at once.
-class Conversation {
+class RequestReplyPair {
  public:
   /// What the asking one does with each frame that it gets.
-  using OnAnswer = std::function<std::optional<Endpoint>(FrameNetwork& asking)>;
+  using OnReply = std::function<std::optional<Endpoint>(FrameNetwork& asking)>;
 
-  Conversation(std::size_t answers, OnAnswer on_answer)
-      : answers_(answers),
-        asking_(loop_,
+  RequestReplyPair(std::size_t answers, OnReply on_answer)
+      : reply_count_(answers),
+        client_(loop_,
                 [this, on_answer = std::move(on_answer)](ByteView /*frame*/) {
-                  ++heard;
-                  return on_answer(asking_);
+                  ++received;
+                  return on_answer(client_);
                 }),
-        answering_(loop_, [this](ByteView /*frame*/) {
+        server_(loop_, [this](ByteView /*frame*/) {
           // The connection of the one that asks is known from the next turn on.
-          loop_.after(milliseconds(1), [this] { answer(); });
-          return std::optional(kAsking);
+          loop_.after(milliseconds(1), [this] { send_replies(); });
+          return std::optional(kClientAddress);
         }) {
-    REQUIRE(answering_.listen(peer).has_value());
+    REQUIRE(server_.listen(server_address).has_value());
   }
 
   /// Runs the loop until frames came, and some turns more.
-  void run_until_heard(int frames) {
-    for (int turn = 0; turn < kMaxTurns && heard < frames; ++turn) {
+  void run_until_received(int frames) {
+    for (int turn = 0; turn < kMaxTurns && received < frames; ++turn) {
       h2o_evloop_run(loop_.raw(), 10);
     }
     for (int turn = 0; turn < 10; ++turn) {
@@ -48,24 +48,24 @@
     }
   }
 
-  FrameNetwork& asking() { return asking_; }
+  FrameNetwork& client() { return client_; }
 
-  const Endpoint peer = free_endpoint();
-  int heard = 0;
+  const Endpoint server_address = free_endpoint();
+  int received = 0;
 
  private:
-  static constexpr Endpoint kAsking{kLoopback, 1};
+  static constexpr Endpoint kClientAddress{kLoopback, 1};
 
-  void answer() {
-    for (std::size_t i = 0; i < answers_; ++i) {
-      answering_.send(kAsking, {'y'}, false);
+  void send_replies() {
+    for (std::size_t i = 0; i < reply_count_; ++i) {
+      server_.send(kClientAddress, {'y'}, false);
     }
   }
 
   EventLoop loop_;
-  std::size_t answers_;
-  FrameNetwork asking_;
-  FrameNetwork answering_;
+  std::size_t reply_count_;
+  FrameNetwork client_;
+  FrameNetwork server_;
 };
 
 }  // namespace
@@ -75,11 +75,11 @@
     // On days when all machines lost power, balancers waited for the kernel's copy of the opening
     // packet, which goes a second after the first one.
     const Instant began{std::chrono::seconds(1)};
-    CHECK_FALSE(dialling::wants_another(began, began + milliseconds(40)));
-    CHECK(dialling::wants_another(began, began + milliseconds(50)));
-    CHECK_FALSE(dialling::is_given_up(began, began + milliseconds(500)));
-    CHECK(dialling::is_given_up(began, began + milliseconds(900)));
-    CHECK(dialling::kAgainAfter * 4 < std::chrono::seconds(1));
+    CHECK_FALSE(dialling::needs_another_attempt(began, began + milliseconds(40)));
+    CHECK(dialling::needs_another_attempt(began, began + milliseconds(50)));
+    CHECK_FALSE(dialling::has_timed_out(began, began + milliseconds(500)));
+    CHECK(dialling::has_timed_out(began, began + milliseconds(900)));
+    CHECK(dialling::kNextAttemptDelay * 4 < std::chrono::seconds(1));
   }
 
   TEST_CASE("one frame reaches a peer that begins to listen a little later") {
@@ -170,57 +170,58 @@
   TEST_CASE("a receiver may drop the peer whose frame it reads") {
     // A late answer of a replica led to a look at all replicas, and to its own being dropped as
     // silent: the network went on with a connection that was freed.
-    Conversation conversation(3, [&](FrameNetwork& asking) {
-      asking.drop(conversation.peer);
-      return std::optional(conversation.peer);
+    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
+      asking.disconnect(conversation.server_address);
+      return std::optional(conversation.server_address);
     });
-    conversation.asking().send(conversation.peer, {'a'}, true);
-    conversation.run_until_heard(1);
+    conversation.client().send(conversation.server_address, {'a'}, true);
+    conversation.run_until_received(1);
     // What came after the first frame went with the connection.
-    CHECK(conversation.heard == 1);
+    CHECK(conversation.received == 1);
     // Nothing of the old connection is left: the peer is dialled again.
-    CHECK_FALSE(conversation.asking().send(conversation.peer, {'a'}, false));
-    CHECK(conversation.asking().send(conversation.peer, {'a'}, true));
-    conversation.run_until_heard(2);
-    CHECK(conversation.heard == 2);
+    CHECK_FALSE(conversation.client().send(conversation.server_address, {'a'}, false));
+    CHECK(conversation.client().send(conversation.server_address, {'a'}, true));
+    conversation.run_until_received(2);
+    CHECK(conversation.received == 2);
   }
 
   TEST_CASE("a receiver may drop its peer and refuse the frame") {
-    Conversation conversation(3, [&](FrameNetwork& asking) {
-      asking.drop(conversation.peer);
+    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
+      asking.disconnect(conversation.server_address);
       return std::optional<Endpoint>();
     });
-    conversation.asking().send(conversation.peer, {'a'}, true);
-    conversation.run_until_heard(1);
-    CHECK(conversation.heard == 1);
+    conversation.client().send(conversation.server_address, {'a'}, true);
+    conversation.run_until_received(1);
+    CHECK(conversation.received == 1);
   }
 
   TEST_CASE("a receiver may send a frame that gives up the connection it reads from") {
     // The frame before was not answered for longer than a peer may stay silent: what is sent to the
     // peer closes the connection.
-    Conversation conversation(3, [&](FrameNetwork& asking) {
-      asking.send(conversation.peer, {'a'}, true);
+    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
+      asking.send(conversation.server_address, {'a'}, true);
       ::usleep(1600 * 1000);
-      asking.send(conversation.peer, {'a'}, true);
-      return std::optional(conversation.peer);
+      asking.send(conversation.server_address, {'a'}, true);
+      return std::optional(conversation.server_address);
     });
-    conversation.asking().send(conversation.peer, {'a'}, true);
-    conversation.run_until_heard(1);
-    CHECK(conversation.heard >= 1);
-    CHECK(conversation.asking().counters().connections_given_up >= 1);
+    conversation.client().send(conversation.server_address, {'a'}, true);
+    conversation.run_until_received(1);
+    CHECK(conversation.received >= 1);
+    CHECK(conversation.client().counters().connections_timed_out >= 1);
   }
 
   TEST_CASE("a peer that names another address is found by both until its connection ends") {
     // The connection was found by the address that was dialled, after it had been closed.
     const Endpoint other{kLoopback, 2};
-    Conversation conversation(1, [&](FrameNetwork& /*asking*/) { return std::optional(other); });
-    conversation.asking().send(conversation.peer, {'a'}, true);
-    conversation.run_until_heard(1);
-    REQUIRE(conversation.heard == 1);
-    CHECK(conversation.asking().send(other, {'a'}, false));
-    CHECK(conversation.asking().send(conversation.peer, {'a'}, false));
-    conversation.asking().drop(other);
-    CHECK_FALSE(conversation.asking().send(conversation.peer, {'a'}, false));
+    RequestReplyPair conversation(1,
+                                  [&](FrameNetwork& /*asking*/) { return std::optional(other); });
+    conversation.client().send(conversation.server_address, {'a'}, true);
+    conversation.run_until_received(1);
+    REQUIRE(conversation.received == 1);
+    CHECK(conversation.client().send(other, {'a'}, false));
+    CHECK(conversation.client().send(conversation.server_address, {'a'}, false));
+    conversation.client().disconnect(other);
+    CHECK_FALSE(conversation.client().send(conversation.server_address, {'a'}, false));
   }
 }
 
--- a/tests/unit/test_listener.cc
+++ b/tests/unit/test_listener.cc
@@ -17,12 +17,12 @@
 using std::chrono::milliseconds;
 
 /// Callers that open connections and send nothing.
-class IdleCallers {
+class IdleClients {
  public:
-  explicit IdleCallers(Endpoint server) : server_(server) {}
-  ~IdleCallers() { close_all(); }
-  IdleCallers(const IdleCallers&) = delete;
-  IdleCallers& operator=(const IdleCallers&) = delete;
+  explicit IdleClients(Endpoint server) : server_(server) {}
+  ~IdleClients() { close_all(); }
+  IdleClients(const IdleClients&) = delete;
+  IdleClients& operator=(const IdleClients&) = delete;
 
   void open(int count) {
     for (int i = 0; i < count; ++i) {
@@ -48,9 +48,9 @@
 };
 
 /// No descriptor may be opened while this lives, beyond those that are open.
-class NoDescriptorsLeft {
+class DescriptorExhaustion {
  public:
-  NoDescriptorsLeft() {
+  DescriptorExhaustion() {
     ::getrlimit(RLIMIT_NOFILE, &before_);
     const int next = ::dup(0);
     ::close(next);
@@ -58,9 +58,9 @@
     lowered.rlim_cur = static_cast<rlim_t>(next);
     REQUIRE(::setrlimit(RLIMIT_NOFILE, &lowered) == 0);
   }
-  ~NoDescriptorsLeft() { ::setrlimit(RLIMIT_NOFILE, &before_); }
-  NoDescriptorsLeft(const NoDescriptorsLeft&) = delete;
-  NoDescriptorsLeft& operator=(const NoDescriptorsLeft&) = delete;
+  ~DescriptorExhaustion() { ::setrlimit(RLIMIT_NOFILE, &before_); }
+  DescriptorExhaustion(const DescriptorExhaustion&) = delete;
+  DescriptorExhaustion& operator=(const DescriptorExhaustion&) = delete;
 
  private:
   rlimit before_{};
@@ -77,7 +77,7 @@
 }
 
 /// Turns of the loop that end before a time has passed; one that only waits makes few.
-int turns_in(EventLoop& loop, Duration time) {
+int loop_iterations_in(EventLoop& loop, Duration time) {
   int turns = 0;
   for (const Instant end = monotonic_now() + time; monotonic_now() < end; ++turns) {
     h2o_evloop_run(loop.raw(), 50);
@@ -95,13 +95,13 @@
     auto listener =
         Listener::open(loop, address, 3, [&](h2o_socket_t* socket) { accepted.push_back(socket); });
     REQUIRE(listener);
-    IdleCallers callers(address);
+    IdleClients callers(address);
     callers.open(8);
     CHECK(run_until(loop, [&] { return (*listener)->pauses() == 1; }));
     CHECK(accepted.size() == 3);
     CHECK((*listener)->connections() == 3);
     // Paused: the loop only waits, although others stand in the queue.
-    CHECK(turns_in(loop, milliseconds(300)) < 20);
+    CHECK(loop_iterations_in(loop, milliseconds(300)) < 20);
     h2o_socket_close(accepted[0]);
     CHECK(run_until(loop, [&] { return accepted.size() == 4; }));
     CHECK((*listener)->connections() == 3);
@@ -119,11 +119,11 @@
     auto listener = Listener::open(loop, address, 100,
                                    [&](h2o_socket_t* socket) { accepted.push_back(socket); });
     REQUIRE(listener);
-    IdleCallers callers(address);
+    IdleClients callers(address);
     callers.open(5);
     {
-      const NoDescriptorsLeft exhausted;
-      CHECK(turns_in(loop, milliseconds(500)) < 40);
+      const DescriptorExhaustion exhausted;
+      CHECK(loop_iterations_in(loop, milliseconds(500)) < 40);
       CHECK(accepted.empty());
       CHECK((*listener)->pauses() > 0);
     }
@@ -136,8 +136,8 @@
   TEST_CASE("the shares of listeners leave descriptors for files") {
     rlimit limit{};
     REQUIRE(::getrlimit(RLIMIT_NOFILE, &limit) == 0);
-    CHECK(connections_for_share(0.5) <= limit.rlim_cur / 2);
-    CHECK(connections_for_share(0) == 1);
+    CHECK(max_connections_for_share(0.5) <= limit.rlim_cur / 2);
+    CHECK(max_connections_for_share(0) == 1);
   }
 
   TEST_CASE("an address that is taken is named") {
--- a/tests/unit/test_log_writer.cc
+++ b/tests/unit/test_log_writer.cc
@@ -10,21 +10,21 @@
 namespace gorsevalve {
 namespace {
 
-std::string told(const DroppedLines& dropped) {
+std::string format_dropped(const DroppedLines& dropped) {
   return "dropped " + std::to_string(dropped[0]) + " " + std::to_string(dropped[1]) + "\n";
 }
 
 /// A reader that can be stopped.
 struct Reader {
   std::string text;
-  std::size_t room = ~std::size_t{0};
+  std::size_t capacity = ~std::size_t{0};
   LogWriter writer{[this](std::string_view part) {
-                     const std::size_t taken = std::min(room, part.size());
+                     const std::size_t taken = std::min(capacity, part.size());
                      text += part.substr(0, taken);
-                     room -= taken;
+                     capacity -= taken;
                      return taken;
                    },
-                   told};
+                   format_dropped};
 };
 
 const std::string kLine = std::string(999, 'x') + "\n";
@@ -34,17 +34,17 @@
 TEST_SUITE("log_writer") {
   TEST_CASE("a stopped reader costs routine lines first, and the number is told later") {
     Reader reader;
-    reader.room = 10;
+    reader.capacity = 10;
     for (int i = 0; i < 1000; ++i) {
       reader.writer.offer(kLine, LogClass::kRoutine);
     }
     for (int i = 0; i < 20; ++i) {
       reader.writer.offer("state " + std::to_string(i) + "\n", LogClass::kState);
     }
-    CHECK(reader.writer.waiting_octets() <= LogWriter::kMaxWaiting);
+    CHECK(reader.writer.queued_bytes() <= LogWriter::kMaxQueuedBytes);
     CHECK(reader.writer.dropped()[0] > 700);
     CHECK(reader.writer.dropped()[1] == 0);
-    reader.room = ~std::size_t{0};
+    reader.capacity = ~std::size_t{0};
     reader.writer.flush();
     CHECK(reader.text.find("state 0\n") != std::string::npos);
     CHECK(reader.text.find("state 19\n") != std::string::npos);
@@ -56,11 +56,11 @@
 
   TEST_CASE("lines of state are dropped only when nothing else is left to drop, and counted") {
     Reader reader;
-    reader.room = 0;
+    reader.capacity = 0;
     for (int i = 0; i < 300; ++i) {
       reader.writer.offer(kLine, LogClass::kState);
     }
-    CHECK(reader.writer.dropped()[1] == 300 - LogWriter::kMaxWaiting / kLine.size());
+    CHECK(reader.writer.dropped()[1] == 300 - LogWriter::kMaxQueuedBytes / kLine.size());
   }
 
   TEST_CASE("a pipe that nobody reads does not hold the writer up") {
@@ -71,7 +71,7 @@
           const ssize_t written = ::write(ends[1], part.data(), part.size());
           return written < 0 ? std::size_t{0} : static_cast<std::size_t>(written);
         },
-        told);
+        format_dropped);
     // Far more than a pipe and the queue hold: a writer that waits would never come back.
     for (int i = 0; i < 5000; ++i) {
       writer.offer(kLine, LogClass::kRoutine);
