--- a/src/bench/bench_fleet.cc
+++ b/src/bench/bench_fleet.cc
@@ -11,10 +11,10 @@
 constexpr std::uint32_t kServiceBase = 0x0A010000;
 constexpr std::uint32_t kTargetBase = 0x0A100000;
 constexpr std::uint32_t kMemberBase = 0x0AC90000;
-constexpr std::uint32_t kCallerBase = 0x0B000000;
+constexpr std::uint32_t kClientBase = 0x0B000000;
 
-FlowKey flow_number(std::uint32_t number) {
-  return {{kCallerBase + number, 40000}, {kServiceBase, kPort}};
+FlowKey make_flow_key(std::uint32_t number) {
+  return {{kClientBase + number, 40000}, {kServiceBase, kPort}};
 }
 
 CoapMessage make_message(std::uint8_t code, CoapType type) {
@@ -71,7 +71,7 @@
     : fleet_(fleet),
       balancer_({fleet_.members[0], {}}, static_cast<BalancerOutput&>(*this)),
       request_(encode_coap(make_message(coap_code::kGet, CoapType::kConfirmable))),
-      answer_(encode_coap(make_message(coap_code::kContent, CoapType::kAcknowledgement))) {
+      response_(encode_coap(make_message(coap_code::kContent, CoapType::kAcknowledgement))) {
   balancer_.on_fleet(fleet_, now_);
   balancer_.on_lease(now_ + std::chrono::hours(1));
 }
@@ -100,11 +100,11 @@
     balancer_.on_datagram(ByteView(buffer_.data(), head + message.size()), now_);
   };
   ProxyHeader request;
-  request.flow = flow_number(flow);
+  request.flow = make_flow_key(flow);
   send(request, request_);
   ProxyHeader answer = last_header_;
   answer.target = last_target_;
-  send(answer, answer_);
+  send(answer, response_);
 }
 
 struct BenchPair::Node : BalancerOutput {
@@ -122,7 +122,7 @@
   void send_peer(const Endpoint& peer, const PeerMessage& message) override {
     pair.queue_.push_back({self.address, peer, message});
     ++pair.messages_;
-    pair.octets_ +=
+    pair.message_bytes_ +=
         std::visit([](const auto& body) { return encode_archive(body).size(); }, message);
   }
 
@@ -144,7 +144,7 @@
   const Bytes request = encode_coap(make_message(coap_code::kGet, CoapType::kConfirmable));
   const Bytes answer = encode_coap(make_message(coap_code::kContent, CoapType::kAcknowledgement));
   for (std::uint32_t i = 0; i < flows; ++i) {
-    first_->balancer.on_datagram(encode_proxy_datagram({flow_number(i), {}, {}, {}}, request),
+    first_->balancer.on_datagram(encode_proxy_datagram({make_flow_key(i), {}, {}, {}}, request),
                                  now_);
     ProxyHeader header = first_->last_header;
     header.target = first_->last_target;
@@ -169,7 +169,7 @@
 
 void BenchPair::deliver_all() {
   while (!queue_.empty()) {
-    const Queued next = std::move(queue_.front());
+    const QueuedMessage next = std::move(queue_.front());
     queue_.pop_front();
     Node& to = next.to == first_->self.address ? *first_ : *second_;
     to.balancer.on_peer_message(next.from, next.message, now_);
--- a/src/bench/bench_fleet.h
+++ b/src/bench/bench_fleet.h
@@ -37,7 +37,7 @@
   Instant now_{std::chrono::seconds(1000)};
   std::uint32_t opened_ = 0;
   Bytes request_;
-  Bytes answer_;
+  Bytes response_;
   std::array<std::uint8_t, 512> buffer_{};
   Endpoint last_target_;
   ProxyHeader last_header_;
@@ -55,11 +55,11 @@
   void hand_over();
   [[nodiscard]] std::size_t flows_at_second() const;
   [[nodiscard]] std::size_t messages() const { return messages_; }
-  [[nodiscard]] std::size_t octets() const { return octets_; }
+  [[nodiscard]] std::size_t message_bytes() const { return message_bytes_; }
 
  private:
   struct Node;
-  struct Queued {
+  struct QueuedMessage {
     Endpoint from;
     Endpoint to;
     PeerMessage message;
@@ -67,12 +67,12 @@
   void deliver_all();
 
   FleetState fleet_;
-  std::deque<Queued> queue_;
+  std::deque<QueuedMessage> queue_;
   std::unique_ptr<Node> first_;
   std::unique_ptr<Node> second_;
   Instant now_{std::chrono::seconds(1000)};
   std::size_t messages_ = 0;
-  std::size_t octets_ = 0;
+  std::size_t message_bytes_ = 0;
 };
 
 }  // namespace gorsevalve
--- a/src/bench/bench_main.cc
+++ b/src/bench/bench_main.cc
@@ -60,7 +60,7 @@
     state.PauseTiming();
     state.counters["moved"] = static_cast<double>(pair->flows_at_second());
     state.counters["messages"] = static_cast<double>(pair->messages());
-    state.counters["octets"] = static_cast<double>(pair->octets());
+    state.counters["octets"] = static_cast<double>(pair->message_bytes());
     pair.reset();
     state.ResumeTiming();
   }
--- a/src/bench/bench_steering.cc
+++ b/src/bench/bench_steering.cc
@@ -16,9 +16,9 @@
 constexpr Endpoint kFrontend{0xC6120001, 443};
 constexpr std::uint32_t kFlows = 500;
 /// Time between two requests at one balancer, and from a request to the end of its answer.
-constexpr Duration kBetween = milliseconds(1);
-constexpr Duration kAnswer = std::chrono::microseconds(500);
-constexpr std::uint32_t kTicksEvery = 250;
+constexpr Duration kRequestInterval = milliseconds(1);
+constexpr Duration kResponseTime = std::chrono::microseconds(500);
+constexpr std::uint32_t kRequestsPerTick = 250;
 
 SteeringState make_steering_state(std::uint32_t targets) {
   SteeringState state;
@@ -47,7 +47,7 @@
   }
 
   void exchange() {
-    pass();
+    advance_time();
     const std::uint32_t flow = count_ % kFlows;
     ClientPacket packet;
     packet.flow = {{0x64400000 + flow, 4000}, kFrontend};
@@ -58,11 +58,11 @@
     benchmark::DoNotOptimize(steering_.on_packet(packet, now_));
     packet.acknowledged = count_ + 1;
     packet.data_size = 0;
-    benchmark::DoNotOptimize(steering_.on_packet(packet, now_ + kAnswer));
+    benchmark::DoNotOptimize(steering_.on_packet(packet, now_ + kResponseTime));
   }
 
   void open() {
-    pass();
+    advance_time();
     ClientPacket packet;
     packet.flow = {{0x64500000 + count_ % 100000, 4000}, kFrontend};
     packet.opens = true;
@@ -70,14 +70,14 @@
     packet.opens = false;
     packet.closes = true;
     packet.token = decision.target->token;
-    benchmark::DoNotOptimize(steering_.on_packet(packet, now_ + kAnswer));
+    benchmark::DoNotOptimize(steering_.on_packet(packet, now_ + kResponseTime));
   }
 
  private:
-  void pass() {
+  void advance_time() {
     ++count_;
-    now_ += kBetween;
-    if (count_ % kTicksEvery == 0) {
+    now_ += kRequestInterval;
+    if (count_ % kRequestsPerTick == 0) {
       steering_.on_tick(now_);
     }
   }
--- a/src/bench/relay_bench_main.cc
+++ b/src/bench/relay_bench_main.cc
@@ -28,7 +28,7 @@
 namespace {
 
 constexpr Endpoint kRelay{0x7F3C0001, 6000};
-constexpr Endpoint kEcho{0x7F3C0002, 6000};
+constexpr Endpoint kPlainForwarder{0x7F3C0002, 6000};
 constexpr Endpoint kSink{0x7F3C0003, 6000};
 constexpr std::size_t kBatch = 32;
 constexpr std::size_t kDatagramSize = 128;
@@ -70,8 +70,8 @@
 };
 
 /// The plain loop: what arrives goes to the sink as it is.
-void run_echo(std::atomic<bool>& running) {
-  const int descriptor = open_socket(kEcho);
+void run_plain_forwarder(std::atomic<bool>& running) {
+  const int descriptor = open_socket(kPlainForwarder);
   Batch batch;
   batch.to = to_sockaddr(kSink);
   while (running) {
@@ -175,12 +175,12 @@
     return fail(task.error(), kExitFailure);
   }
   std::atomic<bool> running{true};
-  std::thread echo([&] { run_echo(running); });
+  std::thread echo([&] { run_plain_forwarder(running); });
   std::thread relay([&] { loop.run(); });
   Generator generator;
   std::vector<double> ratios;
   for (int i = 0; i < absl::GetFlag(FLAGS_rounds); ++i) {
-    const double plain = generator.datagrams_per_second(kEcho);
+    const double plain = generator.datagrams_per_second(kPlainForwarder);
     const double relayed = generator.datagrams_per_second(kRelay);
     ratios.push_back(relayed / plain);
     std::printf("round %d: plain %.0f/s, relay %.0f/s, ratio %.2f\n", i + 1, plain, relayed,
--- a/src/programs/api_client.cc
+++ b/src/programs/api_client.cc
@@ -17,8 +17,8 @@
 
 using nlohmann::json;
 
-constexpr int kNotLeader = 421;
-constexpr int kPending = 202;
+constexpr int kStatusNotLeader = 421;
+constexpr int kStatusPending = 202;
 
 bool is_from_leader(const std::string& path, const HttpClientResponse& response) {
   if (path != "/v1/status") {
@@ -52,18 +52,18 @@
   do {
     for (const auto& server : servers_) {
       auto response = send(server, method, path, body);
-      const bool leads = response && response->status != kNotLeader &&
-                         response->status != kPending && is_from_leader(path, *response);
+      const bool leads = response && response->status != kStatusNotLeader &&
+                         response->status != kStatusPending && is_from_leader(path, *response);
       if (leads) {
         return response;
       }
     }
-    pause();
+    wait_before_retry();
   } while (monotonic_now() < deadline);
   return std::nullopt;
 }
 
-void ApiClient::pause() { run_for(std::chrono::milliseconds(200)); }
+void ApiClient::wait_before_retry() { run_for(std::chrono::milliseconds(200)); }
 
 std::optional<HttpClientResponse> ApiClient::send(const Endpoint& server, const std::string& method,
                                                   const std::string& path,
--- a/src/programs/api_client.h
+++ b/src/programs/api_client.h
@@ -22,7 +22,7 @@
                                             const std::string& body = {});
 
   /// Waits before the same is asked again.
-  void pause();
+  void wait_before_retry();
 
  private:
   std::optional<HttpClientResponse> send(const Endpoint& server, const std::string& method,
--- a/src/programs/explain.cc
+++ b/src/programs/explain.cc
@@ -27,7 +27,7 @@
   return ParsedLine{std::move(fields), line.substr(brace)};
 }
 
-std::string text_of(const json& fields, const char* name) {
+std::string field_text(const json& fields, const char* name) {
   if (!fields.contains(name)) {
     return {};
   }
@@ -35,18 +35,18 @@
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-bool names_id(const json& fields, const std::string& id) {
-  const std::string flow = text_of(fields, "flow");
+bool matches_id(const json& fields, const std::string& id) {
+  const std::string flow = field_text(fields, "flow");
   if (flow == id || (!flow.empty() && flow.substr(0, flow.find('>')) == id)) {
     return true;
   }
   constexpr const char* kNames[] = {"target", "version", "operator_version", "id", "replica"};
   return std::any_of(std::begin(kNames), std::end(kNames),
-                     [&](const char* name) { return text_of(fields, name) == id; });
+                     [&](const char* name) { return field_text(fields, name) == id; });
 }
 
 /// Events that change what a node believes or whether it runs at all.
-bool concerns_whole_node(const std::string& event) {
+bool is_node_event(const std::string& event) {
   static const std::set<std::string> kEvents = {"starting",
                                                 "started",
                                                 "stopping",
@@ -79,28 +79,28 @@
   std::set<std::string> targets;
   std::set<std::string> nodes;
   for (const auto& line : parsed) {
-    if (names_id(line.fields, id) && line.fields.contains("flow")) {
-      targets.insert(text_of(line.fields, "target"));
-      nodes.insert(text_of(line.fields, "node"));
+    if (matches_id(line.fields, id) && line.fields.contains("flow")) {
+      targets.insert(field_text(line.fields, "target"));
+      nodes.insert(field_text(line.fields, "node"));
     }
   }
   std::vector<ExplainedLine> explained;
   for (const auto& line : parsed) {
-    const std::string event = text_of(line.fields, "event");
-    const std::string node = text_of(line.fields, "node");
+    const std::string event = field_text(line.fields, "event");
+    const std::string node = field_text(line.fields, "node");
     const bool of_target =
-        !line.fields.contains("flow") && targets.contains(text_of(line.fields, "target"));
+        !line.fields.contains("flow") && targets.contains(field_text(line.fields, "target"));
     std::string relation;
-    if (names_id(line.fields, id)) {
+    if (matches_id(line.fields, id)) {
       relation = "id";
     } else if (of_target) {
       relation = "target of the flow";
-    } else if (nodes.contains(node) && concerns_whole_node(event)) {
+    } else if (nodes.contains(node) && is_node_event(event)) {
       relation = "node of the flow";
     } else {
       continue;
     }
-    explained.push_back({text_of(line.fields, "time"), node, event, relation, line.text});
+    explained.push_back({field_text(line.fields, "time"), node, event, relation, line.text});
   }
   std::stable_sort(explained.begin(), explained.end(),
                    [](const ExplainedLine& a, const ExplainedLine& b) { return a.time < b.time; });
--- a/src/programs/operator_main.cc
+++ b/src/programs/operator_main.cc
@@ -107,7 +107,7 @@
   return kExitOk;
 }
 
-int wait_until_in_force(ApiClient& api, Revision revision) {
+int wait_until_applied(ApiClient& api, Revision revision) {
   const Instant deadline = monotonic_now() + std::chrono::seconds(absl::GetFlag(FLAGS_timeout_s));
   json status;
   while (monotonic_now() < deadline) {
@@ -121,14 +121,14 @@
         return kExitOk;
       }
     }
-    api.pause();
+    api.wait_before_retry();
   }
   std::fprintf(stderr, "not in force everywhere in time; lagging: %s\n",
                status.value("lagging", json::array()).dump().c_str());
   return kExitTimeout;
 }
 
-int print_refusal(const HttpClientResponse& response) {
+int print_rejection(const HttpClientResponse& response) {
   const json body = json::parse(response.body, nullptr, false);
   if (response.status == 409) {
     std::fprintf(stderr, "conflict: revision %llu was made by submission %s\n",
@@ -175,7 +175,7 @@
     return fail("no leader answered; send again with --id=" + id, kExitUnreachable);
   }
   if (response->status != 200) {
-    return print_refusal(*response);
+    return print_rejection(*response);
   }
   const Revision revision =
       json::parse(response->body, nullptr, false).value("revision", Revision{0});
@@ -184,7 +184,7 @@
   } else {
     std::printf("accepted as revision %llu\n", static_cast<unsigned long long>(revision));
   }
-  return absl::GetFlag(FLAGS_wait) ? wait_until_in_force(api, revision) : kExitOk;
+  return absl::GetFlag(FLAGS_wait) ? wait_until_applied(api, revision) : kExitOk;
 }
 
 void print_evacuations(const json& status) {
@@ -200,7 +200,7 @@
 
 /// Orders a zone to be evacuated (PUT) or restored (DELETE).
 /// True for names that stand in a path as they are.
-bool is_plain_name(const std::string& name) {
+bool is_path_safe_name(const std::string& name) {
   constexpr std::string_view kOthers = "._-";
   const bool has_plain_octets = std::all_of(name.begin(), name.end(), [&](char octet) {
     return absl::ascii_isalnum(static_cast<unsigned char>(octet)) ||
@@ -209,8 +209,8 @@
   return has_plain_octets && name != "." && name != "..";
 }
 
-int order_evacuation(const std::string& method, const std::string& zone) {
-  if (!is_plain_name(zone)) {
+int send_evacuation(const std::string& method, const std::string& zone) {
+  if (!is_path_safe_name(zone)) {
     return fail("zone \"" + zone + "\": letters, digits, '.', '_' and '-' only", kExitUsage);
   }
   ApiClient api;
@@ -219,7 +219,7 @@
     return fail("no leader answered; send the order again", kExitUnreachable);
   }
   if (response->status != 200) {
-    return print_refusal(*response);
+    return print_rejection(*response);
   }
   std::printf("in force: zone %s is %s\n", zone.c_str(),
               method == "PUT" ? "evacuated" : "not evacuated");
@@ -263,8 +263,8 @@
 }
 
 /// Prints the lines of a longest common subsequence diff; gives the number of lines that differ.
-std::size_t print_difference(const std::vector<std::string>& before,
-                             const std::vector<std::string>& after) {
+std::size_t print_diff(const std::vector<std::string>& before,
+                       const std::vector<std::string>& after) {
   const std::size_t rows = before.size();
   const std::size_t columns = after.size();
   std::vector<std::vector<std::uint32_t>> common(rows + 1, std::vector<std::uint32_t>(columns + 1));
@@ -301,8 +301,8 @@
     return fail("no leader answered", kExitUnreachable);
   }
   const json body = json::parse(response->body, nullptr, false);
-  const std::size_t differing = print_difference(split_lines(body.value("text", std::string())),
-                                                 split_lines(read_file(path)));
+  const std::size_t differing =
+      print_diff(split_lines(body.value("text", std::string())), split_lines(read_file(path)));
   return differing == 0 ? kExitOk : kExitConflict;
 }
 
@@ -352,7 +352,7 @@
     return explain_id(file, {words.begin() + 3, words.end()});
   }
   if (orders) {
-    return order_evacuation(command == "evacuate" ? "PUT" : "DELETE", file);
+    return send_evacuation(command == "evacuate" ? "PUT" : "DELETE", file);
   }
   if (command == "apply") {
     return apply(file);
--- a/src/sim/deliberate_faults.h
+++ b/src/sim/deliberate_faults.h
@@ -29,7 +29,7 @@
 std::span<const DeliberateFault> deliberate_faults();
 
 /// Runs a fault's scenarios with seeds from 1 on until a checker sees it; nothing when none does
-/// within `seeds` seeds of each.
+/// within `seed_addresses` seeds of each.
 std::optional<FaultCatch> catch_fault(const DeliberateFault& fault, std::uint64_t seeds);
 
 }  // namespace gorsevalve
--- a/src/sim/sim_callers.cc
+++ b/src/sim/sim_callers.cc
@@ -11,10 +11,10 @@
 
 }  // namespace
 
-void SimCallers::add(CallerConfig config) {
+void SimCallers::add(ClientConfig config) {
   const std::uint32_t address = config.flow.client.address;
-  callers_[address] = std::make_unique<CallerModel>(
-      std::move(config), static_cast<CallerOutput&>(*this), context_.events.now());
+  callers_[address] = std::make_unique<ClientModel>(
+      std::move(config), static_cast<ClientOutput&>(*this), context_.events.now());
 }
 
 void SimCallers::start() {
@@ -37,8 +37,8 @@
                      [](const auto& entry) { return entry.second->is_idle(); });
 }
 
-CallerStats SimCallers::stats() const {
-  CallerStats total;
+ClientStats SimCallers::stats() const {
+  ClientStats total;
   for (const auto& [address, caller] : callers_) {
     total.add(caller->stats());
   }
--- a/src/sim/sim_callers.h
+++ b/src/sim/sim_callers.h
@@ -7,23 +7,23 @@
 
 #include "sim/sim_fabric.h"
 #include "sim/sim_process.h"
-#include "standins/caller_model.h"
+#include "standins/client_model.h"
 
 namespace gorsevalve {
 
-class SimCallers : private CallerOutput {
+class SimCallers : private ClientOutput {
  public:
   SimCallers(SimContext context, SimFabric& fabric) : context_(context), fabric_(fabric) {}
 
   /// Adds a caller with an IP address of its own.
-  void add(CallerConfig config);
+  void add(ClientConfig config);
   /// Begins to tick. Callers that were added begin their work at once.
   void start();
   /// No new work is begun.
   void stop();
   /// Nothing is outstanding.
   [[nodiscard]] bool is_idle() const;
-  [[nodiscard]] CallerStats stats() const;
+  [[nodiscard]] ClientStats stats() const;
   /// A datagram for a caller; false when the address is no caller's.
   bool receive(const Endpoint& caller, const Bytes& datagram);
 
@@ -32,7 +32,7 @@
 
   SimContext context_;
   SimFabric& fabric_;
-  std::map<std::uint32_t, std::unique_ptr<CallerModel>> callers_;
+  std::map<std::uint32_t, std::unique_ptr<ClientModel>> callers_;
   bool running_ = true;
 };
 
--- a/src/sim/sim_main.cc
+++ b/src/sim/sim_main.cc
@@ -30,7 +30,7 @@
   std::uint64_t runs = 0;
   std::uint64_t failed = 0;
   std::uint64_t violations = 0;
-  CallerStats callers;
+  ClientStats callers;
   /// Of the first service: requests run, and feeds open.
   std::vector<double> imbalance;
   std::vector<double> feed_imbalance;
@@ -85,9 +85,9 @@
       std::string(scenario.name).c_str(), static_cast<unsigned long long>(summary.runs),
       static_cast<unsigned long long>(summary.failed),
       static_cast<unsigned long long>(summary.callers.requests),
-      static_cast<unsigned long long>(summary.callers.answers),
+      static_cast<unsigned long long>(summary.callers.responses),
       static_cast<unsigned long long>(summary.callers.broken_flows),
-      static_cast<unsigned long long>(summary.callers.feed_moves),
+      static_cast<unsigned long long>(summary.callers.observation_moves),
       static_cast<unsigned long long>(summary.callers.verdicts_not_run),
       static_cast<unsigned long long>(summary.callers.verdicts_may_have_run),
       static_cast<unsigned long long>(summary.callers.timeouts),
--- a/src/sim/sim_target.cc
+++ b/src/sim/sim_target.cc
@@ -27,7 +27,7 @@
     past_executions_[id] += count;
   }
   past_requests_ += model_->requests_run();
-  past_foreign_ += model_->foreign_datagrams();
+  past_foreign_ += model_->misrouted_datagrams();
 }
 
 std::optional<TargetReport> SimTarget::report() {
@@ -48,7 +48,7 @@
 std::uint64_t SimTarget::requests_run() const { return past_requests_ + model_->requests_run(); }
 
 std::uint64_t SimTarget::foreign_datagrams() const {
-  return past_foreign_ + model_->foreign_datagrams();
+  return past_foreign_ + model_->misrouted_datagrams();
 }
 
 void SimTarget::handle(const SimMessage& message) {
@@ -57,7 +57,7 @@
   }
 }
 
-void SimTarget::send_answer(const ProxyHeader& header, ByteView message) {
+void SimTarget::send_response(const ProxyHeader& header, ByteView message) {
   if (const auto balancer = fabric_.pick()) {
     context().network.send_datagram(config_.address, *balancer,
                                     encode_proxy_datagram(header, message), TrafficKind::kData);
--- a/src/sim/sim_target.h
+++ b/src/sim/sim_target.h
@@ -24,7 +24,7 @@
 
  private:
   void handle(const SimMessage& message) override;
-  void send_answer(const ProxyHeader& header, ByteView message) override;
+  void send_response(const ProxyHeader& header, ByteView message) override;
   void keep_record();
 
   TargetModelConfig config_;
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -84,8 +84,8 @@
   model.name = target.name;
   model.address = target.address;
   model.service_time = config_.service_time;
-  model.cold_service_time = 3 * config_.service_time;
-  model.feed_interval = config_.feed_interval;
+  model.warm_up_service_time = 3 * config_.service_time;
+  model.notification_interval = config_.feed_interval;
   model.misleading_report = config_.misleading_reports;
   network_.place(target.address, zone_number(target.zone));
   targets_[target.address] = std::make_unique<SimTarget>(context(), model, fabric_);
@@ -132,26 +132,26 @@
 
 void World::make_callers() {
   std::uint32_t number = 0;
-  const auto add = [&](CallerKind kind, int count, const Endpoint& service) {
+  const auto add = [&](ClientKind kind, int count, const Endpoint& service) {
     for (int i = 0; i < count; ++i) {
-      CallerConfig caller;
+      ClientConfig caller;
       caller.kind = kind;
       caller.name = "caller" + std::to_string(++number);
       caller.flow = {{address_of(kCallerGroup, number), 20000}, service};
-      caller.ports = kind == CallerKind::kLookup ? 512 : 1;
+      caller.port_count = kind == ClientKind::kLookup ? 512 : 1;
       caller.seed = config_.seed * 1000003 + number;
-      caller.start_after = random_.between(Duration::zero(), kStartSpread);
-      caller.pause = config_.pause;
-      caller.feed_interval = config_.feed_interval;
+      caller.start_delay = random_.between(Duration::zero(), kStartSpread);
+      caller.work_interval = config_.pause;
+      caller.notification_interval = config_.feed_interval;
       callers_.add(caller);
     }
   };
   const Endpoint first = settings_.services[0].address;
   const Endpoint second = settings_.services[1].address;
-  add(CallerKind::kFeed, config_.callers.feeds, first);
-  add(CallerKind::kUpdate, config_.callers.updates, first);
-  add(CallerKind::kLookup, config_.callers.lookups, first);
-  add(CallerKind::kDownload, config_.callers.downloads, second);
+  add(ClientKind::kObserve, config_.callers.feeds, first);
+  add(ClientKind::kUpdate, config_.callers.updates, first);
+  add(ClientKind::kLookup, config_.callers.lookups, first);
+  add(ClientKind::kDownload, config_.callers.downloads, second);
 }
 
 bool World::run_until(const std::function<bool()>& condition, Duration limit) {
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -71,7 +71,7 @@
   std::vector<Violation> violations;
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
-  CallerStats callers;
+  ClientStats callers;
   /// Maximum over mean of the requests that the targets of each service ran, weighted.
   std::vector<double> imbalance;
   /// The same of the feeds open at the targets of the first service when the load ends.
@@ -146,8 +146,8 @@
   [[nodiscard]] std::string difference() const;
   bool run_until(const std::function<bool()>& condition, Duration limit);
 
-  void check_updates(const CallerStats& stats);
-  void check_callers(const CallerStats& stats, const Expectations& expectations);
+  void check_updates(const ClientStats& stats);
+  void check_callers(const ClientStats& stats, const Expectations& expectations);
   void check_force(const Expectations& expectations, RunResult& result);
   void check_history();
   void measure(RunResult& result);
--- a/src/sim/world_checks.cc
+++ b/src/sim/world_checks.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void World::check_updates(const CallerStats& stats) {
+void World::check_updates(const ClientStats& stats) {
   std::map<std::string, std::uint32_t> executions;
   for (const auto& [address, target] : targets_) {
     for (const auto& [id, count] : target->executions()) {
@@ -31,29 +31,29 @@
   for (const auto& [id, fate] : stats.updates) {
     const auto found = executions.find(id);
     const std::uint32_t count = found == executions.end() ? 0 : found->second;
-    if (fate == UpdateFate::kNotRun && count != 0) {
+    if (fate == UpdateOutcome::kNotRun && count != 0) {
       checks_.violate(Invariant::kFalseNotRun, id + " ran");
     }
-    if (fate == UpdateFate::kDone && count == 0) {
+    if (fate == UpdateOutcome::kDone && count == 0) {
       checks_.violate(Invariant::kFalseDone, id + " did not run");
     }
   }
 }
 
-void World::check_callers(const CallerStats& stats, const Expectations& expectations) {
+void World::check_callers(const ClientStats& stats, const Expectations& expectations) {
   const auto must_be_zero = [&](Invariant invariant, std::uint64_t count, const std::string& what) {
     if (count > 0) {
       checks_.violate(invariant, count_text(count, what));
     }
   };
-  must_be_zero(Invariant::kWrongAnswer, stats.wrong_answers, "wrong answers");
-  must_be_zero(Invariant::kVerdictWithoutTime, stats.verdicts_without_time,
+  must_be_zero(Invariant::kWrongAnswer, stats.wrong_responses, "wrong answers");
+  must_be_zero(Invariant::kVerdictWithoutTime, stats.verdicts_without_max_age,
                "verdicts without a time to come back");
   if (expectations.no_broken_flow) {
     must_be_zero(Invariant::kBrokenFlow, stats.broken_flows, "broken flows");
   }
   if (expectations.no_feed_move) {
-    must_be_zero(Invariant::kFeedMoved, stats.feed_moves, "feeds changed their target");
+    must_be_zero(Invariant::kFeedMoved, stats.observation_moves, "feeds changed their target");
   }
   if (expectations.no_request_cut) {
     must_be_zero(Invariant::kRequestCut, stats.timeouts, "requests without answer");
@@ -131,7 +131,7 @@
     }));
   }
   result.feed_imbalance = imbalance(settings_.services[0], [](const SimTarget& target) {
-    return static_cast<double>(target.model().open_feeds());
+    return static_cast<double>(target.model().open_observations());
   });
   const double seconds = std::chrono::duration<double>(events_.now() - load_start_).count();
   double peer = 0;
--- a/src/standins/caller_main.cc
+++ b/src/standins/client_main.cc
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 
 #include "programs/program.h"
-#include "standins/caller_model.h"
+#include "standins/client_model.h"
 #include "tasks/udp_socket.h"
 
 ABSL_FLAG(std::string, service, "", "address of the service, IP:port");
@@ -33,9 +33,9 @@
 constexpr Duration kFinish = std::chrono::seconds(8);
 
 /// One caller with its socket.
-class CallerClient : private CallerOutput {
+class ClientSocket : private ClientOutput {
  public:
-  CallerClient(EventLoop& loop, const CallerConfig& config)
+  ClientSocket(EventLoop& loop, const ClientConfig& config)
       : loop_(loop), model_(config, *this, monotonic_now()) {}
 
   bool start() {
@@ -53,7 +53,7 @@
     return true;
   }
 
-  CallerModel& model() { return model_; }
+  ClientModel& model() { return model_; }
 
  private:
   void send(const FlowKey& flow, ByteView message) override {
@@ -62,31 +62,32 @@
   }
 
   EventLoop& loop_;
-  CallerModel model_;
+  ClientModel model_;
   std::unique_ptr<UdpSocket> socket_;
 };
 
-class CallerFleet {
+class ClientFleet {
  public:
-  explicit CallerFleet(EventLoop& loop) : loop_(loop) {
+  explicit ClientFleet(EventLoop& loop) : loop_(loop) {
     const std::string source = absl::GetFlag(FLAGS_source);
     const std::int32_t port = absl::GetFlag(FLAGS_port);
-    next_ = require_endpoint("source", source + ":" + std::to_string(port));
+    next_address_ = require_endpoint("source", source + ":" + std::to_string(port));
   }
 
-  bool add(CallerKind kind, int count) {
+  bool add(ClientKind kind, int count) {
     const Endpoint service = require_endpoint("service", absl::GetFlag(FLAGS_service));
     for (int i = 0; i < count; ++i) {
-      CallerConfig config;
+      ClientConfig config;
       config.kind = kind;
-      config.flow = {next_, service};
-      config.name = absl::GetFlag(FLAGS_name) + std::to_string(next_.port);
-      config.seed = absl::GetFlag(FLAGS_seed) * 1000003 + next_.port;
-      config.pause = std::chrono::milliseconds(absl::GetFlag(FLAGS_pause_ms));
-      config.feed_interval = std::chrono::milliseconds(absl::GetFlag(FLAGS_feed_interval_ms));
-      ++next_.port;
-      callers_.push_back(std::make_unique<CallerClient>(loop_, config));
-      if (!callers_.back()->start()) {
+      config.flow = {next_address_, service};
+      config.name = absl::GetFlag(FLAGS_name) + std::to_string(next_address_.port);
+      config.seed = absl::GetFlag(FLAGS_seed) * 1000003 + next_address_.port;
+      config.work_interval = std::chrono::milliseconds(absl::GetFlag(FLAGS_pause_ms));
+      config.notification_interval =
+          std::chrono::milliseconds(absl::GetFlag(FLAGS_feed_interval_ms));
+      ++next_address_.port;
+      clients_.push_back(std::make_unique<ClientSocket>(loop_, config));
+      if (!clients_.back()->start()) {
         return false;
       }
     }
@@ -95,25 +96,25 @@
 
   void on_tick() {
     const Instant now = monotonic_now();
-    for (const auto& caller : callers_) {
+    for (const auto& caller : clients_) {
       caller->model().on_tick(now);
     }
   }
 
   void stop() {
-    for (const auto& caller : callers_) {
+    for (const auto& caller : clients_) {
       caller->model().stop();
     }
   }
 
   [[nodiscard]] bool is_idle() const {
-    return std::all_of(callers_.begin(), callers_.end(),
+    return std::all_of(clients_.begin(), clients_.end(),
                        [](const auto& caller) { return caller->model().is_idle(); });
   }
 
-  [[nodiscard]] CallerStats stats() const {
-    CallerStats total;
-    for (const auto& caller : callers_) {
+  [[nodiscard]] ClientStats stats() const {
+    ClientStats total;
+    for (const auto& caller : clients_) {
       total.add(caller->model().stats());
     }
     return total;
@@ -121,8 +122,8 @@
 
  private:
   EventLoop& loop_;
-  Endpoint next_;
-  std::vector<std::unique_ptr<CallerClient>> callers_;
+  Endpoint next_address_;
+  std::vector<std::unique_ptr<ClientSocket>> clients_;
 };
 
 double quantile_ms(std::vector<Duration>& sorted, double share) {
@@ -133,23 +134,23 @@
   return std::chrono::duration<double, std::milli>(sorted[index]).count();
 }
 
-void print(CallerStats stats) {
+void print(ClientStats stats) {
   std::sort(stats.latencies.begin(), stats.latencies.end());
   nlohmann::json updates = nlohmann::json::object();
   for (const auto& [id, fate] : stats.updates) {
     updates[id] = static_cast<int>(fate);
   }
   const nlohmann::json body = {{"requests", stats.requests},
-                               {"answers", stats.answers},
-                               {"wrong_answers", stats.wrong_answers},
+                               {"answers", stats.responses},
+                               {"wrong_answers", stats.wrong_responses},
                                {"broken_flows", stats.broken_flows},
-                               {"feeds", stats.feeds},
+                               {"feeds", stats.observations},
                                {"notifications", stats.notifications},
-                               {"feed_moves", stats.feed_moves},
+                               {"feed_moves", stats.observation_moves},
                                {"downloads", stats.downloads},
                                {"verdicts_not_run", stats.verdicts_not_run},
                                {"verdicts_may_have_run", stats.verdicts_may_have_run},
-                               {"verdicts_without_time", stats.verdicts_without_time},
+                               {"verdicts_without_time", stats.verdicts_without_max_age},
                                {"timeouts", stats.timeouts},
                                {"latency_p50_ms", quantile_ms(stats.latencies, 0.5)},
                                {"latency_p99_ms", quantile_ms(stats.latencies, 0.99)},
@@ -159,11 +160,11 @@
 
 int run() {
   EventLoop loop;
-  CallerFleet fleet(loop);
-  const bool started = fleet.add(CallerKind::kFeed, absl::GetFlag(FLAGS_feeds)) &&
-                       fleet.add(CallerKind::kUpdate, absl::GetFlag(FLAGS_updates)) &&
-                       fleet.add(CallerKind::kDownload, absl::GetFlag(FLAGS_downloads)) &&
-                       fleet.add(CallerKind::kLookup, absl::GetFlag(FLAGS_lookups));
+  ClientFleet fleet(loop);
+  const bool started = fleet.add(ClientKind::kObserve, absl::GetFlag(FLAGS_feeds)) &&
+                       fleet.add(ClientKind::kUpdate, absl::GetFlag(FLAGS_updates)) &&
+                       fleet.add(ClientKind::kDownload, absl::GetFlag(FLAGS_downloads)) &&
+                       fleet.add(ClientKind::kLookup, absl::GetFlag(FLAGS_lookups));
   if (!started) {
     return kExitFailure;
   }
--- a/src/standins/caller_model.cc
+++ b/src/standins/client_model.cc
@@ -1,4 +1,4 @@
-#include "standins/caller_model.h"
+#include "standins/client_model.h"
 
 #include <algorithm>
 
@@ -34,34 +34,34 @@
 
 }  // namespace
 
-void CallerStats::add(const CallerStats& other) {
+void ClientStats::add(const ClientStats& other) {
   requests += other.requests;
-  answers += other.answers;
-  wrong_answers += other.wrong_answers;
+  responses += other.responses;
+  wrong_responses += other.wrong_responses;
   broken_flows += other.broken_flows;
-  feeds += other.feeds;
+  observations += other.observations;
   notifications += other.notifications;
-  feed_moves += other.feed_moves;
+  observation_moves += other.observation_moves;
   downloads += other.downloads;
   verdicts_not_run += other.verdicts_not_run;
   verdicts_may_have_run += other.verdicts_may_have_run;
   timeouts += other.timeouts;
-  verdicts_without_time += other.verdicts_without_time;
+  verdicts_without_max_age += other.verdicts_without_max_age;
   latencies.insert(latencies.end(), other.latencies.begin(), other.latencies.end());
   updates.insert(other.updates.begin(), other.updates.end());
 }
 
-CallerModel::CallerModel(CallerConfig config, CallerOutput& output, Instant now)
+ClientModel::ClientModel(ClientConfig config, ClientOutput& output, Instant now)
     : config_(std::move(config)),
       output_(output),
       random_(config_.seed),
       next_message_id_(static_cast<std::uint16_t>(random_())),
       first_port_(config_.flow.client.port),
-      next_work_(now + config_.start_after) {}
+      next_work_(now + config_.start_delay) {}
 
-bool CallerModel::is_idle() const { return !outstanding_ && next_block_ == 0; }
+bool ClientModel::is_idle() const { return !outstanding_ && next_block_ == 0; }
 
-void CallerModel::send_request(std::uint8_t code, std::string_view path, const std::string& id,
+void ClientModel::send_request(std::uint8_t code, std::string_view path, const std::string& id,
                                std::optional<std::uint32_t> observe,
                                std::optional<BlockOption> block, Instant now) {
   CoapMessage message;
@@ -89,35 +89,35 @@
   output_.send(config_.flow, outstanding_->message);
 }
 
-void CallerModel::begin_work(Instant now) {
+void ClientModel::begin_work(Instant now) {
   const std::string id = config_.name + "-" + std::to_string(next_number_++);
   switch (config_.kind) {
-    case CallerKind::kFeed:
-      feed_id_ = id;
-      feed_source_.clear();
+    case ClientKind::kObserve:
+      observation_id_ = id;
+      observation_source_.clear();
       send_request(coap_code::kGet, target_path::kFeed, id, 0, std::nullopt, now);
-      feed_token_ = outstanding_->token;
+      observation_token_ = outstanding_->token;
       break;
-    case CallerKind::kUpdate:
-      stats_.updates[id] = UpdateFate::kUnknown;
+    case ClientKind::kUpdate:
+      stats_.updates[id] = UpdateOutcome::kUnknown;
       send_request(coap_code::kPost, target_path::kUpdate, id, std::nullopt, std::nullopt, now);
       break;
-    case CallerKind::kDownload:
+    case ClientKind::kDownload:
       document_.clear();
       document_id_ = id;
       next_block_ = 0;
       send_request(coap_code::kGet, target_path::kDownload, id, std::nullopt,
                    BlockOption{0, false, kDownloadBlockExponent}, now);
       break;
-    case CallerKind::kLookup:
+    case ClientKind::kLookup:
       config_.flow.client.port =
-          static_cast<std::uint16_t>(first_port_ + next_number_ % config_.ports);
+          static_cast<std::uint16_t>(first_port_ + next_number_ % config_.port_count);
       send_request(coap_code::kGet, target_path::kLookup, id, std::nullopt, std::nullopt, now);
       break;
   }
 }
 
-void CallerModel::on_tick(Instant now) {
+void ClientModel::on_tick(Instant now) {
   if (outstanding_) {
     if (now < outstanding_->next_send) {
       return;
@@ -132,10 +132,10 @@
     output_.send(config_.flow, outstanding_->message);
     return;
   }
-  if (feed_open_) {
-    if (now - last_notification_ > kSilentIntervals * config_.feed_interval) {
+  if (observation_open_) {
+    if (now - last_notification_ > kSilentIntervals * config_.notification_interval) {
       ++stats_.broken_flows;
-      feed_open_ = false;
+      observation_open_ = false;
       next_work_ = now;
     }
     return;
@@ -145,24 +145,24 @@
   }
 }
 
-void CallerModel::finish(Instant now, Duration pause) {
+void ClientModel::schedule_next_work(Instant now, Duration pause) {
   outstanding_.reset();
   next_work_ = now + pause;
 }
 
-void CallerModel::on_timeout(Instant now) {
+void ClientModel::on_timeout(Instant now) {
   ++stats_.timeouts;
-  if (config_.kind == CallerKind::kDownload && next_block_ > 0) {
+  if (config_.kind == ClientKind::kDownload && next_block_ > 0) {
     ++stats_.broken_flows;
     next_block_ = 0;
   }
-  finish(now, config_.pause);
+  schedule_next_work(now, config_.work_interval);
 }
 
-void CallerModel::on_message(ByteView message, Instant now) {
+void ClientModel::on_message(ByteView message, Instant now) {
   const auto summary = parser_.parse(message);
   if (!summary) {
-    ++stats_.wrong_answers;
+    ++stats_.wrong_responses;
     return;
   }
   if (summary->code == coap_code::kEmpty) {
@@ -170,7 +170,7 @@
   }
   const ByteView payload = parser_.payload();
   const std::string text(payload.begin(), payload.end());
-  const bool is_feed = config_.kind == CallerKind::kFeed && summary->token == feed_token_;
+  const bool is_feed = config_.kind == ClientKind::kObserve && summary->token == observation_token_;
   if (summary->type == CoapType::kConfirmable) {
     // A feed that is not wanted any more is refused (RFC 7641 section 3.6).
     const CoapType reply = is_feed ? CoapType::kAcknowledgement : CoapType::kReset;
@@ -186,81 +186,82 @@
   if (!matches) {
     return;
   }
-  on_answer(*summary, text, now);
+  on_response(*summary, text, now);
 }
 
-void CallerModel::on_verdict(const CoapSummary& summary, Instant now) {
+void ClientModel::on_verdict(const CoapSummary& summary, Instant now) {
   const bool not_run = summary.code == coap_code::kServiceUnavailable;
   ++(not_run ? stats_.verdicts_not_run : stats_.verdicts_may_have_run);
   if (!summary.max_age) {
-    ++stats_.verdicts_without_time;
+    ++stats_.verdicts_without_max_age;
   }
-  if (config_.kind == CallerKind::kUpdate) {
-    stats_.updates[outstanding_->id] = not_run ? UpdateFate::kNotRun : UpdateFate::kMayHaveRun;
+  if (config_.kind == ClientKind::kUpdate) {
+    stats_.updates[outstanding_->id] =
+        not_run ? UpdateOutcome::kNotRun : UpdateOutcome::kMayHaveRun;
   }
   const Duration wait = std::chrono::seconds(summary.max_age.value_or(1));
-  if (config_.kind == CallerKind::kDownload && next_block_ > 0) {
+  if (config_.kind == ClientKind::kDownload && next_block_ > 0) {
     ++stats_.broken_flows;
     next_block_ = 0;
   }
-  finish(now, wait);
+  schedule_next_work(now, wait);
 }
 
-void CallerModel::on_answer(const CoapSummary& summary, const std::string& text, Instant now) {
+void ClientModel::on_response(const CoapSummary& summary, const std::string& text, Instant now) {
   if (summary.code == coap_code::kServiceUnavailable ||
       summary.code == coap_code::kGatewayTimeout) {
     on_verdict(summary, now);
     return;
   }
-  ++stats_.answers;
+  ++stats_.responses;
   stats_.latencies.push_back(now - outstanding_->first_sent);
   switch (config_.kind) {
-    case CallerKind::kUpdate:
+    case ClientKind::kUpdate:
       if (text == "done " + outstanding_->id) {
-        stats_.updates[outstanding_->id] = UpdateFate::kDone;
+        stats_.updates[outstanding_->id] = UpdateOutcome::kDone;
       } else {
-        ++stats_.wrong_answers;
+        ++stats_.wrong_responses;
       }
-      finish(now, config_.pause);
+      schedule_next_work(now, config_.work_interval);
       return;
-    case CallerKind::kLookup:
-      stats_.wrong_answers += text.starts_with("found " + outstanding_->id + " at ") ? 0 : 1;
-      finish(now, config_.pause);
+    case ClientKind::kLookup:
+      stats_.wrong_responses += text.starts_with("found " + outstanding_->id + " at ") ? 0 : 1;
+      schedule_next_work(now, config_.work_interval);
       return;
-    case CallerKind::kDownload:
+    case ClientKind::kDownload:
       on_block(summary, text, now);
       return;
-    case CallerKind::kFeed:
+    case ClientKind::kObserve:
       // An answer without Observe: the target refuses the feed.
-      ++stats_.wrong_answers;
-      finish(now, config_.pause);
+      ++stats_.wrong_responses;
+      schedule_next_work(now, config_.work_interval);
       return;
   }
 }
 
-void CallerModel::on_block(const CoapSummary& summary, const std::string& text, Instant now) {
+void ClientModel::on_block(const CoapSummary& summary, const std::string& text, Instant now) {
   if (summary.code == coap_code::kEntityIncomplete) {
     // The target that answers is not the one that the download began at.
     ++stats_.broken_flows;
     next_block_ = 0;
-    finish(now, config_.pause);
+    schedule_next_work(now, config_.work_interval);
     return;
   }
   const std::string expected = download_content(document_id_);
   const bool right = summary.block2 && summary.block2->number == next_block_ &&
                      expected.compare(document_.size(), text.size(), text) == 0;
   if (!right) {
-    ++stats_.wrong_answers;
+    ++stats_.wrong_responses;
     next_block_ = 0;
-    finish(now, config_.pause);
+    schedule_next_work(now, config_.work_interval);
     return;
   }
   document_ += text;
   if (!summary.block2->more) {
-    stats_.wrong_answers += document_ == expected ? 0 : 1;
+    stats_.wrong_responses += document_ == expected ? 0 : 1;
     ++stats_.downloads;
     next_block_ = 0;
-    finish(now, config_.pause);
+    schedule_next_work(now, config_.work_interval);
     return;
   }
   ++next_block_;
@@ -268,19 +269,19 @@
                BlockOption{next_block_, false, kDownloadBlockExponent}, now);
 }
 
-void CallerModel::on_notification(const CoapSummary& summary, const std::string& text,
+void ClientModel::on_notification(const CoapSummary& summary, const std::string& text,
                                   Instant now) {
-  const std::string prefix = "feed " + feed_id_ + " from ";
+  const std::string prefix = "feed " + observation_id_ + " from ";
   if (!text.starts_with(prefix)) {
-    ++stats_.wrong_answers;
+    ++stats_.wrong_responses;
     return;
   }
-  if (!feed_open_ && outstanding_ && outstanding_->token == summary.token) {
-    ++stats_.feeds;
-    ++stats_.answers;
+  if (!observation_open_ && outstanding_ && outstanding_->token == summary.token) {
+    ++stats_.observations;
+    ++stats_.responses;
     stats_.latencies.push_back(now - outstanding_->first_sent);
     outstanding_.reset();
-    feed_open_ = true;
+    observation_open_ = true;
   } else if (!observe_is_fresher(last_observe_, *summary.observe)) {
     return;
   }
@@ -288,10 +289,10 @@
   last_notification_ = now;
   ++stats_.notifications;
   const std::string source = text.substr(prefix.size());
-  if (!feed_source_.empty() && source != feed_source_) {
-    ++stats_.feed_moves;
+  if (!observation_source_.empty() && source != observation_source_) {
+    ++stats_.observation_moves;
   }
-  feed_source_ = source;
+  observation_source_ = source;
 }
 
 }  // namespace gorsevalve
--- a/src/standins/caller_model.h
+++ b/src/standins/client_model.h
@@ -17,9 +17,9 @@
 
 namespace gorsevalve {
 
-enum class CallerKind : std::uint8_t {
+enum class ClientKind : std::uint8_t {
   /// Keeps one feed open.
-  kFeed = 0,
+  kObserve = 0,
   /// Sends updates that may not be repeated.
   kUpdate = 1,
   /// Fetches documents block by block.
@@ -29,58 +29,58 @@
 };
 
 /// What became of an update, as its caller was told.
-enum class UpdateFate : std::uint8_t { kUnknown = 0, kDone = 1, kNotRun = 2, kMayHaveRun = 3 };
+enum class UpdateOutcome : std::uint8_t { kUnknown = 0, kDone = 1, kNotRun = 2, kMayHaveRun = 3 };
 
 /// What callers saw, added up.
-struct CallerStats {
+struct ClientStats {
   std::uint64_t requests = 0;
-  std::uint64_t answers = 0;
+  std::uint64_t responses = 0;
   /// Answers whose content belongs to another request.
-  std::uint64_t wrong_answers = 0;
+  std::uint64_t wrong_responses = 0;
   /// Feeds that went silent, and downloads that failed or changed their target unasked.
   std::uint64_t broken_flows = 0;
-  std::uint64_t feeds = 0;
+  std::uint64_t observations = 0;
   std::uint64_t notifications = 0;
   /// Feed notifications from another target than before.
-  std::uint64_t feed_moves = 0;
+  std::uint64_t observation_moves = 0;
   std::uint64_t downloads = 0;
   std::uint64_t verdicts_not_run = 0;
   std::uint64_t verdicts_may_have_run = 0;
   std::uint64_t timeouts = 0;
   /// Verdicts without a time to come back.
-  std::uint64_t verdicts_without_time = 0;
+  std::uint64_t verdicts_without_max_age = 0;
   /// Time from first send to answer.
   std::vector<Duration> latencies;
-  std::map<std::string, UpdateFate> updates;
+  std::map<std::string, UpdateOutcome> updates;
 
-  void add(const CallerStats& other);
+  void add(const ClientStats& other);
 };
 
-struct CallerConfig {
-  CallerKind kind = CallerKind::kLookup;
+struct ClientConfig {
+  ClientKind kind = ClientKind::kLookup;
   FlowKey flow;
   /// Distinguishes the ids of this caller from all others'.
   std::string name;
   std::uint64_t seed = 1;
   /// Time before the first piece of work.
-  Duration start_after{};
+  Duration start_delay{};
   /// Pause between two pieces of work.
-  Duration pause = std::chrono::milliseconds(200);
-  Duration feed_interval = std::chrono::milliseconds(500);
+  Duration work_interval = std::chrono::milliseconds(200);
+  Duration notification_interval = std::chrono::milliseconds(500);
   /// Ports that the caller uses in turn, from the flow's port on: each lookup is a flow of its own.
-  std::uint16_t ports = 1;
+  std::uint16_t port_count = 1;
 };
 
-class CallerOutput {
+class ClientOutput {
  public:
-  virtual ~CallerOutput() = default;
+  virtual ~ClientOutput() = default;
   virtual void send(const FlowKey& flow, ByteView message) = 0;
 };
 
 /// One caller. Retransmits as RFC 7252 section 4.2 says.
-class CallerModel {
+class ClientModel {
  public:
-  CallerModel(CallerConfig config, CallerOutput& output, Instant now);
+  ClientModel(ClientConfig config, ClientOutput& output, Instant now);
 
   void on_message(ByteView message, Instant now);
   void on_tick(Instant now);
@@ -88,8 +88,8 @@
   void stop() { stopping_ = true; }
   [[nodiscard]] bool is_idle() const;
 
-  [[nodiscard]] const CallerStats& stats() const { return stats_; }
-  [[nodiscard]] const CallerConfig& config() const { return config_; }
+  [[nodiscard]] const ClientStats& stats() const { return stats_; }
+  [[nodiscard]] const ClientConfig& config() const { return config_; }
 
   /// A feed is broken when it is silent for this many intervals.
   static constexpr int kSilentIntervals = 8;
@@ -110,16 +110,16 @@
   void send_request(std::uint8_t code, std::string_view path, const std::string& id,
                     std::optional<std::uint32_t> observe, std::optional<BlockOption> block,
                     Instant now);
-  void on_answer(const CoapSummary& summary, const std::string& text, Instant now);
+  void on_response(const CoapSummary& summary, const std::string& text, Instant now);
   void on_verdict(const CoapSummary& summary, Instant now);
   void on_notification(const CoapSummary& summary, const std::string& text, Instant now);
   void on_block(const CoapSummary& summary, const std::string& text, Instant now);
   void on_timeout(Instant now);
-  void finish(Instant now, Duration pause);
+  void schedule_next_work(Instant now, Duration pause);
 
-  CallerConfig config_;
-  CallerOutput& output_;
-  CallerStats stats_;
+  ClientConfig config_;
+  ClientOutput& output_;
+  ClientStats stats_;
   std::mt19937_64 random_;
   CoapParser parser_;
   std::optional<Outstanding> outstanding_;
@@ -131,10 +131,10 @@
   bool stopping_ = false;
   std::set<std::uint16_t> seen_confirmable_;
 
-  bool feed_open_ = false;
-  std::string feed_id_;
-  CoapToken feed_token_;
-  std::string feed_source_;
+  bool observation_open_ = false;
+  std::string observation_id_;
+  CoapToken observation_token_;
+  std::string observation_source_;
   Instant last_notification_;
   std::uint32_t last_observe_ = 0;
 
--- a/src/standins/fabric_main.cc
+++ b/src/standins/fabric_main.cc
@@ -29,7 +29,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr Duration kListInterval = std::chrono::milliseconds(500);
+constexpr Duration kMachineListInterval = std::chrono::milliseconds(500);
 
 /// Loses, doubles and delays what is sent through it.
 class FaultySender {
@@ -79,7 +79,7 @@
     for (const auto& service : settings.services) {
       if (!open(service.address, service_sockets_[service.address],
                 [this, service](ByteView datagram, const Endpoint& from) {
-                  on_caller({from, service.address}, datagram);
+                  on_client_datagram({from, service.address}, datagram);
                 })) {
         return false;
       }
@@ -90,9 +90,9 @@
         open(egress, egress_,
              [this](ByteView datagram, const Endpoint&) { on_egress(datagram); }) &&
         open(ingress, ingress_, [this](ByteView datagram, const Endpoint&) { spray(datagram); });
-    platform_ = require_endpoint("platform", absl::GetFlag(FLAGS_platform));
-    loop_.every(kListInterval, [this] { fetch_list(); });
-    fetch_list();
+    platform_address_ = require_endpoint("platform", absl::GetFlag(FLAGS_platform));
+    loop_.every(kMachineListInterval, [this] { fetch_machine_list(); });
+    fetch_machine_list();
     return opened;
   }
 
@@ -109,7 +109,7 @@
     return true;
   }
 
-  void on_caller(const FlowKey& flow, ByteView datagram) {
+  void on_client_datagram(const FlowKey& flow, ByteView datagram) {
     spray(encode_proxy_datagram({flow, {}, {}, {}}, datagram));
   }
 
@@ -135,27 +135,28 @@
     }
   }
 
-  void fetch_list() {
-    client_.send({"GET", platform_, "/machines", "", ""}, [this](HttpClient::Result result) {
-      const auto list =
-          result ? nlohmann::json::parse(result->body, nullptr, false) : nlohmann::json();
-      if (!list.is_object()) {
-        return;
-      }
-      std::vector<Endpoint> live;
-      for (const auto& address : list.value("live", nlohmann::json::array())) {
-        if (const auto endpoint = parse_endpoint(address.get<std::string>())) {
-          live.push_back(*endpoint);
-        }
-      }
-      balancers_ = live;
-    });
+  void fetch_machine_list() {
+    client_.send(
+        {"GET", platform_address_, "/machines", "", ""}, [this](HttpClient::Result result) {
+          const auto list =
+              result ? nlohmann::json::parse(result->body, nullptr, false) : nlohmann::json();
+          if (!list.is_object()) {
+            return;
+          }
+          std::vector<Endpoint> live;
+          for (const auto& address : list.value("live", nlohmann::json::array())) {
+            if (const auto endpoint = parse_endpoint(address.get<std::string>())) {
+              live.push_back(*endpoint);
+            }
+          }
+          balancers_ = live;
+        });
   }
 
   EventLoop& loop_;
   FaultySender sender_;
   HttpClient client_;
-  Endpoint platform_;
+  Endpoint platform_address_;
   std::map<Endpoint, std::unique_ptr<UdpSocket>> service_sockets_;
   std::unique_ptr<UdpSocket> egress_;
   std::unique_ptr<UdpSocket> ingress_;
--- a/src/standins/platform_main.cc
+++ b/src/standins/platform_main.cc
@@ -27,7 +27,7 @@
  public:
   HttpResponse on_request(const HttpRequest& request) {
     if (request.method == "GET" && request.path == "/machines") {
-      return {200, "application/json", shown()};
+      return {200, "application/json", delayed_list_json()};
     }
     MachineList next = history_.empty() ? MachineList{} : history_.back().list;
     next.live.erase(request.body);
@@ -44,12 +44,12 @@
   }
 
  private:
-  struct Version {
+  struct Snapshot {
     Instant since;
     MachineList list;
   };
 
-  std::string shown() {
+  std::string delayed_list_json() {
     const Instant then = monotonic_now() - std::chrono::milliseconds(absl::GetFlag(FLAGS_lag_ms));
     while (history_.size() > 1 && history_[1].since <= then) {
       history_.pop_front();
@@ -59,7 +59,7 @@
     return nlohmann::json{{"live", list.live}, {"leaving", list.leaving}}.dump();
   }
 
-  std::deque<Version> history_;
+  std::deque<Snapshot> history_;
 };
 
 int run() {
--- a/src/standins/target_main.cc
+++ b/src/standins/target_main.cc
@@ -56,17 +56,17 @@
   }
 
  private:
-  void send_answer(const ProxyHeader& header, ByteView message) override {
+  void send_response(const ProxyHeader& header, ByteView message) override {
     socket_->send(ingress_, encode_proxy_datagram(header, message));
   }
 
   HttpResponse on_request(const HttpRequest& request) {
     if (request.path == "/executions") {
       const nlohmann::json body = {{"executions", model_.executions()},
-                                   {"foreign", model_.foreign_datagrams()},
+                                   {"foreign", model_.misrouted_datagrams()},
                                    {"requests", model_.requests_run()},
-                                   {"feeds", model_.open_feeds()},
-                                   {"last_new_work_ms_ago", last_new_work_ms()}};
+                                   {"feeds", model_.open_observations()},
+                                   {"last_new_work_ms_ago", last_new_work_age_ms()}};
       return {200, "application/json", body.dump()};
     }
     const TargetReport report = model_.report(monotonic_now());
@@ -76,7 +76,7 @@
     return {200, "application/json", body.dump()};
   }
 
-  [[nodiscard]] std::int64_t last_new_work_ms() const {
+  [[nodiscard]] std::int64_t last_new_work_age_ms() const {
     const Duration age = monotonic_now() - model_.last_new_work();
     return std::chrono::duration_cast<std::chrono::milliseconds>(age).count();
   }
@@ -97,8 +97,8 @@
   config.name = text.substr(0, at);
   config.address = require_endpoint("targets", text.substr(at + 1));
   config.service_time = std::chrono::milliseconds(absl::GetFlag(FLAGS_service_time_ms));
-  config.cold_service_time = 3 * config.service_time;
-  config.feed_interval = std::chrono::milliseconds(absl::GetFlag(FLAGS_feed_interval_ms));
+  config.warm_up_service_time = 3 * config.service_time;
+  config.notification_interval = std::chrono::milliseconds(absl::GetFlag(FLAGS_feed_interval_ms));
   config.report_lag = std::chrono::milliseconds(absl::GetFlag(FLAGS_report_lag_ms));
   config.misleading_report = absl::GetFlag(FLAGS_misleading_report);
   return config;
--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -7,10 +7,10 @@
 namespace gorsevalve {
 namespace {
 
-constexpr std::size_t kAnswersRemembered = 20000;
-constexpr std::uint32_t kUnconfirmedLimit = 8;
+constexpr std::size_t kMaxCachedResponses = 20000;
+constexpr std::uint32_t kMaxUnacknowledged = 8;
 /// Every so many notifications one is confirmable, so that dead feeds are found (RFC 7641 4.5).
-constexpr std::uint32_t kConfirmableEvery = 4;
+constexpr std::uint32_t kConfirmableInterval = 4;
 
 }  // namespace
 
@@ -28,22 +28,22 @@
 
 Duration TargetModel::service_time(Instant now) const {
   const Duration age = now - started_;
-  if (age >= config_.cold_for) {
+  if (age >= config_.warm_up_time) {
     return config_.service_time;
   }
   const double warm =
-      static_cast<double>(age.count()) / static_cast<double>(config_.cold_for.count());
+      static_cast<double>(age.count()) / static_cast<double>(config_.warm_up_time.count());
   const auto extra =
-      static_cast<double>((config_.cold_service_time - config_.service_time).count());
+      static_cast<double>((config_.warm_up_service_time - config_.service_time).count());
   return config_.service_time + Duration(static_cast<std::int64_t>(extra * (1 - warm)));
 }
 
-void TargetModel::answer(const ProxyHeader& header, const Bytes& message) {
+void TargetModel::respond(const ProxyHeader& header, const Bytes& message) {
   ProxyHeader reply;
   reply.flow = header.flow;
   reply.request_id = header.request_id;
   reply.target = config_.address;
-  output_.send_answer(reply, message);
+  output_.send_response(reply, message);
 }
 
 void TargetModel::on_datagram(ByteView datagram, Instant now) {
@@ -54,7 +54,7 @@
   const ProxyHeader& header = decoded->header;
   service_ = service_.value_or(header.flow.service);
   if (header.flow.service != *service_) {
-    ++foreign_datagrams_;
+    ++misrouted_datagrams_;
   }
   const auto summary = parser_.parse(decoded->payload);
   if (!summary) {
@@ -69,21 +69,21 @@
 }
 
 void TargetModel::on_empty(const ProxyHeader& header, const CoapSummary& summary) {
-  for (auto& job : waiting_) {
+  for (auto& job : queued_) {
     if (summary.type == CoapType::kReset && job.header.request_id == header.request_id) {
       job.cancelled = true;
     }
   }
-  for (auto feed = feeds_.begin(); feed != feeds_.end(); ++feed) {
+  for (auto feed = observations_.begin(); feed != observations_.end(); ++feed) {
     const bool matches =
         feed->first.flow == header.flow && feed->second.last_message_id == summary.message_id;
     if (!matches) {
       continue;
     }
     if (summary.type == CoapType::kReset) {
-      feeds_.erase(feed);
+      observations_.erase(feed);
     } else {
-      feed->second.unconfirmed = 0;
+      feed->second.unacknowledged = 0;
     }
     return;
   }
@@ -92,21 +92,21 @@
 void TargetModel::on_request(const ProxyHeader& header, const CoapSummary& summary,
                              ByteView message, Instant now) {
   const MessageKey key{header.flow, summary.message_id};
-  const auto known = answered_.find(key);
-  if (known != answered_.end()) {
+  const auto known = cached_responses_.find(key);
+  if (known != cached_responses_.end()) {
     if (!known->second.empty()) {
-      answer(header, known->second);
+      respond(header, known->second);
     }
     return;
   }
-  if (running_.size() >= config_.slots && waiting_.size() >= config_.queue_limit) {
+  if (running_.size() >= config_.slots && queued_.size() >= config_.queue_limit) {
     // A copy of a refused request is refused, too, also when there is room by then (RFC 7252 4.5).
-    remember(key) = encode_verdict({Execution::kNotRun, FailureReason::kOverload}, summary.type,
-                                   summary.message_id, summary.token);
-    answer(header, answered_[key]);
+    cached_response(key) = encode_verdict({Execution::kNotRun, FailureReason::kOverload},
+                                          summary.type, summary.message_id, summary.token);
+    respond(header, cached_responses_[key]);
     return;
   }
-  remember(key) = {};
+  cached_response(key) = {};
   const bool continues = summary.block2 && summary.block2->number > 0;
   if (!continues) {
     last_new_work_ = now;
@@ -115,22 +115,22 @@
   if (header.time_left_ms) {
     job.deadline = now + std::chrono::milliseconds(*header.time_left_ms);
   }
-  waiting_.push_back(std::move(job));
+  queued_.push_back(std::move(job));
 }
 
-Bytes& TargetModel::remember(const MessageKey& key) {
-  answered_order_.push_back(key);
-  if (answered_order_.size() > kAnswersRemembered) {
-    answered_.erase(answered_order_.front());
-    answered_order_.pop_front();
+Bytes& TargetModel::cached_response(const MessageKey& key) {
+  cached_response_order_.push_back(key);
+  if (cached_response_order_.size() > kMaxCachedResponses) {
+    cached_responses_.erase(cached_response_order_.front());
+    cached_response_order_.pop_front();
   }
-  return answered_[key];
+  return cached_responses_[key];
 }
 
 void TargetModel::start_jobs(Instant now) {
-  while (!waiting_.empty() && running_.size() < config_.slots) {
-    Job job = std::move(waiting_.front());
-    waiting_.pop_front();
+  while (!queued_.empty() && running_.size() < config_.slots) {
+    Job job = std::move(queued_.front());
+    queued_.pop_front();
     if (job.cancelled || (job.deadline && now > *job.deadline)) {
       ++requests_dropped_;
       continue;
@@ -156,21 +156,21 @@
     }
   }
   std::vector<TokenKey> dead;
-  for (auto& [key, feed] : feeds_) {
+  for (auto& [key, feed] : observations_) {
     if (now < feed.next_at) {
       continue;
     }
-    if (feed.unconfirmed > kUnconfirmedLimit) {
+    if (feed.unacknowledged > kMaxUnacknowledged) {
       dead.push_back(key);
       continue;
     }
-    const bool confirmable = feed.sequence % kConfirmableEvery == 0;
+    const bool confirmable = feed.sequence % kConfirmableInterval == 0;
     notify(feed, confirmable ? CoapType::kConfirmable : CoapType::kNonConfirmable,
            next_message_id_++, now);
-    feed.unconfirmed += confirmable ? 1 : 0;
+    feed.unacknowledged += confirmable ? 1 : 0;
   }
   for (const auto& key : dead) {
-    feeds_.erase(key);
+    observations_.erase(key);
   }
 }
 
@@ -195,7 +195,7 @@
   reply.message_id = summary->message_id;
   reply.token = summary->token;
   if (path == target_path::kFeed && summary->observe) {
-    run_feed(job, *summary, id, now);
+    run_observe(job, *summary, id, now);
     return;
   }
   if (path == target_path::kUpdate && summary->code == coap_code::kPost) {
@@ -204,9 +204,9 @@
     const std::string text = "done " + id;
     reply.payload.assign(text.begin(), text.end());
   } else if (path == target_path::kDownload) {
-    answered_[MessageKey{job.header.flow, summary->message_id}] =
+    cached_responses_[MessageKey{job.header.flow, summary->message_id}] =
         run_download(job.header.flow, *summary, id);
-    answer(job.header, answered_[MessageKey{job.header.flow, summary->message_id}]);
+    respond(job.header, cached_responses_[MessageKey{job.header.flow, summary->message_id}]);
     return;
   } else if (path == target_path::kLookup) {
     reply.code = coap_code::kContent;
@@ -216,8 +216,8 @@
     reply.code = coap_code::kNotFound;
   }
   Bytes message = encode_coap(reply);
-  answer(job.header, message);
-  answered_[MessageKey{job.header.flow, summary->message_id}] = std::move(message);
+  respond(job.header, message);
+  cached_responses_[MessageKey{job.header.flow, summary->message_id}] = std::move(message);
 }
 
 Bytes TargetModel::run_download(const FlowKey& flow, const CoapSummary& summary,
@@ -245,31 +245,31 @@
   return encode_coap(reply);
 }
 
-void TargetModel::run_feed(const Job& job, const CoapSummary& summary, const std::string& id,
-                           Instant now) {
+void TargetModel::run_observe(const Job& job, const CoapSummary& summary, const std::string& id,
+                              Instant now) {
   const TokenKey key{job.header.flow, summary.token};
   const CoapType reply_type = summary.type == CoapType::kConfirmable ? CoapType::kAcknowledgement
                                                                      : CoapType::kNonConfirmable;
   if (*summary.observe == 1) {
-    feeds_.erase(key);
+    observations_.erase(key);
     CoapMessage reply;
     reply.type = reply_type;
     reply.code = coap_code::kContent;
     reply.message_id = summary.message_id;
     reply.token = summary.token;
-    answer(job.header, encode_coap(reply));
+    respond(job.header, encode_coap(reply));
     return;
   }
-  Feed& feed = feeds_[key];
+  Observation& feed = observations_[key];
   feed.header = job.header;
   feed.token = summary.token;
   feed.id = id;
-  feed.unconfirmed = 0;
+  feed.unacknowledged = 0;
   notify(feed, reply_type, summary.message_id, now);
 }
 
-void TargetModel::notify(Feed& feed, CoapType type, std::uint16_t message_id, Instant now) {
-  feed.next_at = now + config_.feed_interval;
+void TargetModel::notify(Observation& feed, CoapType type, std::uint16_t message_id, Instant now) {
+  feed.next_at = now + config_.notification_interval;
   feed.sequence = (feed.sequence + 1) & kObserveMask;
   CoapMessage message;
   message.type = type;
@@ -282,23 +282,23 @@
   if (type != CoapType::kAcknowledgement) {
     feed.last_message_id = message_id;
   }
-  answer(feed.header, encode_coap(message));
+  respond(feed.header, encode_coap(message));
 }
 
 TargetReport TargetModel::report(Instant now) {
   TargetReport fresh;
   fresh.target = config_.address;
-  fresh.connections = static_cast<std::uint32_t>(feeds_.size());
-  fresh.running = static_cast<std::uint32_t>(running_.size() + waiting_.size());
+  fresh.connections = static_cast<std::uint32_t>(observations_.size());
+  fresh.running = static_cast<std::uint32_t>(running_.size() + queued_.size());
   if (config_.misleading_report) {
     fresh.connections = 0;
     fresh.running = 0;
   }
-  reports_.emplace_back(now, fresh);
-  while (reports_.size() > 1 && now - reports_[1].first >= config_.report_lag) {
-    reports_.pop_front();
+  report_history_.emplace_back(now, fresh);
+  while (report_history_.size() > 1 && now - report_history_[1].first >= config_.report_lag) {
+    report_history_.pop_front();
   }
-  return reports_.front().second;
+  return report_history_.front().second;
 }
 
 }  // namespace gorsevalve
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -45,9 +45,9 @@
   std::uint32_t queue_limit = 16;
   Duration service_time = std::chrono::milliseconds(2);
   /// Service time right after the start, falling to service_time within cold_for.
-  Duration cold_service_time = std::chrono::milliseconds(6);
-  Duration cold_for = std::chrono::seconds(5);
-  Duration feed_interval = std::chrono::milliseconds(500);
+  Duration warm_up_service_time = std::chrono::milliseconds(6);
+  Duration warm_up_time = std::chrono::seconds(5);
+  Duration notification_interval = std::chrono::milliseconds(500);
   /// Age of the figures that the health endpoint shows.
   Duration report_lag = std::chrono::milliseconds(500);
   /// The health endpoint says well whatever happens, or reports no load.
@@ -58,7 +58,7 @@
  public:
   virtual ~TargetOutput() = default;
   /// Sends an answer towards the balancers. The header names flow, request id and target.
-  virtual void send_answer(const ProxyHeader& header, ByteView message) = 0;
+  virtual void send_response(const ProxyHeader& header, ByteView message) = 0;
 };
 
 class TargetModel {
@@ -77,13 +77,13 @@
     return executions_;
   }
   /// Datagrams that came for a service other than the first one seen.
-  [[nodiscard]] std::uint64_t foreign_datagrams() const { return foreign_datagrams_; }
+  [[nodiscard]] std::uint64_t misrouted_datagrams() const { return misrouted_datagrams_; }
   /// New flows and new requests since the start, and when the last one came.
   [[nodiscard]] std::uint64_t requests_run() const { return requests_run_; }
   /// Requests that were not begun since they were cancelled or their time had passed.
   [[nodiscard]] std::uint64_t requests_dropped() const { return requests_dropped_; }
   [[nodiscard]] Instant last_new_work() const { return last_new_work_; }
-  [[nodiscard]] std::size_t open_feeds() const { return feeds_.size(); }
+  [[nodiscard]] std::size_t open_observations() const { return observations_.size(); }
   [[nodiscard]] const TargetModelConfig& config() const { return config_; }
 
  private:
@@ -95,26 +95,26 @@
     std::optional<Instant> deadline;
     bool cancelled = false;
   };
-  struct Feed {
+  struct Observation {
     ProxyHeader header;
     CoapToken token;
     std::string id;
     std::uint32_t sequence = 0;
     Instant next_at;
     std::uint16_t last_message_id = 0;
-    std::uint32_t unconfirmed = 0;
+    std::uint32_t unacknowledged = 0;
   };
 
   void on_empty(const ProxyHeader& header, const CoapSummary& summary);
   void on_request(const ProxyHeader& header, const CoapSummary& summary, ByteView message,
                   Instant now);
   /// The place of the answer to a message; the oldest one is forgotten.
-  Bytes& remember(const MessageKey& key);
+  Bytes& cached_response(const MessageKey& key);
   void start_jobs(Instant now);
   void finish(const Job& job, Instant now);
-  void answer(const ProxyHeader& header, const Bytes& message);
-  void run_feed(const Job& job, const CoapSummary& summary, const std::string& id, Instant now);
-  void notify(Feed& feed, CoapType type, std::uint16_t message_id, Instant now);
+  void respond(const ProxyHeader& header, const Bytes& message);
+  void run_observe(const Job& job, const CoapSummary& summary, const std::string& id, Instant now);
+  void notify(Observation& feed, CoapType type, std::uint16_t message_id, Instant now);
   Bytes run_download(const FlowKey& flow, const CoapSummary& summary, const std::string& id);
   [[nodiscard]] std::string query_id() const;
   [[nodiscard]] Duration service_time(Instant now) const;
@@ -124,22 +124,22 @@
   Instant started_;
   CoapParser parser_;
   std::deque<Job> running_;
-  std::deque<Job> waiting_;
+  std::deque<Job> queued_;
   std::map<std::string, std::uint32_t> executions_;
   /// Document that each flow fetches here. A block of another document than the one begun here is
   /// refused, so a download that was sent to two targets is noticed.
   std::map<FlowKey, std::string> downloads_;
-  absl::btree_map<TokenKey, Feed> feeds_;
+  absl::btree_map<TokenKey, Observation> observations_;
   /// Answers by message id, for duplicates (RFC 7252 section 4.5).
-  absl::flat_hash_map<MessageKey, Bytes> answered_;
-  std::deque<MessageKey> answered_order_;
+  absl::flat_hash_map<MessageKey, Bytes> cached_responses_;
+  std::deque<MessageKey> cached_response_order_;
   std::uint16_t next_message_id_ = 1;
   std::optional<Endpoint> service_;
-  std::uint64_t foreign_datagrams_ = 0;
+  std::uint64_t misrouted_datagrams_ = 0;
   std::uint64_t requests_run_ = 0;
   std::uint64_t requests_dropped_ = 0;
   Instant last_new_work_;
-  std::deque<std::pair<Instant, TargetReport>> reports_;
+  std::deque<std::pair<Instant, TargetReport>> report_history_;
 };
 
 }  // namespace gorsevalve
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -57,7 +57,8 @@
                                                                       ControlTaskConfig config,
                                                                       Disk& disk);
 
-  /// Submits settings; calls back when they are decided, or with kPending after kSubmissionTimeout.
+  /// Submits settings; calls back when they are decided, or with kStatusPending after
+  /// kSubmissionTimeout.
   void submit(SettingsCommand command, SubmissionCallback callback);
   [[nodiscard]] SubmissionResult outcome(const SubmissionId& id) const;
 
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -3,17 +3,17 @@
 #include <cstring>
 #include <random>
 
-#include "platform/bodies.h"
 #include "platform/node_settings.h"
-#include "platform/packet_head.h"
+#include "platform/packet_header.h"
+#include "platform/request_bodies.h"
 
 namespace gorsevalve::platform {
 namespace {
 
 /// The opening packet that the protocol page shows.
-const Bytes kOpening = {0x00, 0x00, 0x44, 0x33, 0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0xd5,
-                        0xc3, 0xb2, 0xa1, 0x01, 0x00, 0x12, 0xc6, 0x41, 0x9c, 0x07, 0x00,
-                        0x40, 0x64, 0xbb, 0x01, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00};
+const Bytes kOpeningPacket = {0x00, 0x00, 0x44, 0x33, 0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0xd5,
+                              0xc3, 0xb2, 0xa1, 0x01, 0x00, 0x12, 0xc6, 0x41, 0x9c, 0x07, 0x00,
+                              0x40, 0x64, 0xbb, 0x01, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00};
 /// The reset that the protocol page shows for it.
 const Bytes kReset = {0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
                       0x00, 0x00, 0x00, 0x07, 0x00, 0x40, 0x64, 0xbb, 0x01, 0x01, 0x00,
@@ -62,7 +62,7 @@
 TEST_SUITE("platform") {
   TEST_CASE("the page's opening packet is read, and its reset is written, octet by octet") {
     const PlatformPacketFormat format(8172);
-    const auto packet = format.parse(kOpening);
+    const auto packet = format.parse(kOpeningPacket);
     REQUIRE(packet);
     CHECK(packet->opens);
     CHECK(to_string(packet->flow.client) == "100.64.0.7:40001");
@@ -77,28 +77,28 @@
     RegisteredTarget target;
     target.id = 0x7f3a91c2;
     target.token = 0x04030201;
-    REQUIRE(format.forwarded_size(kOpening.size()) == 8 + kOpening.size());
-    Bytes out(8 + kOpening.size());
-    format.write_forwarded(kOpening, target, out);
+    REQUIRE(format.forwarded_size(kOpeningPacket.size()) == 8 + kOpeningPacket.size());
+    Bytes out(8 + kOpeningPacket.size());
+    format.write_forwarded(kOpeningPacket, target, out);
     const std::array<std::uint8_t, 8> expected = {0, 0, 0, 0, 0x7f, 0x3a, 0x91, 0xc2};
     CHECK(std::memcmp(out.data(), expected.data(), expected.size()) == 0);
-    CHECK(std::memcmp(out.data() + 8, kOpening.data(), 28) == 0);
+    CHECK(std::memcmp(out.data() + 8, kOpeningPacket.data(), 28) == 0);
     CHECK(format.parse(ByteView(out).subspan(8))->token == 0x04030201);
   }
 
   TEST_CASE("malformed packets and those that only targets write are refused") {
     const PlatformPacketFormat format(8172);
-    CHECK_FALSE(format.parse(ByteView(kOpening).first(31)));
-    Bytes longer = kOpening;
+    CHECK_FALSE(format.parse(ByteView(kOpeningPacket).first(31)));
+    Bytes longer = kOpeningPacket;
     longer.push_back(0);
     CHECK_FALSE(format.parse(longer));
-    Bytes answer = kOpening;
+    Bytes answer = kOpeningPacket;
     answer[26] = 8 | 2;
     CHECK_FALSE(format.parse(answer));
   }
 
   TEST_CASE("a configuration is translated") {
-    const auto settings = parse_configuration(kConfiguration);
+    const auto settings = parse_steering_settings(kConfiguration);
     REQUIRE(settings);
     CHECK(settings->version == 7);
     CHECK(settings->idle_timeout_ms == 15000);
@@ -112,7 +112,7 @@
   TEST_CASE("classes of requests, priorities and warm-up are translated") {
     std::string text = replaced(kConfiguration, R"("type":"idempotent")", R"("type":"upload")");
     text = replaced(text, R"("tls":false})", R"("tls":false,"warmup_s":2.5,"warmup_per_s":7.5})");
-    const auto settings = parse_configuration(text);
+    const auto settings = parse_steering_settings(text);
     REQUIRE(settings);
     CHECK(settings->frontends[0].request_class == RequestClass::kNonIdempotent);
     CHECK(settings->frontends[0].priority == 1);
@@ -124,15 +124,15 @@
   }
 
   TEST_CASE("a type of a later page is served as the most careful class") {
-    const auto settings =
-        parse_configuration(replaced(kConfiguration, R"("type":"idempotent")", R"("type":"tail")"));
+    const auto settings = parse_steering_settings(
+        replaced(kConfiguration, R"("type":"idempotent")", R"("type":"tail")"));
     REQUIRE(settings);
     CHECK(settings->frontends[1].request_class == RequestClass::kNonIdempotent);
   }
 
   TEST_CASE("an invalid configuration is refused with the field's name") {
     const auto refused = [](const std::string& body, const std::string& word) {
-      const auto settings = parse_configuration(body);
+      const auto settings = parse_steering_settings(body);
       REQUIRE_FALSE(settings);
       CHECK(settings.error().find(word) != std::string::npos);
     };
@@ -187,11 +187,11 @@
   }
 
   TEST_CASE("the end of a target may tell which life ends") {
-    CHECK(parse_end("").value() == std::nullopt);
-    CHECK(parse_end("{}").value() == std::nullopt);
-    CHECK(parse_end(R"({"born":1764732526000})").value() == TargetStart{1764732526000});
-    CHECK_FALSE(parse_end(R"({"born":"yesterday"})"));
-    CHECK_FALSE(parse_end("\xff\xfe"));
+    CHECK(parse_target_end("").value() == std::nullopt);
+    CHECK(parse_target_end("{}").value() == std::nullopt);
+    CHECK(parse_target_end(R"({"born":1764732526000})").value() == TargetStart{1764732526000});
+    CHECK_FALSE(parse_target_end(R"({"born":"yesterday"})"));
+    CHECK_FALSE(parse_target_end("\xff\xfe"));
   }
 
   TEST_CASE("what another writer sends as an announcement names no target") {
@@ -216,18 +216,18 @@
   TEST_CASE("settings are read; a bad field is named") {
     const auto settings = parse_node_settings(kSettings, "boot.conf");
     REQUIRE(settings);
-    CHECK(settings->datagrams.port == 8172);
-    CHECK(settings->control.port == 0);
+    CHECK(settings->datagram_address.port == 8172);
+    CHECK(settings->control_address.port == 0);
     CHECK(settings->reflects_token);
     REQUIRE(settings->replica_addresses().size() == 2);
     CHECK(to_string(settings->replica_addresses()[1]) == "10.2.0.42:7720");
-    CHECK(settings->link_octets_per_s == 250000);
+    CHECK(settings->link_bytes_per_s == 250000);
     CHECK(settings->zones == std::vector<std::string>{"z", "y"});
     for (const char* absurd : {"", "0", "-2", "nan", "1e99", "fast", "2.0 "}) {
       const std::string rate = "\"" + std::string(absurd) + "\"";
       const auto other = parse_node_settings(replaced(kSettings, "\"2.0\"", rate), "boot.conf");
       REQUIRE(other);
-      CHECK(other->link_octets_per_s == 0);
+      CHECK(other->link_bytes_per_s == 0);
     }
     const auto bad =
         parse_node_settings(replaced(kSettings, "10.1.0.10:8172", "here"), "boot.conf");
@@ -240,14 +240,14 @@
     std::mt19937_64 random(20261202);
     const PlatformPacketFormat format(8172);
     for (int round = 0; round < 20000; ++round) {
-      Bytes packet = kOpening;
+      Bytes packet = kOpeningPacket;
       std::string body = round % 2 == 0 ? kConfiguration : kAnnouncement;
       packet[random() % packet.size()] ^= static_cast<std::uint8_t>(1U << (random() % 8));
       packet.resize(packet.size() + random() % 3 - 1);
       body[random() % body.size()] = static_cast<char>(random());
       body.resize(body.size() - random() % 5);
       static_cast<void>(format.parse(packet));
-      static_cast<void>(parse_configuration(body));
+      static_cast<void>(parse_steering_settings(body));
       static_cast<void>(parse_announcement("i-7f", body));
     }
   }
--- a/tests/sim/test_scenarios.cc
+++ b/tests/sim/test_scenarios.cc
@@ -23,7 +23,7 @@
         FAIL_CHECK("scenario=" << all[i].name << " seed=" << seed << " "
                                << to_string(violation.invariant) << ": " << violation.detail);
       }
-      CHECK(result.callers.answers > 0);
+      CHECK(result.callers.responses > 0);
     }
   }
 }
