--- a/src/bench/bench_fleet.h
+++ b/src/bench/bench_fleet.h
@@ -20,7 +20,7 @@
  public:
   explicit BenchBalancer(const FleetState& fleet);
 
-  /// Opens flows with numbers below `count` that are not open yet, with one request each.
+  /// Opens flows with numbers below `events_run` that are not open yet, with one request each.
   void open_flows(std::uint32_t count);
   /// One request and its answer on a flow.
   void exchange(std::uint32_t flow);
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -99,8 +99,8 @@
       }
     }
   }
-  /// Healthy targets that responded to requests recently, the latest first; at most `count`, never
-  /// `except`.
+  /// Healthy targets that responded to requests recently, the latest first; at most `events_run`,
+  /// never `except`.
   [[nodiscard]] std::vector<TargetId> latest_answered(std::size_t count, TargetId except,
                                                       Instant now) const;
   /// True when this balancer suspects the target or its aggregated health is bad.
--- a/src/sim/balancer_node.h
+++ b/src/sim/balancer_node.h
@@ -27,11 +27,11 @@
 /// How balancers keep flows on their targets.
 enum class AffinityScheme : std::uint8_t {
   /// The product's core.
-  kOwners = 0,
+  kPartitionOwners = 0,
   /// Each balancer for itself: a Maglev table and a local table of the flows that it has seen.
   kMaglevLocal = 1,
   /// As before, and each new binding is copied to every other balancer.
-  kCopyAll = 2,
+  kReplicateToAll = 2,
 };
 
 std::unique_ptr<BalancerNode> make_balancer_node(AffinityScheme scheme,
--- a/src/sim/baseline_node.cc
+++ b/src/sim/baseline_node.cc
@@ -8,9 +8,9 @@
 namespace {
 
 /// The product's core behind the interface of the simulator.
-class OwnerNode : public BalancerNode {
+class CoreNode : public BalancerNode {
  public:
-  OwnerNode(const BalancerConfig& config, BalancerOutput& output) : balancer_(config, output) {}
+  CoreNode(const BalancerConfig& config, BalancerOutput& output) : balancer_(config, output) {}
 
   void on_datagram(ByteView datagram, Instant now) override {
     balancer_.on_datagram(datagram, now);
@@ -42,11 +42,11 @@
                                                  const BalancerConfig& config,
                                                  BalancerOutput& output) {
   switch (scheme) {
-    case AffinityScheme::kOwners:
-      return std::make_unique<OwnerNode>(config, output);
+    case AffinityScheme::kPartitionOwners:
+      return std::make_unique<CoreNode>(config, output);
     case AffinityScheme::kMaglevLocal:
       return std::make_unique<BaselineNode>(config, output, false);
-    case AffinityScheme::kCopyAll:
+    case AffinityScheme::kReplicateToAll:
       return std::make_unique<BaselineNode>(config, output, true);
   }
   return nullptr;
@@ -87,16 +87,16 @@
   if (table == services_.end() || table->second.entries.empty()) {
     return nullptr;
   }
-  const std::uint32_t entry = table->second.entries[flow_hash(flow) % kMaglevSize];
+  const std::uint32_t entry = table->second.entries[flow_hash(flow) % kMaglevTableSize];
   const Endpoint target = table->second.targets[entry];
   flows_[flow] = target;
-  if (copies_) {
-    copy(flow, target);
+  if (replicates_) {
+    replicate(flow, target);
   }
   return &flows_[flow];
 }
 
-void BaselineNode::copy(const FlowKey& flow, const Endpoint& target) {
+void BaselineNode::replicate(const FlowKey& flow, const Endpoint& target) {
   ReplicateRequest request;
   request.members_revision = fleet_.members_revision;
   request.batch = ++last_batch_;
--- a/src/sim/baseline_node.h
+++ b/src/sim/baseline_node.h
@@ -14,7 +14,7 @@
 class BaselineNode : public BalancerNode {
  public:
   BaselineNode(const BalancerConfig& config, BalancerOutput& output, bool copies)
-      : self_(config.self), output_(output), copies_(copies) {}
+      : self_(config.self), output_(output), replicates_(copies) {}
 
   void on_datagram(ByteView datagram, Instant now) override;
   void on_peer_message(const Endpoint& from, const PeerMessage& message, Instant now) override;
@@ -35,12 +35,12 @@
   };
 
   [[nodiscard]] const Endpoint* find_or_bind(const FlowKey& flow);
-  void copy(const FlowKey& flow, const Endpoint& target);
+  void replicate(const FlowKey& flow, const Endpoint& target);
   [[nodiscard]] bool is_target(const FlowKey& flow, const Endpoint& target) const;
 
   Member self_;
   BalancerOutput& output_;
-  bool copies_;
+  bool replicates_;
   FleetState fleet_;
   absl::flat_hash_map<Endpoint, ServiceTable> services_;
   absl::flat_hash_map<FlowKey, Endpoint> flows_;
--- a/src/sim/event_queue.cc
+++ b/src/sim/event_queue.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 
 void EventQueue::at(Instant when, Action action) {
-  events_.push({std::max(when, now_), next_number_++, std::move(action)});
+  events_.push({std::max(when, now_), next_sequence_++, std::move(action)});
 }
 
 void EventQueue::every(Duration interval, std::function<bool()> action) {
@@ -26,7 +26,7 @@
     Event event = std::move(const_cast<Event&>(events_.top()));
     events_.pop();
     now_ = event.when;
-    ++count_;
+    ++events_run_;
     event.action();
   }
   now_ = std::max(now_, end);
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -28,15 +28,15 @@
   /// Runs all events up to and including an instant.
   void run_until(Instant end);
   /// Events run so far.
-  [[nodiscard]] std::uint64_t count() const { return count_; }
+  [[nodiscard]] std::uint64_t events_run() const { return events_run_; }
 
  private:
   struct Event {
     Instant when;
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     Action action;
     friend bool operator>(const Event& a, const Event& b) {
-      return a.when != b.when ? a.when > b.when : a.number > b.number;
+      return a.when != b.when ? a.when > b.when : a.sequence > b.sequence;
     }
   };
 
@@ -44,8 +44,8 @@
   void repeat(Instant when, Duration interval, const Repeated& action);
 
   Instant now_ = kStart;
-  std::uint64_t next_number_ = 0;
-  std::uint64_t count_ = 0;
+  std::uint64_t next_sequence_ = 0;
+  std::uint64_t events_run_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
 };
 
--- a/src/sim/deliberate_faults.cc
+++ b/src/sim/injected_faults.cc
@@ -1,9 +1,9 @@
-#include "sim/deliberate_faults.h"
+#include "sim/injected_faults.h"
 
 namespace gorsevalve {
 namespace {
 
-std::vector<DeliberateFault> make_faults() {
+std::vector<InjectedFault> make_faults() {
   return {
       {"skip_lease_check",
        [](SimFaults& faults) { faults.balancer.skip_lease_check = true; },
@@ -49,12 +49,12 @@
 
 }  // namespace
 
-std::span<const DeliberateFault> deliberate_faults() {
-  static const std::vector<DeliberateFault> kFaults = make_faults();
+std::span<const InjectedFault> injected_faults() {
+  static const std::vector<InjectedFault> kFaults = make_faults();
   return kFaults;
 }
 
-std::optional<FaultCatch> catch_fault(const DeliberateFault& fault, std::uint64_t seeds) {
+std::optional<FaultDetection> detect_fault(const InjectedFault& fault, std::uint64_t seeds) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     for (const auto name : fault.scenarios) {
       RunOptions options;
@@ -62,7 +62,7 @@
       fault.enable(options.faults);
       const RunResult result = run_scenario(*find_scenario(name), options);
       if (!result.violations.empty()) {
-        return FaultCatch{name, seed, result.violations.front()};
+        return FaultDetection{name, seed, result.violations.front()};
       }
     }
   }
--- a/src/sim/deliberate_faults.h
+++ b/src/sim/injected_faults.h
@@ -12,7 +12,7 @@
 
 namespace gorsevalve {
 
-struct DeliberateFault {
+struct InjectedFault {
   std::string_view name;
   std::function<void(SimFaults&)> enable;
   /// Scenarios in which it should show.
@@ -20,16 +20,16 @@
 };
 
 /// Where a fault was caught.
-struct FaultCatch {
+struct FaultDetection {
   std::string_view scenario;
   std::uint64_t seed = 0;
   Violation violation;
 };
 
-std::span<const DeliberateFault> deliberate_faults();
+std::span<const InjectedFault> injected_faults();
 
 /// Runs a fault's scenarios with seeds from 1 on until a checker sees it; nothing when none does
 /// within `seed_addresses` seeds of each.
-std::optional<FaultCatch> catch_fault(const DeliberateFault& fault, std::uint64_t seeds);
+std::optional<FaultDetection> detect_fault(const InjectedFault& fault, std::uint64_t seeds);
 
 }  // namespace gorsevalve
--- a/src/sim/checks.h
+++ b/src/sim/invariant_checker.h
@@ -17,24 +17,24 @@
 namespace gorsevalve {
 
 enum class Invariant : std::uint8_t {
-  kWrongAnswer,
-  kForeignDatagram,
-  kDoubledExecution,
-  kFalseNotRun,
-  kFalseDone,
+  kWrongResponse,
+  kMisroutedDatagram,
+  kDuplicateExecution,
+  kExecutedDespiteNotRun,
+  kLostUpdate,
   kBrokenFlow,
-  kFeedMoved,
-  kRequestCut,
-  kVerdictWithoutTime,
-  kLateNewWork,
-  kRevisionWentBack,
+  kObservationMoved,
+  kRequestFailed,
+  kVerdictWithoutRetryDelay,
+  kNewWorkAfterDrain,
+  kRevisionRegressed,
   kStateDiverged,
   kNotConverged,
-  kSlowForce,
+  kSlowApply,
   kTwoLeaders,
-  kTwoLeases,
-  kSubmissionHistory,
-  kNotSettled,
+  kTwoLeaseHolders,
+  kInconsistentHistory,
+  kHandoverIncomplete,
 };
 
 std::string_view to_string(Invariant invariant);
@@ -45,16 +45,16 @@
 };
 
 /// What an operator was told about one submission.
-struct ToldOutcome {
+struct ReportedOutcome {
   SubmissionOutcome outcome;
   Revision base = 0;
 };
 
-class Checks {
+class InvariantChecker {
  public:
-  Checks(const EventQueue& events, Trace& trace) : events_(events), trace_(trace) {}
+  InvariantChecker(const EventQueue& events, Trace& trace) : events_(events), trace_(trace) {}
 
-  void violate(Invariant invariant, const std::string& detail);
+  void report_violation(Invariant invariant, const std::string& detail);
   [[nodiscard]] const std::vector<Violation>& violations() const { return violations_; }
 
   /// A process has this state in force: the same revision must be the same state everywhere.
@@ -63,20 +63,20 @@
   void on_revision(const std::string& process, Revision before, Revision after);
   /// A replica acts as leader of a term.
   void on_leader(Term term, ReplicaId replica);
-  void on_told(const ToldOutcome& told);
+  void on_outcome(const ReportedOutcome& told);
   /// At the end: what operators were told against the history that was kept (a linearizability
   /// check for a register that is only changed by compare-and-set on its revision).
   void check_history(const std::vector<RevisionInfo>& history);
 
  private:
-  void check_accepted(const ToldOutcome& told, const std::map<Revision, RevisionInfo>& history);
+  void check_accepted(const ReportedOutcome& told, const std::map<Revision, RevisionInfo>& history);
 
   const EventQueue& events_;
   Trace& trace_;
   std::vector<Violation> violations_;
   std::map<Revision, std::uint64_t> digests_;
   std::map<Term, ReplicaId> leaders_;
-  std::map<SubmissionId, ToldOutcome> told_;
+  std::map<SubmissionId, ReportedOutcome> outcomes_;
 };
 
 }  // namespace gorsevalve
--- a/src/sim/maglev_table.cc
+++ b/src/sim/maglev_table.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr std::uint32_t kFree = 0xFFFFFFFF;
+constexpr std::uint32_t kEmptyEntry = 0xFFFFFFFF;
 constexpr std::uint64_t kOffsetSeed = 1;
 constexpr std::uint64_t kSkipSeed = 2;
 
@@ -19,19 +19,19 @@
   std::vector<std::uint32_t> skip;
   for (const std::uint64_t key : keys) {
     position.push_back(static_cast<std::uint32_t>(
-        XXH3_64bits_withSeed(&key, sizeof(key), kOffsetSeed) % kMaglevSize));
+        XXH3_64bits_withSeed(&key, sizeof(key), kOffsetSeed) % kMaglevTableSize));
     skip.push_back(static_cast<std::uint32_t>(
-        XXH3_64bits_withSeed(&key, sizeof(key), kSkipSeed) % (kMaglevSize - 1) + 1));
+        XXH3_64bits_withSeed(&key, sizeof(key), kSkipSeed) % (kMaglevTableSize - 1) + 1));
   }
-  std::vector<std::uint32_t> table(kMaglevSize, kFree);
+  std::vector<std::uint32_t> table(kMaglevTableSize, kEmptyEntry);
   std::uint32_t filled = 0;
   while (true) {
     for (std::uint32_t i = 0; i < keys.size(); ++i) {
-      while (table[position[i]] != kFree) {
-        position[i] = (position[i] + skip[i]) % kMaglevSize;
+      while (table[position[i]] != kEmptyEntry) {
+        position[i] = (position[i] + skip[i]) % kMaglevTableSize;
       }
       table[position[i]] = i;
-      if (++filled == kMaglevSize) {
+      if (++filled == kMaglevTableSize) {
         return table;
       }
     }
--- a/src/sim/maglev_table.h
+++ b/src/sim/maglev_table.h
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 
 /// Entries of the table; a prime well above the number of targets.
-constexpr std::uint32_t kMaglevSize = 4093;
+constexpr std::uint32_t kMaglevTableSize = 4093;
 
 /// Gives, for each entry, the index of the target that it belongs to. Targets are given by keys
 /// that identify them; the table is empty when there are none.
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -17,40 +17,41 @@
 /// Something broke: flows may break, what was promised must still be true.
 constexpr Expectations kUnplanned{false, false, false, false, true};
 /// As before, and some processes cannot hear of changes.
-constexpr Expectations kCutOff{false, false, false, false, false};
+constexpr Expectations kPartitioned{false, false, false, false, false};
 
-void lossless(WorldConfig& config) { config.network.loss = 0; }
+void disable_loss(WorldConfig& config) { config.network.loss = 0; }
 
 std::vector<Scenario> planned_scenarios() {
   return {
-      {"steady", "nothing changes", lossless, [](World&) {}, kPlannedLossless},
-      {"balancer_joins", "two balancers join", lossless,
+      {"steady", "nothing changes", disable_loss, [](World&) {}, kPlannedLossless},
+      {"balancer_joins", "two balancers join", disable_loss,
        [](World& world) { schedule(world, planned_join, 2); }, kPlannedLossless},
-      {"balancer_leaves", "a balancer leaves for good", lossless,
+      {"balancer_leaves", "a balancer leaves for good", disable_loss,
        [](World& world) { schedule(world, planned_leave, 1); }, kPlannedLossless},
       {"rolling_restart", "all balancers restart one after the other",
        [](WorldConfig& config) {
-         lossless(config);
-         config.load_time = seconds(50);
+         disable_loss(config);
+         config.load_duration = seconds(50);
        },
-       [](World& world) { world.at(seconds(2), [&world] { roll(world, 0); }); }, kPlannedLossless},
-      {"target_added", "targets come in cold", lossless,
+       [](World& world) { world.at(seconds(2), [&world] { restart_balancers_from(world, 0); }); },
+       kPlannedLossless},
+      {"target_added", "targets come in cold", disable_loss,
        [](World& world) { schedule(world, add_target, 2); }, kPlannedLossless},
-      {"target_drained", "a target drains", lossless,
+      {"target_drained", "a target drains", disable_loss,
        [](World& world) { schedule(world, planned_drain, 2); }, kPlannedLossless},
       {"many_feeds", "1,500 feeds over 15 targets: the balance of flows",
        [](WorldConfig& config) {
-         lossless(config);
-         config.callers = {1500, 10, 20, 0};
-         config.feed_interval = seconds(5);
+         disable_loss(config);
+         config.clients = {1500, 10, 20, 0};
+         config.notification_interval = seconds(5);
        },
        [](World&) {}, kPlannedLossless},
       {"many_feeds_drain", "the same while targets drain and come in, and balancers restart",
        [](WorldConfig& config) {
-         lossless(config);
-         config.callers = {1500, 10, 20, 10};
-         config.feed_interval = seconds(5);
-         config.load_time = seconds(60);
+         disable_loss(config);
+         config.clients = {1500, 10, 20, 10};
+         config.notification_interval = seconds(5);
+         config.load_duration = seconds(60);
        },
        [](World& world) {
          schedule(world, planned_drain, 1);
@@ -61,10 +62,10 @@
        kPlannedLossless},
       {"downloads_in_changes", "block-wise downloads while their service's targets change",
        [](WorldConfig& config) {
-         lossless(config);
-         config.callers = {4, 4, 4, 8};
+         disable_loss(config);
+         config.clients = {4, 4, 4, 8};
          config.service_time = milliseconds(15);
-         config.pause = milliseconds(20);
+         config.think_time = milliseconds(20);
        },
        [](World& world) {
          schedule(world, add_target_to_second_service, 3);
@@ -76,15 +77,17 @@
       {"target_removed",
        "a target is taken out without a drain; its feeds move",
        [](WorldConfig& /*config*/) {},
-       [](World& world) { world.at(moment(world), [&world] { remove_target(world, 3); }); },
+       [](World& world) {
+         world.at(random_load_time(world), [&world] { remove_target(world, 3); });
+       },
        {true, false, false, true, true}},
-      {"settings_changed", "weights change and services come in", lossless,
+      {"settings_changed", "weights change and services come in", disable_loss,
        [](World& world) {
          schedule(world, change_weight, 4);
          schedule(world, add_service, 2);
        },
        kPlannedLossless},
-      {"planned_together", "restart, drain, join and settings at once", lossless,
+      {"planned_together", "restart, drain, join and settings at once", disable_loss,
        [](World& world) {
          schedule(world, planned_restart, 2);
          schedule(world, planned_drain, 1);
@@ -112,7 +115,7 @@
        [](World& world) { schedule(world, kill_balancer, 1); }, kUnplanned},
       {"two_balancers_killed", "two balancers die at once, perhaps owner and backup", plain,
        [](World& world) {
-         world.at(moment(world), [&world] {
+         world.at(random_load_time(world), [&world] {
            kill_balancer(world);
            kill_balancer(world);
          });
@@ -121,26 +124,26 @@
       {"balancers_killed_often", "balancers die again and again", plain,
        [](World& world) { schedule(world, kill_balancer, 6); }, kUnplanned},
       {"balancer_frozen", "balancers freeze and wake believing that they still own", plain,
-       [](World& world) { schedule(world, freeze_balancer, 2); }, kUnplanned},
+       [](World& world) { schedule(world, pause_balancer, 2); }, kUnplanned},
       {"balancer_isolated", "a balancer loses the control replicas in silence", plain,
-       [](World& world) { schedule(world, isolate_balancer, 1); }, kCutOff},
+       [](World& world) { schedule(world, isolate_balancer, 1); }, kPartitioned},
       {"isolated_and_lossy", "as before, and callers send again since datagrams are lost",
        [](WorldConfig& config) {
          config.network.loss = 0.05;
-         config.callers = {4, 40, 0, 0};
+         config.clients = {4, 40, 0, 0};
        },
-       [](World& world) { schedule(world, isolate_balancer, 2); }, kCutOff},
+       [](World& world) { schedule(world, isolate_balancer, 2); }, kPartitioned},
       {"zone_cut", "a zone is cut off and comes back", plain,
-       [](World& world) { schedule(world, cut_zone, 1); }, kCutOff},
+       [](World& world) { schedule(world, isolate_zone, 1); }, kPartitioned},
       {"target_killed", "targets die and come back cold", plain,
        [](World& world) { schedule(world, kill_target, 2); }, kUnplanned},
       {"lossy_network", "a tenth of all datagrams is lost", plain,
-       [](World& world) { schedule(world, lose_datagrams, 2); }, kUnplanned},
+       [](World& world) { schedule(world, add_packet_loss, 2); }, kUnplanned},
       {"overload", "more load than the targets carry",
        [](WorldConfig& config) {
-         config.callers = {20, 60, 60, 20};
+         config.clients = {20, 60, 60, 20};
          config.service_time = milliseconds(60);
-         config.pause = milliseconds(20);
+         config.think_time = milliseconds(20);
          config.queue_limit = 4;
          config.first_targets = 4;
          config.second_targets = 2;
@@ -153,7 +156,7 @@
        [](World& world) {
          schedule(world, planned_restart, 2);
          schedule(world, kill_balancer, 2);
-         schedule(world, freeze_balancer, 1);
+         schedule(world, pause_balancer, 1);
          schedule(world, change_weight, 2);
          schedule(world, planned_drain, 1);
        },
@@ -172,13 +175,13 @@
        kUnplanned},
       {"leader_half_cut", "the leader and one other replica do not hear each other", plain,
        [](World& world) {
-         schedule(world, cut_leader_from_one, 3);
+         schedule(world, block_leader_from_follower, 3);
          race_operators(world, 2, 3);
        },
        kUnplanned},
       {"leader_frozen", "the leader freezes and wakes as leader", plain,
        [](World& world) {
-         schedule(world, freeze_leader, 2);
+         schedule(world, pause_leader, 2);
          race_operators(world, 2, 3);
        },
        kUnplanned},
@@ -202,7 +205,7 @@
        kUnplanned},
       {"all_controls_restarted", "all control replicas lose power at once", plain,
        [](World& world) {
-         world.at(moment(world), [&world] {
+         world.at(random_load_time(world), [&world] {
            for (std::size_t i = 0; i < world.controls().size(); ++i) {
              world.kill_control(i, world.random().between(seconds(1), seconds(3)));
            }
@@ -212,7 +215,7 @@
        kUnplanned},
       {"disk_lost", "a control replica comes back with an empty disk", plain,
        [](World& world) {
-         schedule(world, wipe_control, 1);
+         schedule(world, wipe_control_disk, 1);
          race_operators(world, 2, 3);
        },
        kUnplanned},
@@ -237,12 +240,12 @@
        [](World& world) {
          world.at(seconds(3), [&world] {
            world.note("cut region");
-           world.network().cut_group({0});
+           world.network().isolate_zones({0});
          });
          world.at(seconds(18), [&world] { world.heal(); });
          race_operators(world, 2, 2);
        },
-       kCutOff},
+       kPartitioned},
   };
 }
 
@@ -254,18 +257,18 @@
          config.balancers_per_zone = 1;
          config.control_replicas = 5;
          config.network.loss = 0.05;
-         config.callers = {4, 40, 0, 2};
-         config.load_time = seconds(95);
+         config.clients = {4, 40, 0, 2};
+         config.load_duration = seconds(95);
        },
        [](World& world) {
          world.at(seconds(2), [&world] {
            world.note("cut regions");
-           world.network().cut_group({0, 1});
+           world.network().isolate_zones({0, 1});
          });
          world.at(seconds(87), [&world] { world.heal(); });
          race_operators(world, 2, 2);
        },
-       kCutOff},
+       kPartitioned},
       {"regions_cut_for_an_hour", "the same for an hour, with little load",
        [](WorldConfig& config) {
          config.zones = 5;
@@ -273,33 +276,33 @@
          config.control_replicas = 5;
          config.first_targets = 3;
          config.second_targets = 2;
-         config.callers = {3, 6, 0, 1};
-         config.pause = seconds(5);
-         config.feed_interval = seconds(10);
-         config.load_time = seconds(3660);
+         config.clients = {3, 6, 0, 1};
+         config.think_time = seconds(5);
+         config.notification_interval = seconds(10);
+         config.load_duration = seconds(3660);
        },
        [](World& world) {
          world.at(seconds(10), [&world] {
            world.note("cut regions");
-           world.network().cut_group({0, 1});
+           world.network().isolate_zones({0, 1});
          });
          world.at(seconds(3610), [&world] { world.heal(); });
          race_operators(world, 2, 2);
        },
-       kCutOff},
+       kPartitioned},
       {"everything", "all failures and changes at any moment",
-       [](WorldConfig& config) { config.load_time = seconds(40); },
+       [](WorldConfig& config) { config.load_duration = seconds(40); },
        [](World& world) {
          const std::vector<Action> actions = {
-             planned_restart, planned_drain, planned_join,     change_weight,  kill_balancer,
-             freeze_balancer, cut_zone,      isolate_balancer, kill_control,   wipe_control,
-             isolate_leader,  freeze_leader, kill_target,      lose_datagrams, add_target};
+             planned_restart, planned_drain, planned_join,     change_weight,   kill_balancer,
+             pause_balancer,  isolate_zone,  isolate_balancer, kill_control,    wipe_control_disk,
+             isolate_leader,  pause_leader,  kill_target,      add_packet_loss, add_target};
          for (int i = 0; i < 8; ++i) {
            schedule(world, actions[world.random().below(actions.size())], 1);
          }
          race_operators(world, 2, 3);
        },
-       kCutOff},
+       kPartitioned},
   };
 }
 
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -29,7 +29,7 @@
 struct RunOptions {
   std::uint64_t seed = 1;
   bool prints_trace = false;
-  AffinityScheme scheme = AffinityScheme::kOwners;
+  AffinityScheme scheme = AffinityScheme::kPartitionOwners;
   SimFaults faults;
 };
 
--- a/src/sim/scenario_actions.cc
+++ b/src/sim/scenario_actions.cc
@@ -6,8 +6,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-std::size_t any_balancer(World& world) { return world.random().below(world.balancers().size()); }
-std::size_t any_control(World& world) { return world.random().below(world.controls().size()); }
+std::size_t random_balancer(World& world) { return world.random().below(world.balancers().size()); }
+std::size_t random_control(World& world) { return world.random().below(world.controls().size()); }
 
 void add_target_to(World& world, std::size_t service) {
   const Target target = world.spare_target(service);
@@ -18,12 +18,13 @@
 
 }  // namespace
 
-Duration moment(World& world) { return world.random().between(seconds(2), seconds(14)); }
+Duration random_load_time(World& world) { return world.random().between(seconds(2), seconds(14)); }
 
-void roll(World& world, std::size_t i) {
+void restart_balancers_from(World& world, std::size_t i) {
   if (i < world.balancers().size()) {
-    world.restart_balancer(
-        i, [&world, i] { world.events().after(seconds(1), [&world, i] { roll(world, i + 1); }); });
+    world.restart_balancer(i, [&world, i] {
+      world.events().after(seconds(1), [&world, i] { restart_balancers_from(world, i + 1); });
+    });
   }
 }
 
@@ -56,48 +57,48 @@
   });
 }
 
-void planned_restart(World& world) { world.restart_balancer(any_balancer(world)); }
+void planned_restart(World& world) { world.restart_balancer(random_balancer(world)); }
 void planned_drain(World& world) { world.drain_target(0, world.random().below(15)); }
 void drain_second_service(World& world) { world.drain_target(1, world.random().below(2)); }
 void planned_join(World& world) { world.add_balancer(); }
-void planned_leave(World& world) { world.remove_balancer(any_balancer(world)); }
+void planned_leave(World& world) { world.remove_balancer(random_balancer(world)); }
 
 void kill_balancer(World& world) {
-  world.kill_balancer(any_balancer(world), world.random().between(seconds(1), seconds(8)));
+  world.kill_balancer(random_balancer(world), world.random().between(seconds(1), seconds(8)));
 }
-void freeze_balancer(World& world) {
-  SimBalancer& balancer = *world.balancers()[any_balancer(world)];
+void pause_balancer(World& world) {
+  SimBalancer& balancer = *world.balancers()[random_balancer(world)];
   world.note("freeze " + balancer.config().name);
-  balancer.freeze(world.random().between(seconds(1), seconds(14)));
+  balancer.pause(world.random().between(seconds(1), seconds(14)));
 }
 void isolate_balancer(World& world) {
-  SimBalancer& balancer = *world.balancers()[any_balancer(world)];
+  SimBalancer& balancer = *world.balancers()[random_balancer(world)];
   world.note("isolate " + balancer.config().name + " from control");
   for (const auto& control : world.controls()) {
     world.network().block(balancer.config().address, control->config().address);
   }
   world.events().after(world.random().between(seconds(2), seconds(16)), [&world] { world.heal(); });
 }
-void cut_zone(World& world) {
+void isolate_zone(World& world) {
   const int zone = static_cast<int>(world.random().below(3));
-  world.cut_zone(zone, world.random().between(seconds(2), seconds(14)));
+  world.isolate_zone(zone, world.random().between(seconds(2), seconds(14)));
 }
 void kill_control(World& world) {
-  world.kill_control(any_control(world), world.random().between(seconds(1), seconds(6)));
+  world.kill_control(random_control(world), world.random().between(seconds(1), seconds(6)));
 }
-void wipe_control(World& world) {
+void wipe_control_disk(World& world) {
   // Disks of a majority that are lost for good cannot be recovered (docs/operators/control.md).
   if (!world.all_controls_vote()) {
     return;
   }
-  world.kill_control(any_control(world), world.random().between(seconds(1), seconds(4)), true);
+  world.kill_control(random_control(world), world.random().between(seconds(1), seconds(4)), true);
 }
 void isolate_leader(World& world) {
   if (const auto leader = world.leader()) {
     world.isolate_control(*leader, world.random().between(seconds(2), seconds(10)));
   }
 }
-void cut_leader_from_one(World& world) {
+void block_leader_from_follower(World& world) {
   const auto leader = world.leader();
   if (!leader) {
     return;
@@ -108,19 +109,19 @@
                         world.controls()[other]->config().address);
   world.events().after(world.random().between(seconds(2), seconds(8)), [&world] { world.heal(); });
 }
-void freeze_leader(World& world) {
+void pause_leader(World& world) {
   if (const auto leader = world.leader()) {
     world.note("freeze leader");
-    world.controls()[*leader]->freeze(world.random().between(seconds(1), seconds(6)));
+    world.controls()[*leader]->pause(world.random().between(seconds(1), seconds(6)));
   }
 }
 void fail_disk(World& world) {
-  SimControl& control = *world.controls()[any_control(world)];
+  SimControl& control = *world.controls()[random_control(world)];
   world.note("disk of " + control.config().name + " fails");
   control.disk().fail_after(world.random().below(4));
   SimControl* failed = &control;
   world.events().after(seconds(4), [failed] {
-    failed->disk().mend();
+    failed->disk().clear_faults();
     if (!failed->is_up()) {
       failed->start();
     }
@@ -135,7 +136,7 @@
   killed->kill();
   world.events().after(seconds(3), [killed] { killed->start(); });
 }
-void lose_datagrams(World& world) {
+void add_packet_loss(World& world) {
   world.note("lossy network");
   world.network().set_faults(0.1, 0.05);
   world.events().after(seconds(5), [&world] { world.network().set_faults(0.002, 0.002); });
@@ -143,7 +144,7 @@
 
 void schedule(World& world, Action action, int times) {
   for (int i = 0; i < times; ++i) {
-    world.at(moment(world), [&world, action] { action(world); });
+    world.at(random_load_time(world), [&world, action] { action(world); });
   }
 }
 
@@ -151,9 +152,9 @@
   for (int i = 0; i < operators; ++i) {
     SimOperator* one = &world.add_operator(0.3);
     for (int change = 0; change < changes; ++change) {
-      world.at(moment(world), [&world, one] {
+      world.at(random_load_time(world), [&world, one] {
         const auto weight = static_cast<std::uint32_t>(50 + world.random().below(100));
-        one->change(
+        one->enqueue_edit(
             [weight](Settings& settings) { settings.services[0].targets[1].weight = weight; });
       });
     }
--- a/src/sim/scenario_actions.h
+++ b/src/sim/scenario_actions.h
@@ -8,13 +8,13 @@
 using Action = void (*)(World&);
 
 /// A random time within the load.
-Duration moment(World& world);
+Duration random_load_time(World& world);
 /// Schedules an action several times, each at a random moment.
 void schedule(World& world, Action action, int times);
 
 // Planned changes.
 /// Restarts the balancers from number `i` on, one after the other.
-void roll(World& world, std::size_t i);
+void restart_balancers_from(World& world, std::size_t i);
 void planned_restart(World& world);
 void planned_join(World& world);
 void planned_leave(World& world);
@@ -29,21 +29,21 @@
 
 // Failures of balancers, targets and the network.
 void kill_balancer(World& world);
-void freeze_balancer(World& world);
+void pause_balancer(World& world);
 /// Cuts a balancer off from all control replicas; others still reach it.
 void isolate_balancer(World& world);
-void cut_zone(World& world);
+void isolate_zone(World& world);
 void kill_target(World& world);
-void lose_datagrams(World& world);
+void add_packet_loss(World& world);
 
 // Failures of control replicas.
 void kill_control(World& world);
 /// A replica loses its disk, unless another one is down or has not been replaced yet.
-void wipe_control(World& world);
+void wipe_control_disk(World& world);
 void isolate_leader(World& world);
 /// Cuts the leader off from one other replica; the rest still hears both.
-void cut_leader_from_one(World& world);
-void freeze_leader(World& world);
+void block_leader_from_follower(World& world);
+void pause_leader(World& world);
 void fail_disk(World& world);
 
 /// Operators that race each other with equal numbers of submissions, over lossy requests.
--- a/src/sim/sim_balancer.cc
+++ b/src/sim/sim_balancer.cc
@@ -7,20 +7,20 @@
 
 }  // namespace
 
-SimBalancer::SimBalancer(SimContext context, SimBalancerConfig config, Poll poll)
+SimBalancer::SimBalancer(SimContext context, SimBalancerConfig config, HealthPoll poll)
     : SimProcess(context), config_(std::move(config)), poll_(std::move(poll)) {}
 
 void SimBalancer::start() {
-  come_up();
-  stop_ = GracefulShutdown{};
-  forced_at_.clear();
+  begin_incarnation();
+  shutdown_ = GracefulShutdown{};
+  applied_at_.clear();
   const Member self = make_self(context().random.next());
   make_node(self);
-  control_ = std::make_unique<ControlClient>(self, config_.control, stored_,
+  control_ = std::make_unique<ControlClient>(self, config_.control, stored_fleet_,
                                              static_cast<ControlClientOutput&>(*this));
   control_->set_faults(config_.client_faults);
-  if (stored_.revision > 0) {
-    node_->on_fleet(stored_, now());
+  if (stored_fleet_.revision > 0) {
+    node_->on_fleet(stored_fleet_, now());
   }
   run_every(Balancer::kTickInterval, [this] { on_tick(); });
   run_every(kPollInterval, [this] { poll_targets(); });
@@ -43,13 +43,13 @@
 void SimBalancer::kill() {
   if (is_up()) {
     past_counters_.push_back(node_->counters());
-    go_down();
+    end_incarnation();
   }
 }
 
-void SimBalancer::leave(std::function<void()> when_stopped) {
-  stop_.begin();
-  when_stopped_ = std::move(when_stopped);
+void SimBalancer::begin_shutdown(std::function<void()> when_stopped) {
+  shutdown_.begin();
+  on_stopped_ = std::move(when_stopped);
   control_->leave();
 }
 
@@ -79,9 +79,9 @@
 void SimBalancer::on_tick() {
   node_->on_tick(now());
   control_->on_tick(node_->settled_revision(), now());
-  if (stop_.on_tick(control_->may_stop() && node_->has_released_all(now()), now())) {
+  if (shutdown_.on_tick(control_->may_stop() && node_->has_released_all(now()), now())) {
     kill();
-    when_stopped_();
+    on_stopped_();
   }
 }
 
@@ -124,10 +124,10 @@
 }
 
 void SimBalancer::on_fleet(const FleetState& fleet, Instant now) {
-  context().checks.on_revision(config_.name, stored_.revision, fleet.revision);
-  context().checks.on_state(config_.name, fleet.revision, fleet_digest(fleet));
-  stored_ = fleet;
-  forced_at_.emplace(fleet.settings_revision, now);
+  context().checker.on_revision(config_.name, stored_fleet_.revision, fleet.revision);
+  context().checker.on_state(config_.name, fleet.revision, fleet_digest(fleet));
+  stored_fleet_ = fleet;
+  applied_at_.emplace(fleet.settings_revision, now);
   node_->on_fleet(fleet, now);
 }
 
--- a/src/sim/sim_balancer.h
+++ b/src/sim/sim_balancer.h
@@ -20,26 +20,26 @@
   std::vector<Endpoint> control;
   BalancerFaults faults;
   ControlClientFaults client_faults;
-  AffinityScheme scheme = AffinityScheme::kOwners;
+  AffinityScheme scheme = AffinityScheme::kPartitionOwners;
 };
 
 class SimBalancer : public SimProcess, private BalancerOutput, private ControlClientOutput {
  public:
   /// Gives what a target's health endpoint says, or nothing when it does not answer.
-  using Poll = std::function<std::optional<TargetReport>(const Endpoint& target)>;
+  using HealthPoll = std::function<std::optional<TargetReport>(const Endpoint& target)>;
 
-  SimBalancer(SimContext context, SimBalancerConfig config, Poll poll);
+  SimBalancer(SimContext context, SimBalancerConfig config, HealthPoll poll);
 
   void start();
   void kill();
   /// Begins a planned stop; `when_stopped` runs at its end.
-  void leave(std::function<void()> when_stopped);
+  void begin_shutdown(std::function<void()> when_stopped);
 
   [[nodiscard]] const SimBalancerConfig& config() const { return config_; }
   [[nodiscard]] const BalancerNode* node() const { return node_.get(); }
   [[nodiscard]] const FleetState& fleet() const { return control_->fleet(); }
   /// When each settings revision came into force here in this life.
-  [[nodiscard]] const std::map<Revision, Instant>& forced_at() const { return forced_at_; }
+  [[nodiscard]] const std::map<Revision, Instant>& applied_at() const { return applied_at_; }
   /// Counters of all lives.
   [[nodiscard]] BalancerCounters total_counters() const;
 
@@ -60,14 +60,14 @@
   void make_node(const Member& self);
 
   SimBalancerConfig config_;
-  Poll poll_;
+  HealthPoll poll_;
   std::unique_ptr<BalancerNode> node_;
   std::unique_ptr<ControlClient> control_;
   /// On disk: survives kills.
-  FleetState stored_;
-  GracefulShutdown stop_;
-  std::function<void()> when_stopped_;
-  std::map<Revision, Instant> forced_at_;
+  FleetState stored_fleet_;
+  GracefulShutdown shutdown_;
+  std::function<void()> on_stopped_;
+  std::map<Revision, Instant> applied_at_;
   std::vector<BalancerCounters> past_counters_;
 };
 
--- a/src/sim/sim_callers.cc
+++ b/src/sim/sim_clients.cc
@@ -1,4 +1,4 @@
-#include "sim/sim_callers.h"
+#include "sim/sim_clients.h"
 
 #include <algorithm>
 
@@ -7,47 +7,47 @@
 namespace gorsevalve {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(10);
+constexpr Duration kTickInterval = std::chrono::milliseconds(10);
 
 }  // namespace
 
-void SimCallers::add(ClientConfig config) {
+void SimClients::add(ClientConfig config) {
   const std::uint32_t address = config.flow.client.address;
-  callers_[address] = std::make_unique<ClientModel>(
+  clients_[address] = std::make_unique<ClientModel>(
       std::move(config), static_cast<ClientOutput&>(*this), context_.events.now());
 }
 
-void SimCallers::start() {
-  context_.events.every(kTick, [this] {
-    for (const auto& [address, caller] : callers_) {
+void SimClients::start() {
+  context_.events.every(kTickInterval, [this] {
+    for (const auto& [address, caller] : clients_) {
       caller->on_tick(context_.events.now());
     }
     return running_;
   });
 }
 
-void SimCallers::stop() {
-  for (const auto& [address, caller] : callers_) {
+void SimClients::stop() {
+  for (const auto& [address, caller] : clients_) {
     caller->stop();
   }
 }
 
-bool SimCallers::is_idle() const {
-  return std::all_of(callers_.begin(), callers_.end(),
+bool SimClients::is_idle() const {
+  return std::all_of(clients_.begin(), clients_.end(),
                      [](const auto& entry) { return entry.second->is_idle(); });
 }
 
-ClientStats SimCallers::stats() const {
+ClientStats SimClients::stats() const {
   ClientStats total;
-  for (const auto& [address, caller] : callers_) {
+  for (const auto& [address, caller] : clients_) {
     total.add(caller->stats());
   }
   return total;
 }
 
-bool SimCallers::receive(const Endpoint& caller, const Bytes& datagram) {
-  const auto found = callers_.find(caller.address);
-  if (found == callers_.end()) {
+bool SimClients::receive(const Endpoint& caller, const Bytes& datagram) {
+  const auto found = clients_.find(caller.address);
+  if (found == clients_.end()) {
     return false;
   }
   const auto decoded = decode_proxy_datagram(datagram);
@@ -57,8 +57,8 @@
   return true;
 }
 
-void SimCallers::send(const FlowKey& flow, ByteView message) {
-  if (const auto balancer = fabric_.pick()) {
+void SimClients::send(const FlowKey& flow, ByteView message) {
+  if (const auto balancer = fabric_.pick_balancer()) {
     context_.network.send_datagram(flow.client, *balancer,
                                    encode_proxy_datagram({flow, {}, {}, {}}, message),
                                    TrafficKind::kData);
--- a/src/sim/sim_callers.h
+++ b/src/sim/sim_clients.h
@@ -11,9 +11,9 @@
 
 namespace gorsevalve {
 
-class SimCallers : private ClientOutput {
+class SimClients : private ClientOutput {
  public:
-  SimCallers(SimContext context, SimFabric& fabric) : context_(context), fabric_(fabric) {}
+  SimClients(SimContext context, SimFabric& fabric) : context_(context), fabric_(fabric) {}
 
   /// Adds a caller with an IP address of its own.
   void add(ClientConfig config);
@@ -32,7 +32,7 @@
 
   SimContext context_;
   SimFabric& fabric_;
-  std::map<std::uint32_t, std::unique_ptr<ClientModel>> callers_;
+  std::map<std::uint32_t, std::unique_ptr<ClientModel>> clients_;
   bool running_ = true;
 };
 
--- a/src/sim/sim_control.cc
+++ b/src/sim/sim_control.cc
@@ -3,11 +3,11 @@
 namespace gorsevalve {
 namespace {
 
-constexpr const char* kCluster = "simulated";
+constexpr const char* kClusterName = "simulated";
 
 }  // namespace
 
-ReplicaSet founding_set(const std::vector<Endpoint>& addresses) {
+ReplicaSet sim_replica_set(const std::vector<Endpoint>& addresses) {
   ReplicaSet set;
   for (const auto& address : addresses) {
     set.replicas.push_back({packed(address), address, true});
@@ -22,8 +22,8 @@
   LogStore store(disk_);
   ReplicaIdentity identity;
   identity.id = packed(config_.address);
-  identity.cluster = kCluster;
-  identity.initial_replicas = founding_set(config_.replicas);
+  identity.cluster = kClusterName;
+  identity.initial_replicas = sim_replica_set(config_.replicas);
   (void)store.write_identity(identity);
 }
 
@@ -35,9 +35,9 @@
     ReplicaIdentity fresh;
     fresh.id = config_.replica_faults.keep_identity_on_empty_disk ? packed(config_.address)
                                                                   : context().random.next();
-    fresh.cluster = kCluster;
+    fresh.cluster = kClusterName;
     if (config_.replica_faults.keep_identity_on_empty_disk) {
-      fresh.initial_replicas = founding_set(config_.replicas);
+      fresh.initial_replicas = sim_replica_set(config_.replicas);
     }
     (void)store_->write_identity(fresh);
     identity = store_->read_identity();
@@ -47,7 +47,7 @@
     start_error_ = !identity ? identity.error().message : stored.error().message;
     return;
   }
-  come_up();
+  begin_incarnation();
   ReplicaConfig replica;
   replica.id = (*identity)->id;
   replica.address = config_.address;
@@ -64,15 +64,15 @@
 
 void SimControl::kill() {
   if (is_up()) {
-    go_down();
+    end_incarnation();
     disk_.crash(context().random);
   }
 }
 
 void SimControl::wipe() { disk_.wipe(); }
 
-bool SimControl::acts_as_leader() const {
-  return is_up() && !is_frozen() && node_->replica().has_lease(now());
+bool SimControl::holds_lease() const {
+  return is_up() && !is_paused() && node_->replica().has_lease(now());
 }
 
 void SimControl::handle(const SimMessage& message) {
@@ -86,12 +86,12 @@
 void SimControl::on_tick() {
   node_->on_tick(now());
   if (node_->replica().is_leader()) {
-    context().checks.on_leader(node_->replica().term(), node_->replica().id());
+    context().checker.on_leader(node_->replica().term(), node_->replica().id());
   }
   const Revision revision = node_->state().fleet().revision;
   if (revision != last_revision_) {
-    context().checks.on_revision(config_.name, last_revision_, revision);
-    context().checks.on_state(config_.name, revision, node_->state().digest());
+    context().checker.on_revision(config_.name, last_revision_, revision);
+    context().checker.on_state(config_.name, revision, node_->state().digest());
     last_revision_ = revision;
   }
   if (node_->replica().has_failed()) {
--- a/src/sim/sim_control.h
+++ b/src/sim/sim_control.h
@@ -35,7 +35,7 @@
   [[nodiscard]] const SimControlConfig& config() const { return config_; }
   /// The core; only while the process is up.
   [[nodiscard]] ControlNode& node() { return *node_; }
-  [[nodiscard]] bool acts_as_leader() const;
+  [[nodiscard]] bool holds_lease() const;
   /// Why the last start failed; empty when it did not.
   [[nodiscard]] const std::string& start_error() const { return start_error_; }
 
@@ -57,6 +57,6 @@
 };
 
 /// The replicas that found a cluster, as the programs derive them.
-ReplicaSet founding_set(const std::vector<Endpoint>& addresses);
+ReplicaSet sim_replica_set(const std::vector<Endpoint>& addresses);
 
 }  // namespace gorsevalve
--- a/src/sim/sim_disk.cc
+++ b/src/sim/sim_disk.cc
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-bool SimDisk::fails() {
-  if (operations_left_ == kNever) {
+bool SimDisk::next_operation_fails() {
+  if (operations_until_failure_ == kNever) {
     return false;
   }
-  if (operations_left_ > 0) {
-    --operations_left_;
+  if (operations_until_failure_ > 0) {
+    --operations_until_failure_;
     return false;
   }
   return true;
@@ -39,7 +39,7 @@
 
 StorageResult<void> SimDisk::append(const std::string& name, ByteView bytes) {
   File& file = files_[name];
-  if (fails()) {
+  if (next_operation_fails()) {
     // A short write: a part is there, and the caller is told of the failure.
     file.content.insert(file.content.end(), bytes.begin(),
                         bytes.begin() + static_cast<std::ptrdiff_t>(bytes.size() / 2));
@@ -50,7 +50,7 @@
 }
 
 StorageResult<void> SimDisk::sync(const std::string& name) {
-  if (fails()) {
+  if (next_operation_fails()) {
     return failure("sync", name);
   }
   files_[name].synced = files_[name].content.size();
@@ -58,7 +58,7 @@
 }
 
 StorageResult<void> SimDisk::truncate(const std::string& name, std::uint64_t size) {
-  if (fails()) {
+  if (next_operation_fails()) {
     return failure("truncate", name);
   }
   File& file = files_[name];
@@ -68,7 +68,7 @@
 }
 
 StorageResult<void> SimDisk::replace(const std::string& name, ByteView bytes) {
-  if (fails()) {
+  if (next_operation_fails()) {
     return failure("replace", name);
   }
   files_[name] = {Bytes(bytes.begin(), bytes.end()), bytes.size()};
@@ -76,7 +76,7 @@
 }
 
 StorageResult<void> SimDisk::remove(const std::string& name) {
-  if (fails()) {
+  if (next_operation_fails()) {
     return failure("remove", name);
   }
   files_.erase(name);
--- a/src/sim/sim_disk.h
+++ b/src/sim/sim_disk.h
@@ -23,8 +23,8 @@
   void crash(SimRandom& random);
   void wipe() { files_.clear(); }
   /// After this many further operations that write, one fails.
-  void fail_after(std::uint64_t operations) { operations_left_ = operations; }
-  void mend() { operations_left_ = kNever; }
+  void fail_after(std::uint64_t operations) { operations_until_failure_ = operations; }
+  void clear_faults() { operations_until_failure_ = kNever; }
   /// Flips one bit of a file.
   void corrupt(const std::string& name, std::uint64_t position);
 
@@ -36,10 +36,10 @@
   };
   static constexpr std::uint64_t kNever = ~std::uint64_t{0};
 
-  [[nodiscard]] bool fails();
+  [[nodiscard]] bool next_operation_fails();
 
   std::map<std::string, File> files_;
-  std::uint64_t operations_left_ = kNever;
+  std::uint64_t operations_until_failure_ = kNever;
 };
 
 }  // namespace gorsevalve
--- a/src/sim/sim_fabric.cc
+++ b/src/sim/sim_fabric.cc
@@ -5,12 +5,12 @@
 namespace gorsevalve {
 
 void SimFabric::announce(const Endpoint& balancer, bool live) {
-  events_.after(kLag, [this, balancer, live] { listed_[balancer] = live; });
+  events_.after(kUpdateDelay, [this, balancer, live] { live_by_balancer_[balancer] = live; });
 }
 
-std::optional<Endpoint> SimFabric::pick() {
+std::optional<Endpoint> SimFabric::pick_balancer() {
   std::vector<Endpoint> live;
-  for (const auto& [balancer, is_live] : listed_) {
+  for (const auto& [balancer, is_live] : live_by_balancer_) {
     if (is_live) {
       live.push_back(balancer);
     }
--- a/src/sim/sim_fabric.h
+++ b/src/sim/sim_fabric.h
@@ -18,14 +18,14 @@
   /// The platform learns that a balancer is live, or that it leaves or is gone.
   void announce(const Endpoint& balancer, bool live);
   /// A balancer out of the list; nothing when the list is empty.
-  [[nodiscard]] std::optional<Endpoint> pick();
+  [[nodiscard]] std::optional<Endpoint> pick_balancer();
 
-  static constexpr Duration kLag = std::chrono::milliseconds(1000);
+  static constexpr Duration kUpdateDelay = std::chrono::milliseconds(1000);
 
  private:
   EventQueue& events_;
   SimRandom& random_;
-  std::map<Endpoint, bool> listed_;
+  std::map<Endpoint, bool> live_by_balancer_;
 };
 
 }  // namespace gorsevalve
--- a/src/sim/sim_main.cc
+++ b/src/sim/sim_main.cc
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "programs/program.h"
-#include "sim/deliberate_faults.h"
+#include "sim/injected_faults.h"
 #include "sim/scenario.h"
 
 ABSL_FLAG(std::string, scenario, "all", "name of the scenario, or all");
@@ -30,33 +30,33 @@
   std::uint64_t runs = 0;
   std::uint64_t failed = 0;
   std::uint64_t violations = 0;
-  ClientStats callers;
+  ClientStats client_stats;
   /// Of the first service: requests run, and feeds open.
-  std::vector<double> imbalance;
-  std::vector<double> feed_imbalance;
-  std::size_t flows_held = 0;
-  Duration longest_force{};
+  std::vector<double> request_imbalance;
+  std::vector<double> observation_imbalance;
+  std::size_t flow_records = 0;
+  Duration max_apply_time{};
   std::uint64_t datagrams = 0;
   std::uint64_t relayed = 0;
-  double peer_octets = 0;
-  double node_octets = 0;
+  double peer_bytes = 0;
+  double node_bytes = 0;
 };
 
 void add(Summary& summary, const RunResult& result) {
   ++summary.runs;
   summary.failed += result.violations.empty() ? 0 : 1;
   summary.violations += result.violations.size();
-  summary.callers.add(result.callers);
-  summary.callers.updates.clear();
-  summary.callers.latencies.clear();
-  summary.imbalance.push_back(result.imbalance.front());
-  summary.feed_imbalance.push_back(result.feed_imbalance);
-  summary.flows_held += result.flows_held;
-  summary.longest_force = std::max(summary.longest_force, result.longest_force);
+  summary.client_stats.add(result.client_stats);
+  summary.client_stats.updates.clear();
+  summary.client_stats.latencies.clear();
+  summary.request_imbalance.push_back(result.request_imbalance.front());
+  summary.observation_imbalance.push_back(result.observation_imbalance);
+  summary.flow_records += result.flow_records;
+  summary.max_apply_time = std::max(summary.max_apply_time, result.max_apply_time);
   summary.datagrams += result.datagrams;
   summary.relayed += result.relayed;
-  summary.peer_octets += result.peer_octets_per_second;
-  summary.node_octets += result.node_octets_per_second;
+  summary.peer_bytes += result.peer_bytes_per_second;
+  summary.node_bytes += result.node_bytes_per_second;
 }
 
 void print_failure(const Scenario& scenario, std::uint64_t seed, const RunResult& result) {
@@ -84,17 +84,18 @@
       "feed_imbalance_p99=%.2f flows_held=%.0f\n",
       std::string(scenario.name).c_str(), static_cast<unsigned long long>(summary.runs),
       static_cast<unsigned long long>(summary.failed),
-      static_cast<unsigned long long>(summary.callers.requests),
-      static_cast<unsigned long long>(summary.callers.responses),
-      static_cast<unsigned long long>(summary.callers.broken_flows),
-      static_cast<unsigned long long>(summary.callers.observation_moves),
-      static_cast<unsigned long long>(summary.callers.verdicts_not_run),
-      static_cast<unsigned long long>(summary.callers.verdicts_may_have_run),
-      static_cast<unsigned long long>(summary.callers.timeouts),
-      static_cast<long long>(summary.longest_force.count() / 1000), per_hundred,
-      summary.peer_octets / runs, summary.node_octets / runs, quantile(summary.imbalance, 0.5),
-      quantile(summary.imbalance, 0.99), quantile(summary.feed_imbalance, 0.5),
-      quantile(summary.feed_imbalance, 0.99), static_cast<double>(summary.flows_held) / runs);
+      static_cast<unsigned long long>(summary.client_stats.requests),
+      static_cast<unsigned long long>(summary.client_stats.responses),
+      static_cast<unsigned long long>(summary.client_stats.broken_flows),
+      static_cast<unsigned long long>(summary.client_stats.observation_moves),
+      static_cast<unsigned long long>(summary.client_stats.verdicts_not_run),
+      static_cast<unsigned long long>(summary.client_stats.verdicts_may_have_run),
+      static_cast<unsigned long long>(summary.client_stats.timeouts),
+      static_cast<long long>(summary.max_apply_time.count() / 1000), per_hundred,
+      summary.peer_bytes / runs, summary.node_bytes / runs,
+      quantile(summary.request_imbalance, 0.5), quantile(summary.request_imbalance, 0.99),
+      quantile(summary.observation_imbalance, 0.5), quantile(summary.observation_imbalance, 0.99),
+      static_cast<double>(summary.flow_records) / runs);
   std::fflush(stdout);
 }
 
@@ -104,15 +105,15 @@
     return AffinityScheme::kMaglevLocal;
   }
   if (name == "copy") {
-    return AffinityScheme::kCopyAll;
+    return AffinityScheme::kReplicateToAll;
   }
   if (name != "owners") {
     std::exit(fail("--scheme must be owners, maglev or copy", kExitUsage));
   }
-  return AffinityScheme::kOwners;
+  return AffinityScheme::kPartitionOwners;
 }
 
-/// Calls `work` for each number below `count`, on --jobs threads.
+/// Calls `work` for each number below `events_run`, on --jobs threads.
 void run_on_threads(std::uint64_t count, const std::function<void(std::uint64_t)>& work) {
   std::atomic<std::uint64_t> next{0};
   std::vector<std::thread> threads;
@@ -200,7 +201,7 @@
   for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
     std::printf("given up, %s: %llu\n",
                 std::string(to_string(static_cast<FailureReason>(i))).c_str(),
-                static_cast<unsigned long long>(result.given_up[i]));
+                static_cast<unsigned long long>(result.failures_by_reason[i]));
   }
   std::printf("seed=%llu events=%llu trace_hash=%016llx violations=%zu\n",
               static_cast<unsigned long long>(options.seed),
@@ -212,10 +213,10 @@
 /// Shows for each deliberate fault which scenario and seed catch it.
 int show_faults() {
   const std::uint64_t seeds = absl::GetFlag(FLAGS_seeds);
-  const auto faults = deliberate_faults();
-  std::vector<std::optional<FaultCatch>> caught(faults.size());
+  const auto faults = injected_faults();
+  std::vector<std::optional<FaultDetection>> caught(faults.size());
   run_on_threads(faults.size(), [&](std::uint64_t number) {
-    caught[number] = catch_fault(faults[number], seeds);
+    caught[number] = detect_fault(faults[number], seeds);
   });
   int missed = 0;
   for (std::size_t i = 0; i < faults.size(); ++i) {
--- a/src/sim/sim_network.cc
+++ b/src/sim/sim_network.cc
@@ -11,14 +11,14 @@
 constexpr std::size_t kStreamOverhead = 52 + 40 + 4;
 constexpr std::size_t kPeerOverhead = 52 + 28;
 constexpr std::size_t kDatagramOverhead = 28;
-constexpr int kOutside = -1;
+constexpr int kNoZone = -1;
 
 template <typename Variant>
 std::size_t encoded_size(const Variant& message) {
   return std::visit([](const auto& body) { return encode_archive(body).size(); }, message);
 }
 
-std::pair<std::uint32_t, std::uint32_t> ordered(const Endpoint& a, const Endpoint& b) {
+std::pair<std::uint32_t, std::uint32_t> ordered_pair(const Endpoint& a, const Endpoint& b) {
   return std::minmax(a.address, b.address);
 }
 
@@ -26,14 +26,16 @@
 
 int SimNetwork::zone_of(const Endpoint& process) const {
   const auto found = zones_.find(process.address);
-  return found == zones_.end() ? kOutside : found->second;
+  return found == zones_.end() ? kNoZone : found->second;
 }
 
-void SimNetwork::block(const Endpoint& a, const Endpoint& b) { blocked_.insert(ordered(a, b)); }
+void SimNetwork::block(const Endpoint& a, const Endpoint& b) {
+  blocked_.insert(ordered_pair(a, b));
+}
 
 void SimNetwork::heal() {
-  cut_zones_.clear();
-  cut_group_.clear();
+  isolated_zones_.clear();
+  isolated_group_.clear();
   isolated_.clear();
   blocked_.clear();
 }
@@ -43,21 +45,21 @@
     return true;
   }
   if (isolated_.contains(a.address) || isolated_.contains(b.address) ||
-      blocked_.contains(ordered(a, b))) {
+      blocked_.contains(ordered_pair(a, b))) {
     return false;
   }
   const int zone_a = zone_of(a);
   const int zone_b = zone_of(b);
-  if (zone_a == zone_b || zone_a == kOutside || zone_b == kOutside) {
+  if (zone_a == zone_b || zone_a == kNoZone || zone_b == kNoZone) {
     return true;
   }
-  const bool group_cut = cut_group_.contains(zone_a) != cut_group_.contains(zone_b);
-  return !cut_zones_.contains(zone_a) && !cut_zones_.contains(zone_b) && !group_cut;
+  const bool group_cut = isolated_group_.contains(zone_a) != isolated_group_.contains(zone_b);
+  return !isolated_zones_.contains(zone_a) && !isolated_zones_.contains(zone_b) && !group_cut;
 }
 
 Duration SimNetwork::delay(const Endpoint& from, const Endpoint& to) {
   const bool local = zone_of(from) == zone_of(to);
-  const Duration base = local ? config_.local_delay : config_.zone_delay;
+  const Duration base = local ? config_.intra_zone_delay : config_.inter_zone_delay;
   return base + random_.between(Duration::zero(), config_.jitter);
 }
 
@@ -71,7 +73,7 @@
 
 void SimNetwork::send_datagram(const Endpoint& from, const Endpoint& to, Bytes datagram,
                                TrafficKind kind) {
-  meters_[from][static_cast<std::size_t>(kind)] += datagram.size() + kDatagramOverhead;
+  traffic_[from][static_cast<std::size_t>(kind)] += datagram.size() + kDatagramOverhead;
   trace_.add("datagram", events_.now(), from, to, datagram);
   if (!is_reachable(from, to) || random_.chance(config_.loss)) {
     return;
@@ -85,7 +87,7 @@
 
 void SimNetwork::send_peer(const Endpoint& from, const Endpoint& to, const PeerMessage& message) {
   const std::size_t size = encoded_size(message);
-  meters_[from][static_cast<std::size_t>(TrafficKind::kPeer)] += size + kPeerOverhead;
+  traffic_[from][static_cast<std::size_t>(TrafficKind::kPeer)] += size + kPeerOverhead;
   trace_.add("peer", events_.now(), from, to, size);
   if (!is_reachable(from, to) || random_.chance(config_.loss)) {
     return;
@@ -109,12 +111,12 @@
 
 void SimNetwork::send_stream(const Endpoint& from, const Endpoint& to, SimMessage message,
                              std::size_t size, TrafficKind kind) {
-  meters_[from][static_cast<std::size_t>(kind)] += size + kStreamOverhead;
+  traffic_[from][static_cast<std::size_t>(kind)] += size + kStreamOverhead;
   trace_.add(kind == TrafficKind::kNode ? "node" : "replica", events_.now(), from, to, size);
   if (!is_reachable(from, to) || random_.chance(config_.reset)) {
     return;
   }
-  Instant& last = streams_[{from, to}];
+  Instant& last = last_arrivals_[{from, to}];
   last = std::max(last + Duration(1), events_.now() + delay(from, to));
   schedule(to, last - events_.now(), std::move(message));
 }
--- a/src/sim/sim_network.h
+++ b/src/sim/sim_network.h
@@ -20,8 +20,8 @@
 namespace gorsevalve {
 
 struct NetworkConfig {
-  Duration zone_delay = std::chrono::microseconds(1500);
-  Duration local_delay = std::chrono::microseconds(150);
+  Duration inter_zone_delay = std::chrono::microseconds(1500);
+  Duration intra_zone_delay = std::chrono::microseconds(150);
   /// Up to this much is added to each delay; larger than the gap between messages, so they cross.
   Duration jitter = std::chrono::microseconds(800);
   /// Shares of datagrams.
@@ -39,10 +39,10 @@
 
 /// What the meter tells apart.
 enum class TrafficKind : std::uint8_t { kData = 0, kRelay = 1, kPeer = 2, kNode = 3, kReplica = 4 };
-constexpr std::size_t kTrafficKinds = 5;
+constexpr std::size_t kTrafficKindCount = 5;
 
 /// Octets sent by one process, by kind, with the envelope of messages between our processes.
-using TrafficMeter = std::array<std::uint64_t, kTrafficKinds>;
+using TrafficCounters = std::array<std::uint64_t, kTrafficKindCount>;
 
 /// Receives what the network delivers.
 class SimReceiver {
@@ -58,7 +58,7 @@
       : events_(events), random_(random), trace_(trace), receiver_(receiver), config_(config) {}
 
   /// Zones are numbers; a process that is not placed is outside all zones and is never cut off.
-  void place(const Endpoint& process, int zone) { zones_[process.address] = zone; }
+  void set_zone(const Endpoint& process, int zone) { zones_[process.address] = zone; }
 
   void send_datagram(const Endpoint& from, const Endpoint& to, Bytes datagram, TrafficKind kind);
   void send_peer(const Endpoint& from, const Endpoint& to, const PeerMessage& message);
@@ -66,9 +66,9 @@
   void send_replica(const Endpoint& from, const Endpoint& to, const ReplicaMessage& message);
 
   /// Cuts a zone off from all others, in both directions.
-  void cut_zone(int zone) { cut_zones_.insert(zone); }
+  void isolate_zone(int zone) { isolated_zones_.insert(zone); }
   /// Cuts a group of zones off from the rest; inside the group messages pass.
-  void cut_group(std::set<int> zones) { cut_group_ = std::move(zones); }
+  void isolate_zones(std::set<int> zones) { isolated_group_ = std::move(zones); }
   /// Cuts one process off from others of a kind: all, or only those in `from`.
   void isolate(const Endpoint& process) { isolated_.insert(process.address); }
   void block(const Endpoint& a, const Endpoint& b);
@@ -82,8 +82,8 @@
   }
   [[nodiscard]] const NetworkConfig& config() const { return config_; }
 
-  [[nodiscard]] const std::map<Endpoint, TrafficMeter>& meters() const { return meters_; }
-  void clear_meters() { meters_.clear(); }
+  [[nodiscard]] const std::map<Endpoint, TrafficCounters>& traffic() const { return traffic_; }
+  void clear_traffic() { traffic_.clear(); }
 
  private:
   void schedule(const Endpoint& to, Duration delay, SimMessage message);
@@ -98,13 +98,13 @@
   SimReceiver& receiver_;
   NetworkConfig config_;
   std::map<std::uint32_t, int> zones_;
-  std::set<int> cut_zones_;
-  std::set<int> cut_group_;
+  std::set<int> isolated_zones_;
+  std::set<int> isolated_group_;
   std::set<std::uint32_t> isolated_;
   std::set<std::pair<std::uint32_t, std::uint32_t>> blocked_;
   /// Arrival of the last stream message between two processes.
-  std::map<std::pair<Endpoint, Endpoint>, Instant> streams_;
-  std::map<Endpoint, TrafficMeter> meters_;
+  std::map<std::pair<Endpoint, Endpoint>, Instant> last_arrivals_;
+  std::map<Endpoint, TrafficCounters> traffic_;
 };
 
 }  // namespace gorsevalve
--- a/src/sim/sim_operator.cc
+++ b/src/sim/sim_operator.cc
@@ -6,27 +6,27 @@
 namespace {
 
 /// Pause between two sends of a submission whose outcome is not known.
-constexpr Duration kResend = std::chrono::milliseconds(250);
+constexpr Duration kResendInterval = std::chrono::milliseconds(250);
 constexpr Duration kMinDelay = std::chrono::milliseconds(1);
 constexpr Duration kMaxDelay = std::chrono::milliseconds(5);
 
 }  // namespace
 
-void SimOperator::change(Edit edit) {
+void SimOperator::enqueue_edit(Edit edit) {
   edits_.push_back(std::move(edit));
-  if (!stepping_) {
-    stepping_ = true;
-    context_.events.every(kResend, [this] {
-      step();
-      stepping_ = !edits_.empty();
-      return stepping_;
+  if (!timer_active_) {
+    timer_active_ = true;
+    context_.events.every(kResendInterval, [this] {
+      submit_next();
+      timer_active_ = !edits_.empty();
+      return timer_active_;
     });
   }
 }
 
 bool SimOperator::read_current(SettingsCommand& command) {
   for (const auto& replica : replicas_) {
-    if (replica->acts_as_leader()) {
+    if (replica->holds_lease()) {
       const FleetState& fleet = replica->node().state().fleet();
       command.base_revision = fleet.settings_revision;
       command.settings = fleet.settings;
@@ -36,7 +36,7 @@
   return false;
 }
 
-void SimOperator::step() {
+void SimOperator::submit_next() {
   if (edits_.empty()) {
     return;
   }
@@ -55,7 +55,7 @@
 
 SimControl& SimOperator::choose_replica() {
   // A hint is used once: the leader that it names may be gone.
-  const std::optional<Endpoint> named = std::exchange(leader_, std::nullopt);
+  const std::optional<Endpoint> named = std::exchange(leader_hint_, std::nullopt);
   for (const auto& replica : replicas_) {
     if (named && replica->config().address == *named) {
       return *replica;
@@ -69,7 +69,7 @@
   const bool lost = context_.random.chance(loss_);
   context_.events.after(context_.random.between(kMinDelay, kMaxDelay), [this, &replica, lost,
                                                                         command = *submission_] {
-    if (lost || !replica.is_up() || replica.is_frozen()) {
+    if (lost || !replica.is_up() || replica.is_paused()) {
       return;
     }
     const SubmissionResult result = replica.node().submit(command, context_.events.now());
@@ -87,14 +87,14 @@
     return;
   }
   if (result.status == ControlStatus::kNotLeader && result.leader) {
-    leader_ = result.leader;
+    leader_hint_ = result.leader;
     send();
     return;
   }
   if (result.status != ControlStatus::kOk) {
     return;
   }
-  context_.checks.on_told({result.outcome, submission_->base_revision});
+  context_.checker.on_outcome({result.outcome, submission_->base_revision});
   context_.trace.note(context_.events.now(),
                       name_ + " " + id +
                           (result.outcome.accepted ? " accepted as " : " lost against ") +
--- a/src/sim/sim_operator.h
+++ b/src/sim/sim_operator.h
@@ -23,7 +23,7 @@
 
   /// Queues a change. It is read, edited and submitted until one submission of it is accepted; a
   /// conflict leads to a new one on the newer base.
-  void change(Edit edit);
+  void enqueue_edit(Edit edit);
   /// Share of the API's messages that are lost.
   void set_loss(double loss) { loss_ = loss; }
 
@@ -32,7 +32,7 @@
   [[nodiscard]] const std::map<Revision, Instant>& accepted() const { return accepted_; }
 
  private:
-  void step();
+  void submit_next();
   /// Reads settings and base from a replica that proves its leadership.
   [[nodiscard]] bool read_current(SettingsCommand& command);
   void send();
@@ -46,9 +46,9 @@
   double loss_ = 0.01;
   std::deque<Edit> edits_;
   std::optional<SettingsCommand> submission_;
-  std::optional<Endpoint> leader_;
+  std::optional<Endpoint> leader_hint_;
   std::uint64_t next_number_ = 1;
-  bool stepping_ = false;
+  bool timer_active_ = false;
   std::map<Revision, Instant> accepted_;
 };
 
--- a/src/sim/sim_process.cc
+++ b/src/sim/sim_process.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Messages that the sockets of a frozen process keep.
-constexpr std::size_t kBacklog = 512;
+constexpr std::size_t kMaxBacklog = 512;
 
 }  // namespace
 
@@ -14,24 +14,24 @@
   if (!up_) {
     return;
   }
-  if (!is_frozen()) {
+  if (!is_paused()) {
     handle(message);
-  } else if (backlog_.size() < kBacklog) {
+  } else if (backlog_.size() < kMaxBacklog) {
     backlog_.push_back(message);
   }
 }
 
-void SimProcess::freeze(Duration time) {
-  frozen_until_ = now() + time;
-  const std::uint64_t life = life_;
-  context_.events.at(frozen_until_, [this, life] {
-    if (life == life_ && !is_frozen()) {
-      wake();
+void SimProcess::pause(Duration time) {
+  paused_until_ = now() + time;
+  const std::uint64_t life = incarnation_;
+  context_.events.at(paused_until_, [this, life] {
+    if (life == incarnation_ && !is_paused()) {
+      resume();
     }
   });
 }
 
-void SimProcess::wake() {
+void SimProcess::resume() {
   for (const auto& message : std::exchange(backlog_, {})) {
     if (up_) {
       handle(message);
@@ -39,29 +39,29 @@
   }
 }
 
-void SimProcess::come_up() {
+void SimProcess::begin_incarnation() {
   up_ = true;
-  ++life_;
-  frozen_until_ = Instant{};
+  ++incarnation_;
+  paused_until_ = Instant{};
   backlog_.clear();
 }
 
-void SimProcess::go_down() {
+void SimProcess::end_incarnation() {
   up_ = false;
-  ++life_;
+  ++incarnation_;
   backlog_.clear();
 }
 
 void SimProcess::run_every(Duration interval, std::function<void()> action) {
-  const std::uint64_t life = life_;
+  const std::uint64_t life = incarnation_;
   context_.events.every(interval, [this, life, action = std::move(action)] {
-    if (life != life_) {
+    if (life != incarnation_) {
       return false;
     }
-    if (!is_frozen()) {
+    if (!is_paused()) {
       action();
     }
-    return life == life_;
+    return life == incarnation_;
   });
 }
 
--- a/src/sim/sim_process.h
+++ b/src/sim/sim_process.h
@@ -4,8 +4,8 @@
 #include <deque>
 #include <functional>
 
-#include "sim/checks.h"
 #include "sim/event_queue.h"
+#include "sim/invariant_checker.h"
 #include "sim/sim_network.h"
 #include "sim/sim_random.h"
 #include "sim/trace.h"
@@ -18,7 +18,7 @@
   SimRandom& random;
   Trace& trace;
   SimNetwork& network;
-  Checks& checks;
+  InvariantChecker& checker;
 };
 
 class SimProcess {
@@ -29,21 +29,21 @@
   SimProcess& operator=(const SimProcess&) = delete;
 
   [[nodiscard]] bool is_up() const { return up_; }
-  [[nodiscard]] bool is_frozen() const { return now() < frozen_until_; }
+  [[nodiscard]] bool is_paused() const { return now() < paused_until_; }
 
   /// A message arrives. A process that is down loses it; a frozen one finds it when it wakes.
   void receive(const SimMessage& message);
 
   /// Stops the process in the middle, as SIGSTOP does. It wakes with all that waits for it, and
   /// handles that before its own timers.
-  void freeze(Duration time);
+  void pause(Duration time);
 
  protected:
   virtual void handle(const SimMessage& message) = 0;
 
   /// Begins a life of the process; timers of earlier lives end.
-  void come_up();
-  void go_down();
+  void begin_incarnation();
+  void end_incarnation();
   /// Runs an action at an interval as long as this life of the process lasts.
   void run_every(Duration interval, std::function<void()> action);
 
@@ -51,12 +51,12 @@
   SimContext& context() { return context_; }
 
  private:
-  void wake();
+  void resume();
 
   SimContext context_;
   bool up_ = false;
-  std::uint64_t life_ = 0;
-  Instant frozen_until_;
+  std::uint64_t incarnation_ = 0;
+  Instant paused_until_;
   std::deque<SimMessage> backlog_;
 };
 
--- a/src/sim/sim_target.cc
+++ b/src/sim/sim_target.cc
@@ -3,7 +3,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr Duration kTick = std::chrono::milliseconds(2);
+constexpr Duration kTickInterval = std::chrono::milliseconds(2);
 
 }  // namespace
 
@@ -11,15 +11,15 @@
     : SimProcess(context), config_(std::move(config)), fabric_(fabric) {}
 
 void SimTarget::start() {
-  keep_record();
-  come_up();
+  save_counters();
+  begin_incarnation();
   model_ = std::make_unique<TargetModel>(config_, static_cast<TargetOutput&>(*this), now());
-  run_every(kTick, [this] { model_->on_tick(now()); });
+  run_every(kTickInterval, [this] { model_->on_tick(now()); });
 }
 
-void SimTarget::kill() { go_down(); }
+void SimTarget::kill() { end_incarnation(); }
 
-void SimTarget::keep_record() {
+void SimTarget::save_counters() {
   if (model_ == nullptr) {
     return;
   }
@@ -27,11 +27,11 @@
     past_executions_[id] += count;
   }
   past_requests_ += model_->requests_run();
-  past_foreign_ += model_->misrouted_datagrams();
+  past_misrouted_ += model_->misrouted_datagrams();
 }
 
 std::optional<TargetReport> SimTarget::report() {
-  if (!is_up() || is_frozen()) {
+  if (!is_up() || is_paused()) {
     return std::nullopt;
   }
   return model_->report(now());
@@ -47,8 +47,8 @@
 
 std::uint64_t SimTarget::requests_run() const { return past_requests_ + model_->requests_run(); }
 
-std::uint64_t SimTarget::foreign_datagrams() const {
-  return past_foreign_ + model_->misrouted_datagrams();
+std::uint64_t SimTarget::misrouted_datagrams() const {
+  return past_misrouted_ + model_->misrouted_datagrams();
 }
 
 void SimTarget::handle(const SimMessage& message) {
@@ -58,7 +58,7 @@
 }
 
 void SimTarget::send_response(const ProxyHeader& header, ByteView message) {
-  if (const auto balancer = fabric_.pick()) {
+  if (const auto balancer = fabric_.pick_balancer()) {
     context().network.send_datagram(config_.address, *balancer,
                                     encode_proxy_datagram(header, message), TrafficKind::kData);
   }
--- a/src/sim/sim_target.h
+++ b/src/sim/sim_target.h
@@ -20,12 +20,12 @@
   /// Executions of all lives, by update id.
   [[nodiscard]] std::map<std::string, std::uint32_t> executions() const;
   [[nodiscard]] std::uint64_t requests_run() const;
-  [[nodiscard]] std::uint64_t foreign_datagrams() const;
+  [[nodiscard]] std::uint64_t misrouted_datagrams() const;
 
  private:
   void handle(const SimMessage& message) override;
   void send_response(const ProxyHeader& header, ByteView message) override;
-  void keep_record();
+  void save_counters();
 
   TargetModelConfig config_;
   SimFabric& fabric_;
@@ -33,7 +33,7 @@
   /// What earlier lives ran.
   std::map<std::string, std::uint32_t> past_executions_;
   std::uint64_t past_requests_ = 0;
-  std::uint64_t past_foreign_ = 0;
+  std::uint64_t past_misrouted_ = 0;
 };
 
 }  // namespace gorsevalve
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -5,12 +5,12 @@
 namespace gorsevalve {
 namespace {
 
-constexpr Duration kStartLimit = std::chrono::seconds(40);
+constexpr Duration kStartTimeout = std::chrono::seconds(40);
 /// Callers begin at random moments within this time.
-constexpr Duration kStartSpread = std::chrono::seconds(2);
-constexpr Duration kQuietLimit = std::chrono::seconds(120);
-constexpr Duration kWatchInterval = std::chrono::milliseconds(20);
-constexpr Duration kStep = std::chrono::milliseconds(50);
+constexpr Duration kClientStartSpread = std::chrono::seconds(2);
+constexpr Duration kQuiesceTimeout = std::chrono::seconds(120);
+constexpr Duration kLeaseCheckInterval = std::chrono::milliseconds(20);
+constexpr Duration kPollStep = std::chrono::milliseconds(50);
 constexpr std::uint16_t kCoapPort = 5683;
 
 constexpr std::uint32_t address_of(std::uint32_t group, std::uint32_t number) {
@@ -20,7 +20,7 @@
 constexpr std::uint32_t kTargetGroup = 10;
 constexpr std::uint32_t kControlGroup = 200;
 constexpr std::uint32_t kBalancerGroup = 201;
-constexpr std::uint32_t kCallerGroup = 1U << 8U;
+constexpr std::uint32_t kClientGroup = 1U << 8U;
 
 std::string zone_name(int zone) { return "zone-" + std::string(1, static_cast<char>('a' + zone)); }
 
@@ -52,10 +52,10 @@
     : config_(config),
       random_(config.seed),
       trace_(config.prints_trace),
-      checks_(events_, trace_),
+      checker_(events_, trace_),
       network_(events_, random_, trace_, *this, config.network),
       fabric_(events_, random_),
-      callers_(context(), fabric_) {
+      clients_(context(), fabric_) {
   make_settings();
   make_controls();
   for (int i = 0; i < config_.zones * config_.balancers_per_zone; ++i) {
@@ -66,7 +66,7 @@
 
 World::~World() = default;
 
-SimContext World::context() { return {events_, random_, trace_, network_, checks_}; }
+SimContext World::context() { return {events_, random_, trace_, network_, checker_}; }
 
 void World::make_settings() {
   settings_.deployment = "simulated";
@@ -85,9 +85,9 @@
   model.address = target.address;
   model.service_time = config_.service_time;
   model.warm_up_service_time = 3 * config_.service_time;
-  model.notification_interval = config_.feed_interval;
+  model.notification_interval = config_.notification_interval;
   model.misleading_report = config_.misleading_reports;
-  network_.place(target.address, zone_number(target.zone));
+  network_.set_zone(target.address, zone_number(target.zone));
   targets_[target.address] = std::make_unique<SimTarget>(context(), model, fabric_);
 }
 
@@ -97,7 +97,7 @@
     addresses.push_back({address_of(kControlGroup, static_cast<std::uint32_t>(i)), 7000});
   }
   for (std::size_t i = 0; i < addresses.size(); ++i) {
-    network_.place(addresses[i], static_cast<int>(i) % config_.zones);
+    network_.set_zone(addresses[i], static_cast<int>(i) % config_.zones);
     SimControlConfig config;
     config.name = "control-" + std::to_string(i + 1);
     config.address = addresses[i];
@@ -121,7 +121,7 @@
   for (const auto& control : controls_) {
     config.control.push_back(control->config().address);
   }
-  network_.place(config.address, zone);
+  network_.set_zone(config.address, zone);
   balancers_.push_back(std::make_unique<SimBalancer>(
       context(), config, [this](const Endpoint& target) -> std::optional<TargetReport> {
         const auto found = targets_.find(target);
@@ -130,28 +130,28 @@
   return *balancers_.back();
 }
 
-void World::make_callers() {
+void World::make_clients() {
   std::uint32_t number = 0;
   const auto add = [&](ClientKind kind, int count, const Endpoint& service) {
     for (int i = 0; i < count; ++i) {
       ClientConfig caller;
       caller.kind = kind;
       caller.name = "caller" + std::to_string(++number);
-      caller.flow = {{address_of(kCallerGroup, number), 20000}, service};
+      caller.flow = {{address_of(kClientGroup, number), 20000}, service};
       caller.port_count = kind == ClientKind::kLookup ? 512 : 1;
       caller.seed = config_.seed * 1000003 + number;
-      caller.start_delay = random_.between(Duration::zero(), kStartSpread);
-      caller.work_interval = config_.pause;
-      caller.notification_interval = config_.feed_interval;
-      callers_.add(caller);
+      caller.start_delay = random_.between(Duration::zero(), kClientStartSpread);
+      caller.work_interval = config_.think_time;
+      caller.notification_interval = config_.notification_interval;
+      clients_.add(caller);
     }
   };
   const Endpoint first = settings_.services[0].address;
   const Endpoint second = settings_.services[1].address;
-  add(ClientKind::kObserve, config_.callers.feeds, first);
-  add(ClientKind::kUpdate, config_.callers.updates, first);
-  add(ClientKind::kLookup, config_.callers.lookups, first);
-  add(ClientKind::kDownload, config_.callers.downloads, second);
+  add(ClientKind::kObserve, config_.clients.observations, first);
+  add(ClientKind::kUpdate, config_.clients.updates, first);
+  add(ClientKind::kLookup, config_.clients.lookups, first);
+  add(ClientKind::kDownload, config_.clients.downloads, second);
 }
 
 bool World::run_until(const std::function<bool()>& condition, Duration limit) {
@@ -160,7 +160,7 @@
     if (events_.now() >= end) {
       return false;
     }
-    events_.run_until(events_.now() + kStep);
+    events_.run_until(events_.now() + kPollStep);
   }
   return true;
 }
@@ -177,23 +177,27 @@
     balancer->start();
     fabric_.announce(balancer->config().address, true);
   }
-  watch_leases();
+  monitor_leases();
   change_settings([this](Settings& settings) { settings = settings_; });
   const bool ready = run_until(
-      [this] { return operators_.front()->is_idle() && difference().empty() && is_settled(); },
-      kStartLimit);
+      [this] {
+        return operators_.front()->is_idle() && describe_divergence().empty() &&
+               is_handover_complete();
+      },
+      kStartTimeout);
   if (!ready) {
-    checks_.violate(Invariant::kNotConverged, "the start: " + difference());
+    checker_.report_violation(Invariant::kNotConverged, "the start: " + describe_divergence());
   }
 }
 
-void World::watch_leases() {
-  events_.every(kWatchInterval, [this] {
+void World::monitor_leases() {
+  events_.every(kLeaseCheckInterval, [this] {
     const auto leaders = std::count_if(controls_.begin(), controls_.end(), [](const auto& control) {
       return control->acts_as_leader();
     });
     if (leaders > 1) {
-      checks_.violate(Invariant::kTwoLeases, std::to_string(leaders) + " replicas act as leader");
+      checker_.report_violation(Invariant::kTwoLeaseHolders,
+                                std::to_string(leaders) + " replicas act as leader");
     }
     return true;
   });
@@ -205,49 +209,49 @@
 
 RunResult World::run(const Expectations& expectations) {
   load_start_ = events_.now();
-  network_.clear_meters();
-  make_callers();
-  callers_.start();
+  network_.clear_traffic();
+  make_clients();
+  clients_.start();
   for (auto& [time, action] : actions_) {
     events_.after(time, std::move(action));
   }
-  events_.run_until(load_start_ + config_.load_time);
+  events_.run_until(load_start_ + config_.load_duration);
   RunResult result;
   measure(result);
-  callers_.stop();
+  clients_.stop();
   network_.heal();
   const bool operators_done = run_until(
       [this] {
         return std::all_of(operators_.begin(), operators_.end(),
                            [](const auto& one) { return one->is_idle(); });
       },
-      kQuietLimit);
+      kQuiesceTimeout);
   if (!operators_done) {
-    checks_.violate(Invariant::kNotConverged, "a submission got no outcome");
+    checker_.report_violation(Invariant::kNotConverged, "a submission got no outcome");
   }
-  run_until([this] { return callers_.is_idle(); }, kQuietLimit);
-  if (!run_until([this] { return difference().empty(); }, kQuietLimit)) {
-    checks_.violate(Invariant::kNotConverged, difference());
+  run_until([this] { return clients_.is_idle(); }, kQuiesceTimeout);
+  if (!run_until([this] { return describe_divergence().empty(); }, kQuiesceTimeout)) {
+    checker_.report_violation(Invariant::kNotConverged, describe_divergence());
   }
-  if (config_.scheme == AffinityScheme::kOwners &&
-      !run_until([this] { return is_settled(); }, kQuietLimit)) {
-    checks_.violate(Invariant::kNotSettled, "handovers do not end");
+  if (config_.scheme == AffinityScheme::kPartitionOwners &&
+      !run_until([this] { return is_handover_complete(); }, kQuiesceTimeout)) {
+    checker_.report_violation(Invariant::kHandoverIncomplete, "handovers do not end");
   }
-  result.callers = callers_.stats();
-  check_updates(result.callers);
-  check_callers(result.callers, expectations);
-  check_force(expectations, result);
+  result.client_stats = clients_.stats();
+  check_updates(result.client_stats);
+  check_clients(result.client_stats, expectations);
+  check_apply_times(expectations, result);
   check_history();
-  count_verdicts(result);
-  result.violations = checks_.violations();
+  count_failures(result);
+  result.violations = checker_.violations();
   result.trace_hash = trace_.hash();
-  result.events = events_.count();
+  result.events = events_.events_run();
   return result;
 }
 
 std::optional<std::size_t> World::leader() const {
   for (std::size_t i = 0; i < controls_.size(); ++i) {
-    if (controls_[i]->acts_as_leader()) {
+    if (controls_[i]->holds_lease()) {
       return i;
     }
   }
@@ -265,7 +269,7 @@
   });
 }
 
-std::string World::difference() const {
+std::string World::describe_divergence() const {
   const auto leading = leader();
   if (!leading) {
     return "no leader";
@@ -278,10 +282,10 @@
   }
   for (std::size_t i = 0; i < balancers_.size(); ++i) {
     const SimBalancer& balancer = *balancers_[i];
-    if (removed_.contains(i)) {
+    if (removed_balancers_.contains(i)) {
       continue;
     }
-    if (!balancer.is_up() || balancer.is_frozen()) {
+    if (!balancer.is_up() || balancer.is_paused()) {
       return balancer.config().name + " is down";
     }
     if (fleet_digest(balancer.fleet()) != state.digest()) {
@@ -291,12 +295,12 @@
     }
   }
   const std::size_t members = state.fleet().members.size();
-  const std::size_t expected = balancers_.size() - removed_.size();
+  const std::size_t expected = balancers_.size() - removed_balancers_.size();
   return members == expected ? ""
                              : std::to_string(members) + " members of " + std::to_string(expected);
 }
 
-bool World::is_settled() const {
+bool World::is_handover_complete() const {
   const auto leading = leader();
   if (!leading) {
     return false;
@@ -318,7 +322,7 @@
     return;
   }
   if (const auto* datagram = std::get_if<Bytes>(&message.body)) {
-    if (callers_.receive(to, *datagram)) {
+    if (clients_.receive(to, *datagram)) {
       return;
     }
   }
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "sim/checks.h"
+#include "sim/invariant_checker.h"
 #include "sim/sim_balancer.h"
-#include "sim/sim_callers.h"
+#include "sim/sim_clients.h"
 #include "sim/sim_control.h"
 #include "sim/sim_fabric.h"
 #include "sim/sim_operator.h"
@@ -24,8 +24,8 @@
   ControlClientFaults client;
 };
 
-struct CallerCounts {
-  int feeds = 10;
+struct ClientCounts {
+  int observations = 10;
   int updates = 10;
   int lookups = 8;
   int downloads = 5;
@@ -34,7 +34,7 @@
 struct WorldConfig {
   std::uint64_t seed = 1;
   bool prints_trace = false;
-  AffinityScheme scheme = AffinityScheme::kOwners;
+  AffinityScheme scheme = AffinityScheme::kPartitionOwners;
   SimFaults faults;
   int zones = 3;
   int balancers_per_zone = 2;
@@ -45,23 +45,23 @@
   std::uint32_t partitions = 64;
   std::uint32_t queue_limit = 32;
   NetworkConfig network;
-  CallerCounts callers;
+  ClientCounts clients;
   /// Pause between two pieces of work of a caller.
-  Duration pause = std::chrono::milliseconds(150);
+  Duration think_time = std::chrono::milliseconds(150);
   Duration service_time = std::chrono::milliseconds(2);
-  Duration feed_interval = std::chrono::milliseconds(500);
+  Duration notification_interval = std::chrono::milliseconds(500);
   bool misleading_reports = false;
   /// Time for which callers begin new work.
-  Duration load_time = std::chrono::seconds(20);
+  Duration load_duration = std::chrono::seconds(20);
 };
 
 /// What must hold beyond the invariants that hold always.
 struct Expectations {
   bool no_broken_flow = true;
-  bool no_feed_move = true;
+  bool no_observation_move = true;
   /// Every request gets its own answer: no timeout, no "may have run".
-  bool no_request_cut = false;
-  bool forced_in_time = true;
+  bool no_request_failure = false;
+  bool applied_in_time = true;
   /// No new work at a drained target after 3 s. A zone that is cut off cannot know of the drain.
   bool drains_in_time = true;
 };
@@ -71,21 +71,21 @@
   std::vector<Violation> violations;
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
-  ClientStats callers;
+  ClientStats client_stats;
   /// Maximum over mean of the requests that the targets of each service ran, weighted.
-  std::vector<double> imbalance;
+  std::vector<double> request_imbalance;
   /// The same of the feeds open at the targets of the first service when the load ends.
-  double feed_imbalance = 0;
+  double observation_imbalance = 0;
   /// Flows held by all balancers when the load ends.
-  std::size_t flows_held = 0;
+  std::size_t flow_records = 0;
   /// Longest time from acceptance to force at a reachable balancer.
-  Duration longest_force{};
+  Duration max_apply_time{};
   std::uint64_t datagrams = 0;
   std::uint64_t relayed = 0;
-  std::array<std::uint64_t, kFailureReasonCount> given_up{};
+  std::array<std::uint64_t, kFailureReasonCount> failures_by_reason{};
   /// Mean octets a second that a balancer sent to peers, and to control.
-  double peer_octets_per_second = 0;
-  double node_octets_per_second = 0;
+  double peer_bytes_per_second = 0;
+  double node_bytes_per_second = 0;
 };
 
 class World : private SimReceiver {
@@ -110,10 +110,12 @@
   void kill_control(std::size_t i, Duration down_for, bool wipe = false);
   /// Cuts a replica off from the others; balancers and operators still reach it.
   void isolate_control(std::size_t i, Duration time);
-  void cut_zone(int zone, Duration time);
+  void isolate_zone(int zone, Duration time);
   void heal();
   /// Submits a change of the settings by the first operator.
-  void change_settings(SimOperator::Edit edit) { operators_.front()->change(std::move(edit)); }
+  void change_settings(SimOperator::Edit edit) {
+    operators_.front()->enqueue_edit(std::move(edit));
+  }
   SimOperator& add_operator(double loss);
   /// Sets a target to drain; no new work may reach it 3 s after acceptance.
   void drain_target(std::size_t service, std::size_t target);
@@ -138,45 +140,45 @@
   void make_controls();
   void make_settings();
   void make_target(const Target& target);
-  void make_callers();
+  void make_clients();
   SimBalancer& make_balancer(int zone);
-  void watch_leases();
-  [[nodiscard]] bool is_settled() const;
+  void monitor_leases();
+  [[nodiscard]] bool is_handover_complete() const;
   /// What keeps the processes from having one state; empty when they have.
-  [[nodiscard]] std::string difference() const;
+  [[nodiscard]] std::string describe_divergence() const;
   bool run_until(const std::function<bool()>& condition, Duration limit);
 
   void check_updates(const ClientStats& stats);
-  void check_callers(const ClientStats& stats, const Expectations& expectations);
-  void check_force(const Expectations& expectations, RunResult& result);
+  void check_clients(const ClientStats& stats, const Expectations& expectations);
+  void check_apply_times(const Expectations& expectations, RunResult& result);
   void check_history();
   void measure(RunResult& result);
   /// Maximum over mean of a load of the targets of a service, weighted, without those that were
   /// drained or came late.
   [[nodiscard]] double imbalance(const Service& service,
                                  const std::function<double(const SimTarget&)>& load) const;
-  void count_verdicts(RunResult& result) const;
+  void count_failures(RunResult& result) const;
 
   WorldConfig config_;
   EventQueue events_;
   SimRandom random_;
   Trace trace_;
-  Checks checks_;
+  InvariantChecker checker_;
   SimNetwork network_;
   SimFabric fabric_;
   Settings settings_;
   std::vector<std::unique_ptr<SimControl>> controls_;
   std::vector<std::unique_ptr<SimBalancer>> balancers_;
   std::map<Endpoint, std::unique_ptr<SimTarget>> targets_;
-  SimCallers callers_;
+  SimClients clients_;
   std::vector<std::unique_ptr<SimOperator>> operators_;
   std::vector<std::pair<Duration, std::function<void()>>> actions_;
   /// Balancers that were taken out for good.
-  std::set<std::size_t> removed_;
-  std::set<Endpoint> unloaded_targets_;
+  std::set<std::size_t> removed_balancers_;
+  std::set<Endpoint> excluded_targets_;
   /// Drained targets, with the instant from which new work is too late.
-  std::map<Endpoint, Instant> drained_;
-  std::uint32_t spare_targets_ = 0;
+  std::map<Endpoint, Instant> drained_since_;
+  std::uint32_t spare_target_count_ = 0;
   Instant load_start_;
 };
 
--- a/src/sim/world_actions.cc
+++ b/src/sim/world_actions.cc
@@ -6,7 +6,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr Duration kWatchDrain = std::chrono::milliseconds(20);
+constexpr Duration kDrainCheckInterval = std::chrono::milliseconds(20);
 
 Target* find_target(Settings& settings, const Endpoint& address) {
   for (auto& service : settings.services) {
@@ -43,7 +43,7 @@
   }
   note("leave " + balancer.config().name);
   fabric_.announce(balancer.config().address, false);
-  balancer.leave([this, &balancer, then = std::move(then)] {
+  balancer.begin_shutdown([this, &balancer, then = std::move(then)] {
     note("restart " + balancer.config().name);
     balancer.start();
     fabric_.announce(balancer.config().address, true);
@@ -67,9 +67,9 @@
     return;
   }
   note("remove " + balancer.config().name);
-  removed_.insert(i);
+  removed_balancers_.insert(i);
   fabric_.announce(balancer.config().address, false);
-  balancer.leave([] {});
+  balancer.begin_shutdown([] {});
 }
 
 void World::kill_control(std::size_t i, Duration down_for, bool wipe) {
@@ -84,7 +84,7 @@
   }
   events_.after(down_for, [this, &control] {
     note("start " + control.config().name);
-    control.disk().mend();
+    control.disk().clear_faults();
     control.start();
   });
 }
@@ -99,9 +99,9 @@
   events_.after(time, [this] { heal(); });
 }
 
-void World::cut_zone(int zone, Duration time) {
+void World::isolate_zone(int zone, Duration time) {
   note("cut zone " + std::to_string(zone));
-  network_.cut_zone(zone);
+  network_.isolate_zone(zone);
   events_.after(time, [this] { heal(); });
 }
 
@@ -120,13 +120,13 @@
 void World::drain_target(std::size_t service, std::size_t target) {
   const Endpoint address = settings_.services[service].targets[target].address;
   note("drain " + to_string(address));
-  unloaded_targets_.insert(address);
+  excluded_targets_.insert(address);
   change_settings([address](Settings& settings) {
     if (Target* found = find_target(settings, address)) {
       found->draining = true;
     }
   });
-  events_.every(kWatchDrain, [this, address] {
+  events_.every(kDrainCheckInterval, [this, address] {
     const bool draining = std::any_of(controls_.begin(), controls_.end(), [&](const auto& control) {
       if (!control->is_up()) {
         return false;
@@ -136,7 +136,7 @@
       return found != nullptr && found->draining;
     });
     if (draining) {
-      drained_.emplace(address, events_.now());
+      drained_since_.emplace(address, events_.now());
     }
     return !draining;
   });
@@ -145,12 +145,12 @@
 Target World::spare_target(std::size_t service) {
   const auto& targets = settings_.services[service].targets;
   Target target = targets.front();
-  ++spare_targets_;
-  target.name = "spare-" + std::to_string(spare_targets_);
-  target.address.address = targets.back().address.address + 100 + spare_targets_;
+  ++spare_target_count_;
+  target.name = "spare-" + std::to_string(spare_target_count_);
+  target.address.address = targets.back().address.address + 100 + spare_target_count_;
   make_target(target);
   targets_[target.address]->start();
-  unloaded_targets_.insert(target.address);
+  excluded_targets_.insert(target.address);
   return target;
 }
 
--- a/tests/sim/test_following_workload.cc
+++ b/tests/sim/test_following_workload.cc
@@ -12,7 +12,7 @@
 #include <string>
 
 #include "control_cluster.h"
-#include "is_caught.h"
+#include "fault_detection.h"
 
 namespace gorsevalve {
 namespace {
@@ -302,7 +302,7 @@
     WorkloadFaults faults;
     faults.control.assume_sends_delivered = true;
     faults.client.trust_any_message = true;
-    CHECK(is_caught<Workload>(faults));
+    CHECK(is_fault_detected<Workload>(faults));
   }
 }
 
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -17,7 +17,7 @@
 #include <string>
 
 #include "core/steering/flow_steering.h"
-#include "is_caught.h"
+#include "fault_detection.h"
 
 namespace gorsevalve {
 namespace {
@@ -413,16 +413,16 @@
   TEST_CASE("each injected fault is detected") {
     SteeringFaults trusting;
     trusting.reachability.trust_suspicions = true;
-    CHECK(is_caught<Workload>(trusting));
+    CHECK(is_fault_detected<Workload>(trusting));
     SteeringFaults without_reference;
     without_reference.reachability.ignore_references = true;
-    CHECK(is_caught<Workload>(without_reference));
+    CHECK(is_fault_detected<Workload>(without_reference));
     SteeringFaults without_link;
     without_link.reachability.ignore_congestion = true;
-    CHECK(is_caught<CongestedWorkload>(without_link));
+    CHECK(is_fault_detected<CongestedWorkload>(without_link));
     SteeringFaults with_refusals;
     with_refusals.reachability.trust_refusals = true;
-    CHECK(is_caught<CongestedWorkload>(with_refusals));
+    CHECK(is_fault_detected<CongestedWorkload>(with_refusals));
   }
 }
 
--- a/tests/sim/test_scenarios.cc
+++ b/tests/sim/test_scenarios.cc
@@ -1,7 +1,7 @@
 /// Every scenario over a fixed list of seeds, the determinism of runs, and the deliberate faults.
 #include <doctest/doctest.h>
 
-#include "sim/deliberate_faults.h"
+#include "sim/injected_faults.h"
 #include "sim/scenario.h"
 
 namespace gorsevalve {
@@ -23,7 +23,7 @@
         FAIL_CHECK("scenario=" << all[i].name << " seed=" << seed << " "
                                << to_string(violation.invariant) << ": " << violation.detail);
       }
-      CHECK(result.callers.responses > 0);
+      CHECK(result.client_stats.responses > 0);
     }
   }
 }
@@ -62,8 +62,8 @@
     // A vote without a look at the log shows at seed 30 only since restarted leaders, who have the
     // whole log, are mostly elected again at once; test_replica has the direct test.
     constexpr std::uint64_t kFaultSeeds = 60;
-    for (const auto& fault : deliberate_faults()) {
-      const auto caught = catch_fault(fault, kFaultSeeds);
+    for (const auto& fault : injected_faults()) {
+      const auto caught = detect_fault(fault, kFaultSeeds);
       CHECK_MESSAGE(caught.has_value(), fault.name);
     }
   }
--- a/tests/sim/test_steering_workload.cc
+++ b/tests/sim/test_steering_workload.cc
@@ -13,7 +13,7 @@
 
 #include "core/control/steering_commands.h"
 #include "core/steering/flow_steering.h"
-#include "is_caught.h"
+#include "fault_detection.h"
 
 namespace gorsevalve {
 namespace {
@@ -251,10 +251,10 @@
   TEST_CASE("each injected fault is detected") {
     SteeringFaults ignore_token;
     ignore_token.ignore_token = true;
-    CHECK(is_caught<Workload>(ignore_token));
+    CHECK(is_fault_detected<Workload>(ignore_token));
     SteeringFaults foreign;
     foreign.accept_foreign_tokens = true;
-    CHECK(is_caught<Workload>(foreign));
+    CHECK(is_fault_detected<Workload>(foreign));
   }
 }
 
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -17,7 +17,7 @@
 
 #include "core/control/balancer_ranking.h"
 #include "core/steering/flow_steering.h"
-#include "is_caught.h"
+#include "fault_detection.h"
 
 namespace gorsevalve {
 namespace {
@@ -343,7 +343,7 @@
   TEST_CASE("an injected fault in which each balancer uses the whole budget is detected") {
     SteeringFaults whole_budget;
     whole_budget.take_whole_budget = true;
-    CHECK(is_caught<Workload>(whole_budget));
+    CHECK(is_fault_detected<Workload>(whole_budget));
   }
 }
 
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -14,7 +14,7 @@
 #include <string>
 
 #include "core/steering/flow_steering.h"
-#include "is_caught.h"
+#include "fault_detection.h"
 
 namespace gorsevalve {
 namespace {
@@ -430,10 +430,10 @@
   TEST_CASE("each injected fault is detected") {
     SteeringFaults without_reference;
     without_reference.zone_paths.ignore_references = true;
-    CHECK(is_caught<ScenarioWorkload<Scenario::kFullLink>>(without_reference));
+    CHECK(is_fault_detected<ScenarioWorkload<Scenario::kFullLink>>(without_reference));
     SteeringFaults trusting;
     trusting.zone_paths.trust_one_target = true;
-    CHECK(is_caught<ScenarioWorkload<Scenario::kDarkRack>>(trusting));
+    CHECK(is_fault_detected<ScenarioWorkload<Scenario::kDarkRack>>(trusting));
   }
 }
 
--- a/tests/unit/test_log_store.cc
+++ b/tests/unit/test_log_store.cc
@@ -51,7 +51,7 @@
       for (int i = 0; i < 6; ++i) {
         next += store.append(make_frame(next)) ? 1 : 0;
       }
-      disk.mend();
+      disk.clear_faults();
       REQUIRE(store.append(make_frame(next)));
       LogStore reopened(disk);
       const auto stored = reopened.open();
@@ -70,7 +70,7 @@
       const Snapshot snapshot{2, 1, {}, Bytes(10, 3)};
       const LogFrame remaining{HardState{3, 9}, std::nullopt, {make_entry(3)}};
       static_cast<void>(store.replace_with_snapshot(snapshot, remaining));
-      disk.mend();
+      disk.clear_faults();
       REQUIRE(store.append(make_frame(4)));
       LogStore reopened(disk);
       const auto stored = reopened.open();
@@ -162,7 +162,7 @@
       disk.fail_after(operations);
       const Snapshot snapshot{2, 1, {}, Bytes{1, 2, 3}};
       (void)store.replace_with_snapshot(snapshot, {HardState{3, 9}, {}, {make_entry(3)}});
-      disk.mend();
+      disk.clear_faults();
       SimRandom random(operations);
       disk.crash(random);
       LogStore reopened(disk);
