--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -193,7 +193,7 @@
 void World::monitor_leases() {
   events_.every(kLeaseCheckInterval, [this] {
     const auto leaders = std::count_if(controls_.begin(), controls_.end(), [](const auto& control) {
-      return control->acts_as_leader();
+      return control->holds_lease();
     });
     if (leaders > 1) {
       checker_.report_violation(Invariant::kTwoLeaseHolders,
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -44,7 +44,7 @@
   std::uint32_t max_connections = 2000;
   std::uint32_t queue_limit = 16;
   Duration service_time = std::chrono::milliseconds(2);
-  /// Service time right after the start, falling to service_time within cold_for.
+  /// Service time right after the start, falling to service_time within warm_up_time.
   Duration warm_up_service_time = std::chrono::milliseconds(6);
   Duration warm_up_time = std::chrono::seconds(5);
   Duration notification_interval = std::chrono::milliseconds(500);
