--- a/src/codec/coap.h
+++ b/src/codec/coap.h
@@ -153,7 +153,7 @@
 void set_coap_type(std::span<std::uint8_t> message, CoapType type);
 
 /// Overwrites the Observe option in place with a three-byte value. Returns the new size of the
-/// message, which may be up to three bytes larger; 0 when the first `total_bytes` bytes contain no
+/// message, which may be up to three bytes larger; 0 when the first `size` bytes contain no
 /// Observe option or `buffer` is too small.
 std::size_t set_coap_observe(std::span<std::uint8_t> buffer, std::size_t size, std::uint32_t value);
 
--- a/src/codec/proxy_header.cc
+++ b/src/codec/proxy_header.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kRelaySize = 9;
 constexpr std::size_t kTimeLeftSize = 4;
 
-/// Reads a big-endian integer of `total_bytes` bytes; `data` must hold that many.
+/// Reads a big-endian integer of `size` bytes; `data` must hold that many.
 std::uint64_t read_big_endian(const std::uint8_t* data, std::size_t size) {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < size; ++i) {
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -74,7 +74,7 @@
   /// later until they get an acknowledgement, and a later retransmission is forwarded.
   [[nodiscard]] bool is_redundant_retransmission(const ClientPacket& packet, Instant now);
 
-  /// Queues a datagram of `total_bytes` bytes for a client's packet. Returns the buffer to fill
+  /// Queues a datagram of `size` bytes for a client's packet. Returns the buffer to fill
   /// with its content; empty when the datagram is dropped.
   std::span<std::uint8_t> enqueue(const ClientPacket& packet, const Endpoint& to, std::size_t size,
                                   const PacketDeadlines& deadlines, Instant now);
--- a/src/core/link/link_shaper.h
+++ b/src/core/link/link_shaper.h
@@ -28,7 +28,7 @@
   /// Handles a packet received from a client; `frontend` may be nullptr.
   LinkDecision on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
                          Instant now);
-  /// Records that the client was notified of the end of its flow by a datagram of `total_bytes`
+  /// Records that the client was notified of the end of its flow by a datagram of `size`
   /// bytes.
   void on_reset(const SteeredFlow& flow, std::size_t size, Instant now);
   void on_tick(Instant now);
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -54,7 +54,7 @@
 struct SteeringDecision {
   SteeringAction action = SteeringAction::kDrop;
   SteeringReason reason = SteeringReason::kNoState;
-  /// Set when the packet is forwarded; valid until the next `add_connection` or `apply`.
+  /// Set when the packet is forwarded; valid until the next `adopt` or `apply`.
   const RegisteredTarget* target = nullptr;
 };
 
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -99,7 +99,7 @@
       }
     }
   }
-  /// Healthy targets that responded to requests recently, the latest first; at most `events_run`,
+  /// Healthy targets that responded to requests recently, the latest first; at most `count`,
   /// never `except`.
   [[nodiscard]] std::vector<TargetId> latest_answered(std::size_t count, TargetId except,
                                                       Instant now) const;
--- a/src/model/balancer_rank.h
+++ b/src/model/balancer_rank.h
@@ -7,8 +7,8 @@
 
 namespace gorsevalve {
 
-/// Indexes run from 0 to `events_run` - 1 and are unique while all balancers have ranks from the
-/// same leader. A `events_run` of 0 means that the rank is unknown.
+/// Indexes run from 0 to `count` - 1 and are unique while all balancers have ranks from the
+/// same leader. A `count` of 0 means that the rank is unknown.
 struct BalancerRank {
   std::uint32_t index = 0;
   std::uint32_t count = 0;
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -6,7 +6,7 @@
 ///
 /// A body is an archive of LogFrame. Each write appends one frame and syncs it before it returns,
 /// so only the last frame can be torn. A damaged frame followed by an intact one is corruption, and
-/// the store fails to open. The files `status` and `identity` hold one frame each and are
+/// the store fails to open. The files `snapshot` and `identity` hold one frame each and are
 /// replaced atomically.
 #pragma once
 
--- a/tests/unit/test_target_health_aggregator.cc
+++ b/tests/unit/test_target_health_aggregator.cc
@@ -10,7 +10,7 @@
 
 constexpr Instant kStart{seconds(1000)};
 
-/// Returns the state of a pool whose targets have the tokens 1 to `events_run`.
+/// Returns the state of a pool whose targets have the tokens 1 to `count`.
 SteeringState pool_of(FlowToken count) {
   SteeringState state;
   for (FlowToken token = 1; token <= count; ++token) {
