--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr const char* kFleetFile = "fleet";
-/// The fleet state kept over a restart; an empty one when there is none or it is damaged, since the
-/// control replicas give it again.
+/// Reads the stored fleet state. A missing or damaged file gives an empty state, which the control
+/// replicas then replace.
 FleetState read_fleet(Disk* disk) {
   if (disk == nullptr) {
     return {};
@@ -165,7 +165,7 @@
   if (disk_ != nullptr) {
     const auto kept = disk_->replace(kFleetFile, encode_frame(encode_archive(fleet)));
     if (!kept) {
-      // The copy only shortens the next start; the control replicas have the state.
+      // The stored copy only speeds up the next start: the control replicas hold the state.
       log_event(LogEvent::kFleetNotKept, {{"error", kept.error().message}});
     }
   }
--- a/src/tasks/balancer_task.h
+++ b/src/tasks/balancer_task.h
@@ -1,4 +1,4 @@
-/// The balancer's main task: owns its sockets and the balancer core, and moves messages between
+/// The balancer's main task. It owns the sockets and the balancer core, and passes messages between
 /// them.
 #pragma once
 
@@ -21,16 +21,16 @@
 
 struct BalancerTaskConfig {
   Member self;
-  /// Where it binds, when others reach its address through a forwarder.
+  /// Local address to bind, if peers reach `self.address` through a forwarder.
   std::optional<Endpoint> listen;
-  /// Where datagrams for callers go: the fabric's address for them.
+  /// Next hop of datagrams to clients: the fabric's address.
   Endpoint egress;
   std::vector<Endpoint> control;
   std::string cluster;
   ClusterKeys keys;
 };
 
-/// What the administration task shows of a balancer.
+/// Status of a balancer for the administration API.
 struct BalancerStatus {
   BalancerCounters counters;
   Revision revision = 0;
@@ -44,16 +44,16 @@
 
 class BalancerTask : private BalancerOutput, private ControlClientOutput {
  public:
-  /// `disk` keeps the fleet state over a restart; nullptr for none.
+  /// `disk` stores the fleet state for the next start; nullptr disables it.
   static tl::expected<std::unique_ptr<BalancerTask>, std::string> open(EventLoop& loop,
                                                                        BalancerTaskConfig config,
                                                                        Disk* disk);
 
-  /// Begins a planned stop: the task ends the loop when its partitions have moved.
+  /// Starts a graceful shutdown. The loop stops once all partitions have been handed over.
   void leave();
 
   [[nodiscard]] BalancerStatus status() const;
-  /// Targets with a health endpoint, for the poller.
+  /// Targets that have a health endpoint to poll.
   [[nodiscard]] std::vector<Target> polled_targets() const;
   void on_target_report(const TargetReport& report);
 
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -11,10 +11,9 @@
 namespace gorsevalve {
 namespace {
 
-/// A pause between two ticks that is worth a line in the log.
+/// Delay between two ticks that is logged as a stall.
 constexpr Duration kStallLogThreshold = std::chrono::milliseconds(120);
-/// Encoded messages that are kept for further peers: an update from nothing, some from the latest
-/// revisions, and figures.
+/// Encoded messages cached for other peers: a snapshot, recent deltas and target health.
 constexpr std::size_t kMaxCachedMessages = 8;
 
 std::string describe(const StorageError& error) { return error.message; }
@@ -38,7 +37,7 @@
   }
   if (existing->has_value()) {
     return tl::unexpected(
-        StorageError{StorageErrorKind::kOperation, "the data folder holds a replica already"});
+        StorageError{StorageErrorKind::kOperation, "the data directory already holds a replica"});
   }
   ReplicaIdentity identity;
   identity.cluster = config.cluster;
@@ -74,7 +73,7 @@
     *identity = fresh;
   }
   if ((*identity)->cluster != task->config_.cluster) {
-    return tl::unexpected("the data folder belongs to cluster \"" + (*identity)->cluster + "\"");
+    return tl::unexpected("the data directory belongs to cluster \"" + (*identity)->cluster + "\"");
   }
   auto stored = task->store_.open();
   if (!stored) {
@@ -119,7 +118,8 @@
   if (const auto* replica = std::get_if<ReplicaMessage>(&opened->message)) {
     node_->on_replica_message(*replica, now);
   } else if (const auto* message = std::get_if<NodeMessage>(&opened->message)) {
-    // The sender's connection must be known before the answer is sent, so the answer waits a turn.
+    // The network records the sender's connection after this call, so the message is handled in the
+    // next iteration of the loop.
     loop_.post([this, sender = opened->sender, copy = *message] {
       node_->on_node_message(sender, copy, monotonic_now());
     });
@@ -133,7 +133,6 @@
 void ControlTask::on_tick() {
   const Instant now = monotonic_now();
   if (last_tick_ != Instant{} && now - last_tick_ > kStallLogThreshold) {
-    // A slow disk, a frozen machine, or too much work in one turn.
     log_event(
         LogEvent::kLoopStalled,
         {{"ms", std::chrono::duration_cast<std::chrono::milliseconds>(now - last_tick_).count()}});
@@ -217,7 +216,7 @@
       still_waiting.push_back(std::move(waiting));
     }
   }
-  // A callback may have submitted more.
+  // Callbacks may have added submissions.
   std::move(pending_submissions_.begin(), pending_submissions_.end(),
             std::back_inserter(still_waiting));
   pending_submissions_ = std::move(still_waiting);
@@ -321,12 +320,12 @@
   return network_.send(to, envelope_.seal(encode_cached(message)), is_replica(to));
 }
 
-void ControlTask::on_update_retransmitted(const UpdateRetransmission& repeated) {
+void ControlTask::on_update_retransmitted(const UpdateRetransmission& retransmission) {
   ++updates_retransmitted_;
-  log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(repeated.balancer)},
-                                        {"confirmed", repeated.confirmed},
-                                        {"sent", repeated.sent},
-                                        {"has_gap", repeated.has_gap}});
+  log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(retransmission.balancer)},
+                                        {"confirmed", retransmission.confirmed},
+                                        {"sent", retransmission.sent},
+                                        {"has_gap", retransmission.has_gap}});
 }
 
 const EncodedMessage& ControlTask::encode_cached(const SharedNodeMessage& message) {
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -1,4 +1,4 @@
-/// The control process's main task: owns the log, the connections to replicas and balancers, and
+/// The control process's main task. It owns the log, the connections to replicas and balancers, and
 /// the control core.
 #pragma once
 
@@ -22,59 +22,60 @@
 
 struct ControlTaskConfig {
   Endpoint address;
-  /// Where it binds, when others reach `address` through a forwarder.
+  /// Local address to bind, if peers reach `address` through a forwarder.
   std::optional<Endpoint> listen;
-  /// All replicas of the cluster, this one included.
+  /// All replicas of the cluster, including this one.
   std::vector<Endpoint> replicas;
-  /// Where this process runs; may be empty.
+  /// Zone of this process; may be empty.
   std::string zone;
-  /// Zones that operators may evacuate beside those of known targets.
+  /// Zones that operators may evacuate in addition to those of known targets.
   std::vector<std::string> zones;
   std::string cluster;
   ClusterKeys keys;
   std::uint64_t incarnation = 0;
   Duration tick_interval = Replica::kTickInterval;
   ReplicaTiming timing;
-  /// How long a steering command waits to be decided.
+  /// Time limit for committing a steering command.
   Duration steering_timeout = std::chrono::milliseconds(900);
   RegistrationTiming registrations;
 };
 
-/// Replicas that found a cluster: their identities follow from the cluster's name and their
-/// addresses.
+/// Initial replicas of a cluster. Their ids are hashes of the cluster name and the address.
 ReplicaSet initial_replica_set(const std::string& cluster, const std::vector<Endpoint>& addresses);
 
 class ControlTask : private ControlOutput, private ReplicaStorage {
  public:
   using SubmissionCallback = std::function<void(const SubmissionResult&)>;
 
-  /// Writes the identity of a founding replica into an empty data folder.
+  /// Writes the identity of an initial replica into an empty data directory.
   static StorageResult<void> initialize(Disk& disk, const ControlTaskConfig& config);
 
-  /// Opens the data folder and starts. A folder without identity gets a new one, which takes part
-  /// as a learner once the leader admitted it.
+  /// Opens the data directory and starts. Without a stored identity the replica gets a new one and
+  /// joins as a learner once the leader admits it.
   static tl::expected<std::unique_ptr<ControlTask>, std::string> open(EventLoop& loop,
                                                                       ControlTaskConfig config,
                                                                       Disk& disk);
 
-  /// Submits settings; calls back when they are decided, or with kStatusPending after
+  /// Submits settings. Calls back when they are committed or rejected, or with kPending after
   /// kSubmissionTimeout.
   void submit(SettingsCommand command, SubmissionCallback callback);
   [[nodiscard]] SubmissionResult outcome(const SubmissionId& id) const;
 
-  /// Submits a whole steering file; the highest version holds.
+  /// Submits a complete steering file; the highest version wins.
   void submit_steering(const SteeringCommand& command, SteeringCallback callback);
-  /// Evacuates a zone or takes it back; acknowledged once it is committed, or when it is in force.
+  /// Evacuates or restores a zone. Acknowledged once the command is committed, or if the committed
+  /// state already includes it.
   void submit_evacuation(const EvacuationCommand& command, SteeringCallback callback);
-  /// A target announced itself.
+  /// Handles the announcement of a target.
   void announce(RegisteredTarget announced, SteeringCallback callback);
-  /// A target said that it has ended; it may tell when that life started.
+  /// Handles the end of a target. `started_at_ms` selects the incarnation that ended.
   void end_target(TargetId id, std::optional<TargetStart> started_at_ms, SteeringCallback callback);
-  /// The newest steering file, when this replica can prove that it is the newest; else who can.
+  /// The committed steering file, if this replica holds the lease; otherwise a reply that names the
+  /// leader.
   [[nodiscard]] tl::expected<std::string, SteeringReply> read_steering() const;
-  /// Other replicas to ask for admission.
+  /// Sets the replicas to ask for admission.
   void set_seeds(const std::vector<Endpoint>& seeds) { node_->set_seeds(seeds); }
-  /// Hands leadership over before a planned stop, and refuses everything from now on.
+  /// Transfers leadership before a graceful shutdown and rejects all further requests.
   void prepare_stop();
   [[nodiscard]] const ControlNode& node() const { return *node_; }
   [[nodiscard]] std::uint64_t messages_rejected() const { return messages_rejected_; }
@@ -100,35 +101,37 @@
   [[nodiscard]] SteeringReply not_leader() const;
   void await_proposal(const std::optional<Proposal>& proposal,
                       std::vector<SteeringCallback> callbacks, PendingProposals::Subject subject);
-  /// Answers a call of a target, proposes what it said, passes it on, or keeps the call until there
-  /// is a leader; `make_call` gives what makes the call anew, since most calls need no copy.
-  template <typename Said, typename MakeCall>
-  void handle_target_request(AnnouncementStatus status, const Said& said,
+  /// Completes, proposes, forwards or buffers the request of a target, depending on `status`.
+  /// `make_retry` creates a closure that handles the request again; it is called only when one is
+  /// needed.
+  template <typename Change, typename MakeRetry>
+  void handle_target_request(AnnouncementStatus status, const Change& change,
                              const SteeringCallback& callback, Instant now,
-                             const MakeCall& make_call);
-  void queue_registration(const ForwardedRequests::ForwardedChange& said,
+                             const MakeRetry& make_retry);
+  void queue_registration(const ForwardedRequests::ForwardedChange& change,
                           SteeringCallback callback);
-  /// Passes a call on to the leader; `retry` makes it anew.
-  void forward(ForwardedRequests::ForwardedChange said, SteeringCallback callback,
-               std::function<void()> decide_again);
+  /// Forwards a change to the leader; `retry` handles the request again.
+  void forward(ForwardedRequests::ForwardedChange change, SteeringCallback callback,
+               std::function<void()> retry);
   void send_forwarded();
   void complete_forwarded(Instant now);
-  /// True shortly after the start while no replica leads: then no other one can answer either.
+  /// True until a leader is known, for a limited time after the start. Until then no other replica
+  /// can handle requests either.
   [[nodiscard]] bool awaits_first_leader(Instant now) const;
   [[nodiscard]] bool may_buffer_request(Instant now) const;
-  /// Decides about the calls of targets that came before there was a leader.
+  /// Handles the requests that targets sent before a leader was known.
   void retry_buffered_requests(Instant now);
   void propose_registrations();
-  /// Logs what targets said to this replica.
+  /// Logs the registration changes that this replica received.
   void log_registrations(const std::vector<RegisteredTarget>& announced,
                          const std::vector<TargetIncarnation>& ended) const;
-  /// Logs that an announcement begins another life of a target that is known.
+  /// Logs an announcement that starts a new incarnation of a known target.
   void log_restart(const RegisteredTarget& announced) const;
 
   void send(const Endpoint& to, const ReplicaMessage& message) override;
   bool send_node(const Endpoint& to, const NodeMessage& message) override;
   bool send_shared(const Endpoint& to, const SharedNodeMessage& message) override;
-  void on_update_retransmitted(const UpdateRetransmission& repeated) override;
+  void on_update_retransmitted(const UpdateRetransmission& retransmission) override;
   [[nodiscard]] bool is_replica(const Endpoint& address) const;
   const EncodedMessage& encode_cached(const SharedNodeMessage& message);
   [[nodiscard]] bool append(const LogFrame& frame) override;
@@ -143,17 +146,17 @@
   Envelope envelope_;
   FrameNetwork network_;
   std::unique_ptr<ControlNode> node_;
-  /// Messages that went to several peers, the latest last, with their encoded form.
+  /// Recent messages to several peers with their encoded form, newest last.
   std::deque<std::pair<SharedNodeMessage, EncodedMessage>> encoded_messages_;
   std::vector<PendingSubmission> pending_submissions_;
   PendingProposals proposals_;
-  /// Registrations of this turn of the loop: they go into one entry.
+  /// Registrations received in this iteration of the event loop; they form one log entry.
   RegistrationCommand registrations_;
   std::vector<SteeringCallback> registration_callbacks_;
-  /// Calls of targets that the leader decides about.
+  /// Requests of targets that were forwarded to the leader.
   ForwardedRequests forwarded_requests_;
   bool forward_scheduled_ = false;
-  /// Calls of targets that wait for the first leader since the start; each decides itself.
+  /// Requests of targets that wait for the first leader since the start.
   std::vector<std::function<void()>> buffered_requests_;
   Instant started_at_ = monotonic_now();
   bool storage_damaged_ = false;
--- a/src/tasks/control_task_targets.cc
+++ b/src/tasks/control_task_targets.cc
@@ -1,5 +1,5 @@
-/// The control task's part that answers targets: what they announce and that they end, decided here
-/// by the leader, or passed on to it.
+/// The part of the control task that handles announcements and ends of targets: the leader proposes
+/// them, other replicas forward them to the leader.
 #include <utility>
 
 #include "tasks/control_task.h"
@@ -8,12 +8,11 @@
 namespace gorsevalve {
 namespace {
 
-/// For this long after a start, calls of targets wait for a leader. After a loss of all, targets
-/// that were refused would at once ask the next replica, which cannot answer either: their calls,
-/// several for each, kept the replicas from their election. Less than the second for which targets
-/// wait.
+/// Requests of targets are buffered for this long after the start while there is no leader.
+/// Rejecting them makes all targets retry at other replicas, and the load delays the election.
+/// Shorter than the request timeout of a target (1 s).
 constexpr Duration kFirstLeaderTimeout = std::chrono::milliseconds(800);
-/// Calls that wait at most; further ones are refused.
+/// Limit of buffered requests; further ones are rejected.
 constexpr std::size_t kMaxBufferedRequests = 4096;
 
 }  // namespace
@@ -30,26 +29,26 @@
 void ControlTask::end_target(TargetId id, std::optional<TargetStart> started_at_ms,
                              SteeringCallback callback) {
   const Instant now = monotonic_now();
-  const TargetIncarnation life = node_->incarnation_to_end(id, started_at_ms, unix_now_ms());
+  const TargetIncarnation incarnation = node_->incarnation_to_end(id, started_at_ms, unix_now_ms());
   const AnnouncementStatus status =
-      stopping_ ? AnnouncementStatus::kNotLeader : node_->check_target_end(life, now);
-  handle_target_request(status, life, callback, now, [&] {
+      stopping_ ? AnnouncementStatus::kNotLeader : node_->check_target_end(incarnation, now);
+  handle_target_request(status, incarnation, callback, now, [&] {
     return [this, id, started_at_ms, callback] { end_target(id, started_at_ms, callback); };
   });
 }
 
-template <typename Said, typename MakeCall>
-void ControlTask::handle_target_request(AnnouncementStatus status, const Said& said,
+template <typename Change, typename MakeRetry>
+void ControlTask::handle_target_request(AnnouncementStatus status, const Change& change,
                                         const SteeringCallback& callback, Instant now,
-                                        const MakeCall& make_call) {
+                                        const MakeRetry& make_retry) {
   if (status == AnnouncementStatus::kCommitted) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
   } else if (status == AnnouncementStatus::kPropose) {
-    queue_registration(said, callback);
+    queue_registration(change, callback);
   } else if (status == AnnouncementStatus::kForward && !forwarded_requests_.is_full()) {
-    forward(said, callback, make_call());
+    forward(change, callback, make_retry());
   } else if (status == AnnouncementStatus::kNotLeader && may_buffer_request(now)) {
-    buffered_requests_.emplace_back(make_call());
+    buffered_requests_.emplace_back(make_retry());
   } else {
     callback(not_leader());
   }
@@ -68,16 +67,16 @@
   if (buffered_requests_.empty() || awaits_first_leader(now)) {
     return;
   }
-  for (const auto& call : std::exchange(buffered_requests_, {})) {
-    call();
+  for (const auto& retry : std::exchange(buffered_requests_, {})) {
+    retry();
   }
 }
 
-void ControlTask::forward(ForwardedRequests::ForwardedChange said, SteeringCallback callback,
-                          std::function<void()> decide_again) {
-  forwarded_requests_.add(std::move(said), std::move(callback), std::move(decide_again),
+void ControlTask::forward(ForwardedRequests::ForwardedChange change, SteeringCallback callback,
+                          std::function<void()> retry) {
+  forwarded_requests_.add(std::move(change), std::move(callback), std::move(retry),
                           monotonic_now() + config_.steering_timeout);
-  // What comes in one turn of the loop goes in one message.
+  // Requests of one iteration of the loop are sent in one message.
   if (!std::exchange(forward_scheduled_, true)) {
     loop_.post([this] { send_forwarded(); });
   }
@@ -85,9 +84,9 @@
 
 void ControlTask::send_forwarded() {
   forward_scheduled_ = false;
-  const ForwardedRegistrations said = forwarded_requests_.take_unsent();
-  log_registrations(said.announced, said.ended);
-  node_->forward(said);
+  const ForwardedRegistrations registrations = forwarded_requests_.take_unsent();
+  log_registrations(registrations.announced, registrations.ended);
+  node_->forward(registrations);
 }
 
 void ControlTask::complete_forwarded(Instant now) {
@@ -96,12 +95,12 @@
   forwarded_requests_.set_leader(replica.is_leader() ? config_.address : node_->other_leader(now));
 }
 
-void ControlTask::queue_registration(const ForwardedRequests::ForwardedChange& said,
+void ControlTask::queue_registration(const ForwardedRequests::ForwardedChange& change,
                                      SteeringCallback callback) {
-  if (const auto* announced = std::get_if<RegisteredTarget>(&said)) {
+  if (const auto* announced = std::get_if<RegisteredTarget>(&change)) {
     registrations_.announced.push_back(*announced);
   } else {
-    registrations_.ended.push_back(std::get<TargetIncarnation>(said));
+    registrations_.ended.push_back(std::get<TargetIncarnation>(change));
   }
   registration_callbacks_.push_back(std::move(callback));
   if (registration_callbacks_.size() == 1) {
@@ -126,8 +125,9 @@
                                            {"sequence", target.sequence}});
     log_restart(target);
   }
-  for (const TargetIncarnation& life : ended) {
-    log_event(LogEvent::kTargetEnded, {{"target", life.id}, {"started_at_ms", life.started_at_ms}});
+  for (const TargetIncarnation& incarnation : ended) {
+    log_event(LogEvent::kTargetEnded,
+              {{"target", incarnation.id}, {"started_at_ms", incarnation.started_at_ms}});
   }
 }
 
--- a/src/tasks/event_loop.cc
+++ b/src/tasks/event_loop.cc
@@ -8,7 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Longest wait of one turn, so that `stop` from a signal handler is seen.
+/// Longest wait of one iteration, which bounds the delay until `stop` from a signal handler takes
+/// effect.
 constexpr std::int32_t kMaxWaitMs = 100;
 
 }  // namespace
@@ -24,14 +25,14 @@
   return static_cast<std::uint64_t>(std::max<std::int64_t>(ms, 0));
 }
 
-/// One h2o timeout with its action. The entry is the first member, so that a callback finds the
-/// timer.
+/// One h2o timeout with its action. The entry must stay the first member: `on_timeout` casts it to
+/// the timer.
 struct EventLoop::Timer {
   h2o_timeout_entry_t entry{};
   h2o_timeout_t timeout{};
   h2o_loop_t* loop = nullptr;
   bool repeats = false;
-  /// The loop's time when it fired for the last time.
+  /// Time of the loop when the timer fired; empty before.
   std::optional<std::uint64_t> finished_at;
   std::function<void()> action;
 
@@ -52,7 +53,7 @@
   }
 };
 
-/// A message in the queue between threads.
+/// A queued action from another thread. `message` must stay the first member.
 struct EventLoop::PostedAction {
   h2o_multithread_message_t message{};
   std::function<void()> action;
@@ -64,7 +65,7 @@
 
 EventLoop::~EventLoop() {
   timers_.clear();
-  // h2o 2.2 cannot destroy a loop that still has sockets; the loop lives as long as the process.
+  // h2o 2.2 cannot destroy a loop that still has sockets, so the loop is never freed.
 }
 
 void EventLoop::run() {
@@ -79,8 +80,8 @@
 }
 
 void EventLoop::drop_finished_timers() {
-  // h2o still holds a timer that has fired while it runs sockets that became ready meanwhile, and
-  // goes on from it to the next one; it lets go of it before its time moves on.
+  // h2o still refers to a fired timer while it runs sockets that became ready in the meantime. It
+  // drops the reference before its time advances.
   const std::uint64_t now = h2o_now(loop_);
   std::erase_if(timers_, [now](const std::unique_ptr<Timer>& timer) {
     return timer->finished_at && *timer->finished_at != now;
--- a/src/tasks/event_loop.h
+++ b/src/tasks/event_loop.h
@@ -1,4 +1,5 @@
-/// An h2o event loop that belongs to one task, with timers and a mailbox for other threads.
+/// An h2o event loop that is used by one thread. It provides timers and runs actions that other
+/// threads post.
 #pragma once
 
 #include <atomic>
@@ -12,10 +13,10 @@
 
 namespace gorsevalve {
 
-/// Reading of the monotonic clock.
+/// Current time of the monotonic clock.
 Instant monotonic_now();
-/// The machine's time of day in Unix milliseconds. It may jump: only to compare with times that
-/// other machines tell, never to measure how long something takes.
+/// Wall-clock time in Unix milliseconds. It may jump: use it only for comparison with timestamps of
+/// other machines, never to measure durations.
 std::uint64_t unix_now_ms();
 
 class EventLoop {
@@ -27,22 +28,21 @@
 
   /// Runs until `stop` is called.
   void run();
-  /// Ends `run`. May be called from any thread and from a signal handler.
+  /// Makes `run` return. May be called from any thread and from a signal handler.
   void stop() { stopping_.store(true); }
 
-  /// Calls `action` every `interval`, from now until the loop is destroyed.
+  /// Calls `action` every `interval` until the loop is destroyed.
   void every(Duration interval, std::function<void()> action);
   /// Calls `action` once after `delay`.
   void after(Duration delay, std::function<void()> action);
 
-  /// Runs `action` on this loop's thread. May be called from any thread: this is how tasks send
-  /// messages to each other.
+  /// Runs `action` on the thread of this loop. May be called from any thread.
   void post(std::function<void()> action);
 
-  /// Keeps something until the loop and its timers are gone: what h2o's lists of the loop lead to
-  /// (timeouts, contexts) must outlive the owner of it.
-  void retain(std::shared_ptr<void> held) { retained_.push_back(std::move(held)); }
-  /// Timers that are held, those that have fired lately among them.
+  /// Keeps an object alive until the loop and its timers are destroyed. Required for objects that
+  /// h2o's lists of the loop refer to, such as timeouts and contexts.
+  void retain(std::shared_ptr<void> object) { retained_.push_back(std::move(object)); }
+  /// Number of timers, including fired ones that are not freed yet.
   [[nodiscard]] std::size_t timers() const { return timers_.size(); }
   [[nodiscard]] h2o_loop_t* raw() { return loop_; }
 
@@ -56,7 +56,7 @@
   h2o_multithread_queue_t* queue_;
   h2o_multithread_receiver_t receiver_{};
   std::atomic<bool> stopping_{false};
-  /// Freed after the timers.
+  /// Declared before the timers, so it is destroyed after them.
   std::vector<std::shared_ptr<void>> retained_;
   std::vector<std::unique_ptr<Timer>> timers_;
 };
--- a/src/tasks/forwarded_requests.cc
+++ b/src/tasks/forwarded_requests.cc
@@ -9,20 +9,20 @@
 namespace gorsevalve {
 namespace {
 
-bool is_committed(const ControlNode& node, const ForwardedRequests::ForwardedChange& said) {
-  return std::visit([&node](const auto& one) { return node.is_committed(one); }, said);
+bool is_committed(const ControlNode& node, const ForwardedRequests::ForwardedChange& change) {
+  return std::visit([&node](const auto& one) { return node.is_committed(one); }, change);
 }
 
 }  // namespace
 
-void ForwardedRequests::add(ForwardedChange said, SteeringCallback callback,
-                            std::function<void()> decide_again, Instant deadline) {
-  if (const auto* announced = std::get_if<RegisteredTarget>(&said)) {
+void ForwardedRequests::add(ForwardedChange change, SteeringCallback callback,
+                            std::function<void()> retry, Instant deadline) {
+  if (const auto* announced = std::get_if<RegisteredTarget>(&change)) {
     unsent_.announced.push_back(*announced);
   } else {
-    unsent_.ended.push_back(std::get<TargetIncarnation>(said));
+    unsent_.ended.push_back(std::get<TargetIncarnation>(change));
   }
-  pending_.push_back({std::move(said), std::move(callback), std::move(decide_again), deadline});
+  pending_.push_back({std::move(change), std::move(callback), std::move(retry), deadline});
   next_deadline_ = std::min(next_deadline_, deadline);
 }
 
@@ -35,24 +35,24 @@
   }
   revision_ = revision;
   next_deadline_ = Instant::max();
-  std::size_t undecided = 0;
-  std::vector<PendingRequest> still_waiting;
-  for (auto& waiting : std::exchange(pending_, {})) {
-    const bool is_decided = is_committed(node, waiting.change);
-    if (is_decided || now >= waiting.deadline) {
-      undecided += is_decided ? 0 : 1;
-      waiting.callback({is_decided ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
+  std::size_t timed_out = 0;
+  std::vector<PendingRequest> still_pending;
+  for (auto& request : std::exchange(pending_, {})) {
+    const bool is_done = is_committed(node, request.change);
+    if (is_done || now >= request.deadline) {
+      timed_out += is_done ? 0 : 1;
+      request.callback({is_done ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
       continue;
     }
-    next_deadline_ = std::min(next_deadline_, waiting.deadline);
-    still_waiting.push_back(std::move(waiting));
+    next_deadline_ = std::min(next_deadline_, request.deadline);
+    still_pending.push_back(std::move(request));
   }
-  if (undecided > 0) {
-    log_event(LogEvent::kForwardedUndecided, {{"calls", undecided}, {"revision", revision}});
+  if (timed_out > 0) {
+    log_event(LogEvent::kForwardedUndecided, {{"calls", timed_out}, {"revision", revision}});
   }
-  // A callback may have added more.
-  std::move(pending_.begin(), pending_.end(), std::back_inserter(still_waiting));
-  pending_ = std::move(still_waiting);
+  // Callbacks may have added requests.
+  std::move(pending_.begin(), pending_.end(), std::back_inserter(still_pending));
+  pending_ = std::move(still_pending);
 }
 
 void ForwardedRequests::set_leader(const std::optional<Endpoint>& leader) {
@@ -61,8 +61,8 @@
   }
   leader_ = leader;
   unsent_ = {};
-  for (const auto& waiting : std::exchange(pending_, {})) {
-    waiting.retry();
+  for (const auto& request : std::exchange(pending_, {})) {
+    request.retry();
   }
 }
 
--- a/src/tasks/forwarded_requests.h
+++ b/src/tasks/forwarded_requests.h
@@ -1,7 +1,6 @@
-/// Calls of targets that a follower has passed on to the leader: each is answered once the state
-/// that this replica has committed holds what the target said. So targets need not come to the
-/// leader, which would otherwise have the connections of most of them: with 10,000 targets and 25
-/// replicas the busiest had 6,164 files open at its peak; with forwarding it has 1,701.
+/// Requests of targets that a follower has forwarded to the leader. Each one is completed once the
+/// committed state of this replica includes its change. Forwarding spares the leader a connection
+/// per target.
 #pragma once
 
 #include <functional>
@@ -15,22 +14,22 @@
 
 class ForwardedRequests {
  public:
-  /// What a target said: something of itself, or that a life of it has ended.
+  /// An announcement of a target, or the end of one of its incarnations.
   using ForwardedChange = std::variant<RegisteredTarget, TargetIncarnation>;
 
-  /// Calls that wait at most; further ones are sent to the leader.
+  /// Limit of pending requests; beyond it, targets are redirected to the leader.
   static constexpr std::size_t kMaxPending = 4096;
 
   [[nodiscard]] bool is_full() const { return pending_.size() >= kMaxPending; }
-  /// Keeps a call until it is decided; `retry` is what to do with it when the leader
-  /// changes.
-  void add(ForwardedChange said, SteeringCallback callback, std::function<void()> decide_again,
+  /// Adds a request. `retry` handles it again if the leader changes.
+  void add(ForwardedChange change, SteeringCallback callback, std::function<void()> retry,
            Instant deadline);
-  /// What has been added since the last call, to be sent to the leader.
+  /// Changes added since the last call, to be sent to the leader.
   [[nodiscard]] ForwardedRegistrations take_unsent();
-  /// Answers calls that the committed state holds by now, and those whose deadline has passed.
+  /// Completes requests whose change is committed, and those past their deadline as unknown.
   void complete(const ControlNode& node, Instant now);
-  /// What was sent to an earlier leader may be lost: calls are decided anew when another one leads.
+  /// Sets the leader. If it changed, messages to the previous one may be lost, so all pending
+  /// requests are handled again.
   void set_leader(const std::optional<Endpoint>& leader);
 
  private:
@@ -44,9 +43,9 @@
   std::vector<PendingRequest> pending_;
   ForwardedRegistrations unsent_;
   std::optional<Endpoint> leader_;
-  /// The revision that the calls were last held against.
+  /// Committed revision at the last check of pending requests.
   Revision revision_ = 0;
-  /// When the first deadline passes.
+  /// Earliest deadline of a pending request.
   Instant next_deadline_ = Instant::max();
 };
 
--- a/src/tasks/frame_network.cc
+++ b/src/tasks/frame_network.cc
@@ -18,19 +18,18 @@
 namespace {
 
 constexpr std::size_t kLengthSize = 4;
-/// Octets that may wait on one connection.
+/// Limit of queued bytes per connection.
 constexpr std::size_t kMaxQueuedBytes = 2 * kMaxEnvelopeSize;
-/// Share of the process's descriptors that peers' connections may take: beside those of callers, it
-/// leaves a tenth for connections of our own and for files.
+/// Share of the file descriptors for connections of peers. Together with the share of the HTTP
+/// server it leaves a tenth for outgoing connections and files.
 constexpr double kDescriptorShare = 0.35;
-/// A connection over which frames went for this long without anything coming back is given up: a
-/// peer behind a cut, or without power, says nothing.
+/// A connection is closed if frames were sent and nothing was received for this long.
 constexpr Duration kReplyTimeout = std::chrono::milliseconds(1500);
-/// How long the kernel keeps sending to a peer that acknowledges nothing.
+/// TCP_USER_TIMEOUT: limit of unacknowledged data.
 constexpr unsigned kUserTimeoutMs = 2000;
-/// Pause between two lines about dropped frames: a peer that is gone costs one for each message.
+/// Minimum interval between log lines about dropped frames.
 constexpr Duration kDropLogInterval = std::chrono::seconds(1);
-/// Looks at idle connections in the time after which they are closed.
+/// Number of idle checks per idle timeout.
 constexpr int kIdleChecksPerTimeout = 4;
 
 void set_user_timeout(h2o_socket_t* socket) {
@@ -54,18 +53,18 @@
   [[nodiscard]] bool is_closed() const { return socket == nullptr; }
 
   FrameNetwork* network = nullptr;
-  /// nullptr once it is closed.
+  /// nullptr after the connection was closed.
   h2o_socket_t* socket = nullptr;
   bool connected = false;
-  /// When the attempt to connect began.
+  /// When the connection attempt started.
   Instant dialled_at;
   std::optional<Endpoint> peer;
   FrameQueue queue;
   bool writing = false;
   bool is_accepted = false;
-  /// When a frame came last, or the connection began.
+  /// When the last frame was received, or the connection was created.
   Instant last_received_at;
-  /// When the first frame went that nothing came back after.
+  /// When the first frame was sent since the last one was received.
   std::optional<Instant> unanswered_since;
 };
 
@@ -173,7 +172,7 @@
   }
   close_expired_attempts(to, now);
   dial(to);
-  // The latest attempt has all frames; an earlier one that comes through takes them over.
+  // The latest attempt holds all frames. An earlier one that succeeds takes them over.
   if (const auto dialled = by_peer_.find(to); dialled != by_peer_.end()) {
     dialled->second->queue = std::move(frames);
   }
@@ -329,15 +328,15 @@
 }
 
 void FrameNetwork::replace_later_attempt(Connection& connection) {
-  Connection*& present = by_peer_[*connection.peer];
-  if (present != nullptr && present != &connection && !present->connected) {
-    // What waits there is later than what waits here.
-    connection.queue.append(std::move(present->queue));
-    Connection* later = std::exchange(present, &connection);
+  Connection*& current = by_peer_[*connection.peer];
+  if (current != nullptr && current != &connection && !current->connected) {
+    // Frames queued there are newer than those here.
+    connection.queue.append(std::move(current->queue));
+    Connection* later = std::exchange(current, &connection);
     close(*later);
   }
-  if (present == nullptr) {
-    present = &connection;
+  if (current == nullptr) {
+    current = &connection;
   }
 }
 
@@ -372,7 +371,7 @@
   if (connection.is_closed()) {
     return;
   }
-  // A peer that named another address than the one that was dialled is known by both.
+  // A peer whose messages name another address than the dialled one is stored under both.
   std::erase_if(by_peer_, [&](const auto& entry) { return entry.second == &connection; });
   h2o_socket_close(std::exchange(connection.socket, nullptr));
   const auto held = std::find_if(connections_.begin(), connections_.end(),
--- a/src/tasks/frame_network.h
+++ b/src/tasks/frame_network.h
@@ -1,7 +1,7 @@
-/// Messages over TCP between control replicas and balancers: sealed messages with a length before
-/// each. A process is known by the address that its messages name; replies go over the connection
-/// on which the peer was heard last, and replicas are dialled when there is none. A receiver may
-/// call anything here but the destructor, also what closes the connection it was called from.
+/// Length-prefixed authenticated messages over TCP between control replicas and balancers. A peer
+/// is identified by the address in its messages. Replies use the connection that last received a
+/// message from the peer; replicas are dialled if there is none. A receiver may call any method
+/// except the destructor, including one that closes its own connection.
 #pragma once
 
 #include <deque>
@@ -21,24 +21,23 @@
 
 namespace gorsevalve {
 
-/// What became of frames and connections since the start.
+/// Counters since the start.
 struct FrameCounters {
   std::uint64_t dropped_without_connection = 0;
   std::uint64_t dropped_queue_full = 0;
   std::uint64_t connections_timed_out = 0;
-  /// Accepted connections that were closed since nothing came over them.
+  /// Accepted connections that were closed after the idle timeout.
   std::uint64_t idle_closed = 0;
 };
 
 class FrameNetwork {
  public:
-  /// Handles one frame and gives the sender that it names, or nothing when it was not authentic;
-  /// such a connection is closed.
+  /// Handles one frame and returns the sender that it names, or nothing if it is not authentic; the
+  /// connection is then closed.
   using Receiver = std::function<std::optional<Endpoint>(ByteView frame)>;
 
-  /// A connection over which nothing came for this long is closed where it was accepted: of a peer
-  /// that went without a word nothing else tells. Balancers at other replicas ask each 5 s at most,
-  /// members each second.
+  /// An accepted connection is closed if nothing was received for this long, because a peer may
+  /// vanish without closing it. Balancers send at least every 5 s, members every second.
   static constexpr Duration kIdleTimeout = std::chrono::seconds(30);
 
   FrameNetwork(EventLoop& loop, Receiver receiver, Duration idle_timeout = kIdleTimeout);
@@ -46,57 +45,58 @@
   FrameNetwork(const FrameNetwork&) = delete;
   FrameNetwork& operator=(const FrameNetwork&) = delete;
 
-  /// Accepts connections at an address. The error names the address.
+  /// Accepts connections at an address. Errors name the address.
   tl::expected<void, std::string> listen(const Endpoint& address);
 
-  /// Sends a frame. Without a connection one is dialled when `may_dial` is set, else the frame is
-  /// dropped. A frame is dropped too when too much waits on the connection. False when it was
-  /// dropped; true promises nothing, since the connection may end.
+  /// Sends a frame. If there is no connection, one is dialled if `may_dial` is set. Returns false
+  /// if the frame was dropped: no connection, or its queue is full. True does not guarantee
+  /// delivery.
   bool send(const Endpoint& to, const Bytes& frame, bool may_dial);
 
-  /// Closes the connection to a peer, if there is one.
+  /// Closes the connection to a peer, if any.
   void disconnect(const Endpoint& peer);
 
   [[nodiscard]] const FrameCounters& counters() const { return counters_; }
 
  private:
   struct Connection;
-  /// Frames that wait for a connection.
+  /// Frames queued for a connection.
   struct FrameQueue {
     std::deque<Bytes> frames;
     std::size_t total_bytes = 0;
-    /// When the latest one came.
+    /// When the newest frame was queued.
     Instant last_queued_at;
 
     void push(Bytes frame, Instant now);
     void pop();
-    /// Appends later frames.
+    /// Appends newer frames.
     void append(FrameQueue later);
   };
 
   void on_accepted(h2o_socket_t* socket);
   void dial(const Endpoint& to);
-  /// Dials again, a moment later, while frames wait that are not old.
+  /// Schedules another attempt, made only if recent frames are still queued.
   void schedule_redial(const Endpoint& to);
   void redial(const Endpoint& to);
   Connection* add_connection(h2o_socket_t* socket);
   void on_connected(Connection& connection, const char* error);
-  /// Nobody listens at the peer's address.
+  /// Handles a failed connection attempt.
   void on_connect_failed(Connection& connection);
   void on_read(Connection& connection, const char* error);
   void write_next(Connection& connection);
-  /// Ends a connection for good; it is freed in a later turn of the loop, since a caller up the
-  /// stack may still work on it.
+  /// Closes a connection. It is freed in a later iteration of the loop, because callers on the
+  /// stack may still use it.
   void close(Connection& connection);
-  /// The connection to a peer, or the latest attempt; nullptr when there is none that is worth
-  /// waiting for. One that has been silent for too long is closed.
+  /// The connection to a peer, or the latest attempt; nullptr if there is none or it timed out. A
+  /// timed-out connection is closed.
   Connection* find_live(const Endpoint& to, Instant now);
-  /// Writes a line about a dropped frame, at most one for each kDropLogInterval.
+  /// Logs a dropped frame, at most once per kDropLogInterval.
   void log_drop(const Endpoint& to, std::string_view reason);
   void close_expired_attempts(const Endpoint& to, Instant now);
-  /// Closes accepted connections that have been idle for too long, again and again.
+  /// Closes idle accepted connections and schedules the next check.
   void close_idle();
-  /// An earlier attempt came through: it takes over from a later one.
+  /// Makes an earlier attempt that succeeded the connection of the peer, in place of a later
+  /// attempt.
   void replace_later_attempt(Connection& connection);
   [[nodiscard]] bool read_frames(Connection& connection);
 
@@ -105,15 +105,15 @@
   Duration idle_timeout_;
   std::unique_ptr<Listener> listener_;
   std::list<std::unique_ptr<Connection>> connections_;
-  /// Connections that were closed in this turn of the loop.
+  /// Closed connections that are freed in the next iteration of the loop.
   std::list<std::unique_ptr<Connection>> closed_;
-  /// The connection, or the latest attempt to connect, of each peer.
+  /// The connection or the latest attempt of each peer.
   std::map<Endpoint, Connection*> by_peer_;
-  /// Frames for peers whose latest attempt was refused.
+  /// Frames of failed attempts, kept for the next attempt.
   std::map<Endpoint, FrameQueue> redial_queues_;
   FrameCounters counters_;
   Instant drop_logged_at_;
-  /// Timers outlive the network; they hold this weakly.
+  /// Timers may outlive the network; they hold a weak pointer.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/tasks/http_client.cc
+++ b/src/tasks/http_client.cc
@@ -9,7 +9,7 @@
   h2o_multithread_receiver_t address_receiver{};
 };
 
-/// One request on its way. Deletes itself when it has called back.
+/// One request in flight. Deletes itself after the callback.
 struct HttpClient::Exchange {
   HttpClientRequest request;
   Callback callback;
--- a/src/tasks/http_client.h
+++ b/src/tasks/http_client.h
@@ -1,4 +1,4 @@
-/// Single HTTP requests by h2o's client.
+/// Sends single HTTP requests with h2o's client.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
 struct HttpClientRequest {
   std::string method = "GET";
   Endpoint server;
-  /// Path with query.
+  /// Path with the query.
   std::string path;
   std::string body;
   /// Bearer token; not sent when empty.
@@ -32,19 +32,19 @@
   using Result = tl::expected<HttpClientResponse, std::string>;
   using Callback = std::function<void(Result)>;
 
-  /// `timeout` bounds each wait for the server.
+  /// `timeout` limits each wait for the server.
   HttpClient(EventLoop& loop, Duration timeout);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a request and calls back once, with the response or with what went wrong.
+  /// Sends a request and calls back once, with the response or an error message.
   void send(HttpClientRequest request, Callback callback);
 
  private:
   struct Exchange;
   struct Internals;
-  /// Kept by the loop, too: its timeout stands in the loop's list between those of others.
+  /// Also retained by the loop, whose list of timeouts refers to it.
   std::shared_ptr<Internals> internals_;
 };
 
--- a/src/tasks/http_server.cc
+++ b/src/tasks/http_server.cc
@@ -7,33 +7,34 @@
 namespace gorsevalve {
 namespace {
 
-/// Share of the process's descriptors that callers' connections may take: the larger part, since
-/// replicas have hundreds of callers, and few of anything else.
+/// Share of the file descriptors for connections of clients. A replica has many more clients than
+/// peers.
 constexpr double kDescriptorShare = 0.55;
 
 std::string to_string(const h2o_iovec_t& text) { return {text.base, text.len}; }
 
-/// Lives in the request's memory pool: tells the server when the request is gone.
+/// Allocated in the memory pool of a request; removes the request from the pending ones when the
+/// pool is freed.
 struct RequestTracker {
   std::map<HttpServer::RequestNumber, h2o_req_t*>* pending;
   HttpServer::RequestNumber number;
 };
 
 void on_request_disposed(void* raw) {
-  auto* ticket = static_cast<RequestTracker*>(raw);
-  ticket->pending->erase(ticket->number);
+  auto* tracker = static_cast<RequestTracker*>(raw);
+  tracker->pending->erase(tracker->number);
 }
 
 }  // namespace
 
 struct HttpServer::Internals {
-  /// h2o's handler with a way back to the server; nullptr once that is gone.
+  /// h2o handler with a pointer to the server; nullptr after the server was destroyed.
   struct Handler {
     h2o_handler_t base;
     HttpServer* server;
   };
   Handler* handler = nullptr;
-  /// Requests that wait for their answers.
+  /// Requests without a response.
   std::map<RequestNumber, h2o_req_t*> pending;
   h2o_globalconf_t config{};
   h2o_context_t context{};
@@ -61,7 +62,7 @@
   handler_slot->server = server.get();
   handler_slot->base.on_req = [](h2o_handler_t* self, h2o_req_t* request) {
     HttpServer* found = reinterpret_cast<Internals::Handler*>(self)->server;
-    // -1: h2o answers by itself that there is nothing.
+    // -1 makes h2o respond with 404.
     return found == nullptr ? -1 : found->on_request(request);
   };
   h2o_context_init(&internals.context, loop.raw(), &internals.config);
@@ -77,8 +78,8 @@
   return server;
 }
 
-// h2o's context cannot be disposed while connections exist, and its timeouts stand in the loop's
-// list between those of others: it lives as long as the loop.
+// The h2o context cannot be disposed while connections exist, and the loop's list of timeouts
+// refers to it. The loop keeps it alive.
 HttpServer::~HttpServer() {
   internals_->listener.reset();
   if (internals_->handler != nullptr) {
@@ -100,9 +101,9 @@
     copy.authorization = to_string(request->headers.entries[header].value);
   }
   const RequestNumber number = ++last_number_;
-  auto* ticket = static_cast<RequestTracker*>(
+  auto* tracker = static_cast<RequestTracker*>(
       h2o_mem_alloc_shared(&request->pool, sizeof(RequestTracker), &on_request_disposed));
-  *ticket = {&internals_->pending, number};
+  *tracker = {&internals_->pending, number};
   internals_->pending[number] = request;
   handler_(number, copy);
   return 0;
--- a/src/tasks/http_server.h
+++ b/src/tasks/http_server.h
@@ -1,4 +1,4 @@
-/// HTTP/1 and HTTP/2 server on an event loop, with answers that may come later.
+/// HTTP/1 and HTTP/2 server on an event loop. Responses may be sent asynchronously.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
   std::string method;
   /// Path without the query, decoded.
   std::string path;
-  /// Path as it was sent, with the query: what a redirect repeats.
+  /// Path with the query as received, for redirects.
   std::string raw_path;
   std::string query;
   std::string body;
@@ -35,14 +35,14 @@
 
 class HttpServer {
  public:
-  /// Names a request that waits for its answer.
+  /// Identifies a request until its response is sent.
   using RequestNumber = std::uint64_t;
   using Handler = std::function<void(RequestNumber, const HttpRequest&)>;
 
-  /// Largest request body, in octets.
+  /// Largest request body in bytes.
   static constexpr std::size_t kMaxBodySize = 5U << 20U;
 
-  /// Listens at an address. The error names the address.
+  /// Listens at an address. Errors name the address.
   static tl::expected<std::unique_ptr<HttpServer>, std::string> open(EventLoop& loop,
                                                                      const Endpoint& address,
                                                                      Handler handler);
@@ -50,8 +50,8 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Answers a request. To be called once for each, on the loop's thread; does nothing when the
-  /// client has gone.
+  /// Sends the response of a request. Call it once per request, on the thread of the loop. Does
+  /// nothing if the client has disconnected.
   void respond(RequestNumber number, const HttpResponse& response);
 
  private:
@@ -60,7 +60,7 @@
   int on_request(h2o_req_t* request);
 
   Handler handler_;
-  /// Kept by the loop, too.
+  /// Also retained by the loop.
   std::shared_ptr<Internals> internals_;
   RequestNumber last_number_ = 0;
 };
--- a/src/tasks/listener.cc
+++ b/src/tasks/listener.cc
@@ -15,9 +15,9 @@
 namespace gorsevalve {
 namespace {
 
-/// Used when the limit on descriptors cannot be read: the usual one of a Linux process.
+/// Used if the open-file limit is unknown: the usual soft limit on Linux.
 constexpr rlim_t kDefaultDescriptorLimit = 1024;
-/// Pause between two lines in the log: at the bound, each connection that closes lets one in.
+/// Minimum interval between log lines.
 constexpr Duration kPauseLogInterval = std::chrono::seconds(1);
 
 }  // namespace
@@ -85,7 +85,7 @@
     }
     const bool has_no_descriptor = errno == EMFILE || errno == ENFILE || errno == ENOMEM;
     if (has_no_descriptor) {
-      // The socket stays readable: asking at once again and again would use up the processor.
+      // The socket stays readable: retrying without a delay would busy-loop.
       pause();
       loop_.after(kRetryDelay, [weak = std::weak_ptr<State>(state_)] {
         const auto state = weak.lock();
@@ -96,7 +96,7 @@
     }
     return;
   }
-  // The next connection to close resumes.
+  // Accepting resumes when a connection closes.
   pause();
 }
 
--- a/src/tasks/listener.h
+++ b/src/tasks/listener.h
@@ -1,6 +1,6 @@
-/// Listens for connections and accepts so many at a time that descriptors are left for everything
-/// else: other listeners, connections of our own, files. At the bound, and when the process has no
-/// descriptor left, accepting pauses; those who wait in the kernel's queue are served later.
+/// Accepts connections up to a limit, which leaves file descriptors for other listeners, outgoing
+/// connections and files. Accepting pauses at the limit and when the process has no free
+/// descriptor; pending connections stay in the backlog of the kernel.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,18 @@
 
 namespace gorsevalve {
 
-/// Connections that one listener may hold when it gets this share of the descriptors that the
-/// process may open.
+/// Connection limit of a listener that may use this share of the open-file limit of the process.
 std::size_t max_connections_for_share(double share);
 
 class Listener {
  public:
-  /// Takes an accepted connection over.
+  /// Takes ownership of an accepted connection.
   using Acceptor = std::function<void(h2o_socket_t*)>;
 
-  /// Pause before accepting is tried again when there was no descriptor.
+  /// Delay before accepting is retried after the process ran out of descriptors.
   static constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 
-  /// The error names the address. `max_connections` counts those that are not closed.
+  /// Errors name the address. `max_connections` limits open connections.
   static tl::expected<std::unique_ptr<Listener>, std::string> open(EventLoop& loop,
                                                                    const Endpoint& address,
                                                                    std::size_t max_connections,
@@ -36,11 +35,11 @@
   Listener& operator=(const Listener&) = delete;
 
   [[nodiscard]] std::size_t connections() const { return state_->connections; }
-  /// How often accepting paused.
+  /// Number of times that accepting paused.
   [[nodiscard]] std::uint64_t pauses() const { return pauses_; }
 
  private:
-  /// Outlives the listener while connections do.
+  /// Shared with the connections, which may outlive the listener.
   struct State {
     std::size_t connections = 0;
     Listener* listener = nullptr;
--- a/src/tasks/log.cc
+++ b/src/tasks/log.cc
@@ -18,7 +18,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Name and zone of this process, set once before other threads start.
+/// Name and zone of this process. Set once before other threads start.
 struct ProcessLabels {
   std::string node;
   std::string zone;
@@ -45,7 +45,7 @@
   return log4cxx::Level::getInfo();
 }
 
-/// Time as in RFC 3339, in UTC with milliseconds.
+/// RFC 3339 timestamp in UTC with milliseconds.
 std::string timestamp() {
   const auto now = std::chrono::system_clock::now();
   const std::time_t seconds = std::chrono::system_clock::to_time_t(now);
@@ -83,7 +83,7 @@
          "\n";
 }
 
-/// The queue to the standard output, shared by all threads of the process.
+/// Queue to standard output, shared by all threads.
 struct StandardOutput {
   std::mutex mutex;
   LogWriter writer{write_nonblocking, format_dropped_lines};
@@ -94,16 +94,16 @@
   return value;
 }
 
-/// Class of the line that this thread is about to write.
+/// Class of the line that this thread is writing; the appender does not receive it.
 thread_local LogClass current_log_class = LogClass::kState;
 
 }  // namespace
 
-// log4cxx's macros name its namespaces without their parent.
+// Macros of log4cxx use its nested namespaces unqualified.
 namespace helpers = log4cxx::helpers;
 namespace spi = log4cxx::spi;
 
-/// log4cxx's way to the bounded queue.
+/// log4cxx appender that writes to the bounded queue.
 class QueueAppender : public log4cxx::AppenderSkeleton {
  public:
   DECLARE_LOG4CXX_OBJECT(QueueAppender)
@@ -128,19 +128,19 @@
 
 }  // namespace gorsevalve
 
-// This macro belongs into the global namespace.
+// This macro must be used in the global namespace.
 using gorsevalve::QueueAppender;
 IMPLEMENT_LOG4CXX_OBJECT(QueueAppender)
 
 namespace gorsevalve {
 namespace {
 
-/// Counts the lines of routine events within a second.
+/// Limits the lines per second of each routine event.
 class RateLimit {
  public:
-  /// True when the line may be written; `suppressed` then holds how many were not since the last
-  /// one.
-  bool allow(LogEvent event, std::uint64_t& left_out) {
+  /// True if the line may be written. `suppressed_before` then receives the number of lines
+  /// suppressed before it.
+  bool allow(LogEvent event, std::uint64_t& suppressed_before) {
     const auto second = std::chrono::duration_cast<std::chrono::seconds>(
                             std::chrono::steady_clock::now().time_since_epoch())
                             .count();
@@ -155,7 +155,7 @@
       return false;
     }
     ++state.written;
-    left_out = std::exchange(state.suppressed, 0);
+    suppressed_before = std::exchange(state.suppressed, 0);
     return true;
   }
 
@@ -200,18 +200,18 @@
   const LogEventInfo& info = info_of(event);
   const log4cxx::LoggerPtr logger = log4cxx::Logger::getRootLogger();
   const log4cxx::LevelPtr native = to_level(info.level);
-  std::uint64_t left_out = 0;
+  std::uint64_t suppressed_before = 0;
   if (!logger->isEnabledFor(native) ||
-      (info.log_class == LogClass::kRoutine && !rate_limit().allow(event, left_out))) {
+      (info.log_class == LogClass::kRoutine && !rate_limit().allow(event, suppressed_before))) {
     return;
   }
   current_log_class = info.log_class;
-  if (left_out == 0) {
+  if (suppressed_before == 0) {
     LOG4CXX_LOG(logger, native, make_line(info, fields));
     return;
   }
   nlohmann::json with_count = fields;
-  with_count["left_out_before"] = left_out;
+  with_count["left_out_before"] = suppressed_before;
   LOG4CXX_LOG(logger, native, make_line(info, with_count));
 }
 
--- a/src/tasks/log.h
+++ b/src/tasks/log.h
@@ -1,5 +1,5 @@
-/// Structured logs: one JSON object a line, through log4cxx. No payloads are logged. Writing never
-/// waits for the reader (LogWriter), and each routine event has a limit a second.
+/// Structured logs: one JSON object per line, written with log4cxx. Payloads are not logged.
+/// Writing never blocks on the reader (LogWriter), and routine events are rate-limited.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,22 +10,22 @@
 
 namespace gorsevalve {
 
-/// Lines of one routine event that are written within a second at most; a later line tells how many
-/// were left out.
+/// Limit of lines per second and routine event; a later line reports how many were suppressed.
 constexpr std::uint64_t kRoutineLinesPerSecond = 200;
 
-/// Sets up logging to the standard output, or to a file when `path` is not empty. `node` and `zone`
-/// stand in every line. `level` is "debug", "info", "warning" or "error"; false for any other.
+/// Sets up logging to standard output, or to the file `path` if it is not empty. Every line
+/// contains `node` and `zone`. `level` is "debug", "info", "warning" or "error"; returns false for
+/// any other.
 bool init_logging(const std::string& node, const std::string& zone, const std::string& level,
                   const std::string& path);
 
-/// Writes one line: time, level, node, zone, event, and the fields.
+/// Writes one line with time, level, node, zone, event, and the fields.
 void log_event(LogEvent event, const nlohmann::json& fields = {});
 
-/// Writes what waits for a slow reader; to be called by the tasks now and then.
+/// Writes queued lines; to be called regularly.
 void flush_log();
 
-/// Lines that were dropped since the start because the reader was slow.
+/// Lines dropped since the start because the reader was too slow.
 DroppedLines dropped_log_lines();
 
 }  // namespace gorsevalve
--- a/src/tasks/log_writer.cc
+++ b/src/tasks/log_writer.cc
@@ -11,7 +11,7 @@
 }
 
 void LogWriter::drop_routine_lines(std::size_t needed) {
-  // The first line may be half written: it stays.
+  // A partially written first line must stay.
   auto at = queue_.begin();
   if (at != queue_.end() && head_written_ > 0) {
     ++at;
@@ -43,10 +43,10 @@
 
 void LogWriter::write_queued() {
   while (!queue_.empty()) {
-    const std::string_view rest = std::string_view(queue_.front().line).substr(head_written_);
-    const std::size_t taken = std::min(sink_(rest), rest.size());
-    head_written_ += taken;
-    if (taken < rest.size()) {
+    const std::string_view unwritten = std::string_view(queue_.front().line).substr(head_written_);
+    const std::size_t accepted = std::min(sink_(unwritten), unwritten.size());
+    head_written_ += accepted;
+    if (accepted < unwritten.size()) {
       return;
     }
     queued_bytes_ -= queue_.front().line.size();
--- a/src/tasks/log_writer.h
+++ b/src/tasks/log_writer.h
@@ -1,5 +1,5 @@
-/// Bounded queue between the process and whoever reads its log. Never waits: when the reader is
-/// slow and the queue is full, routine lines are dropped first, and the number is told later.
+/// Bounded queue of log lines. It never blocks: if the reader is slow and the queue is full,
+/// routine lines are dropped first, and their number is reported later.
 #pragma once
 
 #include <array>
@@ -17,20 +17,20 @@
 
 class LogWriter {
  public:
-  /// Takes as many octets as it can without waiting; gives their number.
+  /// Writes as many bytes as possible without blocking and returns their number.
   using Sink = std::function<std::size_t(std::string_view)>;
-  /// Makes the line that tells of dropped ones.
+  /// Formats the line that reports dropped lines.
   using DroppedLinesFormatter = std::function<std::string(const DroppedLines&)>;
 
-  /// Octets that wait at most.
+  /// Limit of queued bytes.
   static constexpr std::size_t kMaxQueuedBytes = 256U << 10U;
 
   LogWriter(Sink sink, DroppedLinesFormatter dropped_line)
       : sink_(std::move(sink)), format_dropped_(std::move(dropped_line)) {}
 
-  /// Queues a line and writes what the reader takes.
+  /// Queues a line and writes as much as the reader accepts.
   void offer(std::string line, LogClass log_class);
-  /// Writes what the reader takes; to be called now and then.
+  /// Writes as much as the reader accepts; to be called regularly.
   void flush();
 
   [[nodiscard]] std::size_t queued_bytes() const { return queued_bytes_; }
@@ -51,10 +51,10 @@
   DroppedLinesFormatter format_dropped_;
   std::deque<QueuedLine> queue_;
   std::size_t queued_bytes_ = 0;
-  /// Octets of the first line that were written already.
+  /// Bytes of the first line that are already written.
   std::size_t head_written_ = 0;
   DroppedLines dropped_{};
-  /// Dropped lines that no line has told of yet.
+  /// Dropped lines that are not reported yet.
   DroppedLines unreported_{};
 };
 
--- a/src/tasks/metrics.h
+++ b/src/tasks/metrics.h
@@ -12,29 +12,29 @@
 
 namespace gorsevalve {
 
-/// One value to export.
+/// One value of a metric.
 struct MetricSample {
   std::string name;
   std::string help;
   double value = 0;
   bool is_counter = true;
-  /// Value of the label "reason"; empty for none. Samples of one name follow each other.
+  /// Value of the label "reason"; empty for none. Samples with the same name must be adjacent.
   std::string reason{};
 };
 
-/// A counter of the product: `name` without the prefix and the ending that all counters have.
+/// Makes a counter; adds the prefix "gorsevalve_" and the suffix "_total" to `name`.
 MetricSample counter(std::string name, std::string help, std::uint64_t value);
 
-/// The counters of a balancer as samples.
+/// Metrics of a balancer.
 std::vector<MetricSample> to_samples(const BalancerCounters& counters);
 
-/// The figures of a balancer that steers by reflected tokens.
+/// Metrics of a balancer that steers by reflected tokens.
 std::vector<MetricSample> to_samples(const SteeringTask& task);
 
-/// The figures of a control replica.
+/// Metrics of a control replica.
 std::vector<MetricSample> to_samples(const ControlTask& task);
 
-/// Renders samples as Prometheus text.
+/// Renders samples in the Prometheus text format.
 std::string render_metrics(const std::vector<MetricSample>& samples);
 
 }  // namespace gorsevalve
--- a/src/tasks/pending_proposals.cc
+++ b/src/tasks/pending_proposals.cc
@@ -31,11 +31,11 @@
 }  // namespace
 
 void PendingProposals::complete(const ControlNode& node, Instant now) {
-  std::vector<PendingProposal> still_waiting;
+  std::vector<PendingProposal> still_pending;
   for (auto& waiting : std::exchange(pending_, {})) {
     const ProposalStatus status = node.status(waiting.proposal);
     if (status == ProposalStatus::kPending && now < waiting.deadline) {
-      still_waiting.push_back(std::move(waiting));
+      still_pending.push_back(std::move(waiting));
       continue;
     }
     const bool committed = status == ProposalStatus::kCommitted;
@@ -44,9 +44,9 @@
       callback({committed ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
     }
   }
-  // A callback may have proposed more.
-  std::move(pending_.begin(), pending_.end(), std::back_inserter(still_waiting));
-  pending_ = std::move(still_waiting);
+  // Callbacks may have added proposals.
+  std::move(pending_.begin(), pending_.end(), std::back_inserter(still_pending));
+  pending_ = std::move(still_pending);
 }
 
 }  // namespace gorsevalve
--- a/src/tasks/pending_proposals.h
+++ b/src/tasks/pending_proposals.h
@@ -1,4 +1,4 @@
-/// Entries of the log that callers wait for: answers each when it is decided or took too long.
+/// Proposed log entries whose clients wait for the outcome.
 #pragma once
 
 #include <functional>
@@ -12,15 +12,15 @@
 
 namespace gorsevalve {
 
-/// Answer to a steering command, an evacuation or an announcement.
+/// Outcome of a steering command, an evacuation command or a registration.
 enum class SteeringStatus : std::uint8_t {
-  /// Committed, or the committed state says the same already.
+  /// Committed, or already part of the committed state.
   kAcknowledged = 0,
-  /// Nothing was done here; `leader` names whom to ask, if it is known.
+  /// Not processed; `leader` names the leader, if known.
   kNotLeader = 1,
-  /// Whether it is in force may go either way.
+  /// The outcome is unknown: the command may or may not be committed.
   kUnknown = 2,
-  /// Nothing was done: there is no such zone; `known_zones` names those that there are.
+  /// Rejected: the zone does not exist. `known_zones` lists the existing ones.
   kUnknownZone = 3,
 };
 
@@ -34,7 +34,7 @@
 
 class PendingProposals {
  public:
-  /// What an entry is about, for the log: an operator's file, an evacuation, or registrations.
+  /// Content of an entry, for the log: a steering file, an evacuation command, or registrations.
   using Subject = std::variant<std::monostate, OperatorVersion, EvacuationCommand>;
 
   struct PendingProposal {
@@ -46,7 +46,8 @@
   };
 
   void add(PendingProposal waiting) { pending_.push_back(std::move(waiting)); }
-  /// Answers the callers of all entries that are decided by now, or whose deadline has passed.
+  /// Completes all entries that are committed or superseded, and those past their deadline as
+  /// unknown.
   void complete(const ControlNode& node, Instant now);
 
  private:
--- a/src/tasks/random_number.h
+++ b/src/tasks/random_number.h
@@ -1,11 +1,11 @@
-/// Random numbers that differ between processes and between their lives.
+/// Random numbers that differ between processes and restarts.
 #pragma once
 
 #include <cstdint>
 
 namespace gorsevalve {
 
-/// A number from the operating system's generator.
+/// A random number from the operating system.
 std::uint64_t random_number();
 
 }  // namespace gorsevalve
--- a/src/tasks/socket_address.h
+++ b/src/tasks/socket_address.h
@@ -1,4 +1,4 @@
-/// Endpoints as the socket calls want them.
+/// Conversions between Endpoint and sockaddr_in.
 #pragma once
 
 #include <arpa/inet.h>
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -12,18 +12,19 @@
 using std::chrono::milliseconds;
 
 constexpr Duration kTickInterval = milliseconds(250);
-/// Tick while the first state is awaited.
+/// Tick interval until the first state is confirmed.
 constexpr Duration kStartTickInterval = milliseconds(100);
-/// Timers count milliseconds.
+/// Resolution of the timers.
 constexpr Duration kMinTimerDelay = milliseconds(1);
 constexpr ControlClientTiming kControlTiming{milliseconds(500), milliseconds(800),
                                              kStartTickInterval};
-/// Routers need this long to turn away; after it a stop waits for silence only.
+/// Time that routers need to stop sending new flows. Afterwards a shutdown only waits until no
+/// packets arrive.
 constexpr Duration kRouterDrainTime = milliseconds(1500);
 constexpr Duration kIdleTimeBeforeStop = milliseconds(700);
-/// Pause between two reports of something urgent: what many callers meet at once goes together.
+/// Interval between urgent reports, so that failures of many flows share a report.
 constexpr Duration kUrgentReportInterval = milliseconds(20);
-/// Age of the state that is worth a line: three pauses between heartbeats.
+/// Age of the state that is logged as unconfirmed: three heartbeat intervals.
 constexpr Duration kUnconfirmedLogThreshold = milliseconds(1500);
 
 }  // namespace
@@ -94,9 +95,9 @@
   last_packet_at_ = now;
   const FrontendView* frontend =
       link_.model().is_rate_known() ? steering_.frontend(packet->flow.frontend) : nullptr;
-  const LinkDecision verdict = link_.on_packet(*packet, datagram.size(), frontend, now);
-  if (verdict != LinkDecision::kForward) {
-    if (verdict == LinkDecision::kReject) {
+  const LinkDecision link_decision = link_.on_packet(*packet, datagram.size(), frontend, now);
+  if (link_decision != LinkDecision::kForward) {
+    if (link_decision == LinkDecision::kReject) {
       reject_for_full_link(*packet);
     }
     return;
@@ -123,7 +124,7 @@
 
 void SteeringTask::probe_if_needed(Instant now) {
   if (steering_.is_probing() && probe_step_scheduled_) {
-    // What is due now does not wait for the next step.
+    // Probes that are due do not wait for the next step.
     send_probes(now);
   } else if (steering_.is_probing()) {
     check_reachability(now);
@@ -136,8 +137,8 @@
     return;
   }
   reply_check_scheduled_ = true;
-  const Duration wait = std::max<Duration>(*next - now, kMinTimerDelay);
-  loop_.after(wait, [this] {
+  const Duration delay = std::max<Duration>(*next - now, kMinTimerDelay);
+  loop_.after(delay, [this] {
     reply_check_scheduled_ = false;
     check_reply_timeouts(monotonic_now());
   });
@@ -178,8 +179,8 @@
   send_probes(now);
   check_zone_paths(now);
   const std::vector<UnreachableTarget> unreachable = steering_.evaluate_reachability(now);
-  for (const auto& one : unreachable) {
-    on_unreachable(one);
+  for (const auto& target : unreachable) {
+    on_unreachable(target);
   }
   for (const TargetId target : steering_.take_restored()) {
     log_event(LogEvent::kTargetReachable, {{"target", target}});
@@ -195,8 +196,8 @@
 }
 
 void SteeringTask::schedule_report() {
-  // Others with flows there should look for themselves soon. The control client may be up the
-  // stack, with an answer that it has not noted yet: it goes on in the next turn.
+  // Other balancers with flows to the target should probe it soon. The control client may be on the
+  // call stack with an unfinished reply, so the report is sent in a later iteration of the loop.
   if (report_scheduled_) {
     return;
   }
@@ -206,9 +207,9 @@
     last_report_at_ = monotonic_now();
     control_.on_tick(0, last_report_at_);
   };
-  const Duration rest = last_report_at_ + kUrgentReportInterval - monotonic_now();
-  if (rest > Duration::zero()) {
-    loop_.after(rest, report);
+  const Duration delay = last_report_at_ + kUrgentReportInterval - monotonic_now();
+  if (delay > Duration::zero()) {
+    loop_.after(delay, report);
   } else {
     loop_.post(report);
   }
@@ -256,9 +257,9 @@
   }
 }
 
-void SteeringTask::on_target_health(const std::vector<TargetHealth>& figures) {
+void SteeringTask::on_target_health(const std::vector<TargetHealth>& health) {
   const Instant now = monotonic_now();
-  steering_.set_target_health(figures, now);
+  steering_.set_target_health(health, now);
   check_reachability(now);
 }
 
@@ -321,10 +322,10 @@
   if (!shutdown_started_at_) {
     return;
   }
-  const bool turned_away = now - *shutdown_started_at_ > kRouterDrainTime;
-  const bool silent = now - last_packet_at_ > kIdleTimeBeforeStop;
+  const bool routers_drained = now - *shutdown_started_at_ > kRouterDrainTime;
+  const bool is_idle = now - last_packet_at_ > kIdleTimeBeforeStop;
   const bool has_sent_all = link_.scheduler().queued_packets() == 0;
-  if ((turned_away && silent && has_sent_all) ||
+  if ((routers_drained && is_idle && has_sent_all) ||
       now - *shutdown_started_at_ > config_.shutdown_timeout) {
     log_event(LogEvent::kStopped);
     loop_.stop();
@@ -358,10 +359,10 @@
 }
 
 void SteeringTask::log_warm_up(Instant now) {
-  const std::vector<TargetId> cooled = steering_.take_newly_cold();
-  if (!cooled.empty()) {
-    log_event(LogEvent::kWarmUpBegan, {{"targets", cooled.size()},
-                                       {"first", cooled.front()},
+  const std::vector<TargetId> cold = steering_.take_newly_cold();
+  if (!cold.empty()) {
+    log_event(LogEvent::kWarmUpBegan, {{"targets", cold.size()},
+                                       {"first", cold.front()},
                                        {"cold", steering_.warm_up().size()},
                                        {"balancers", steering_.warm_up().rank().count}});
   }
@@ -419,20 +420,20 @@
 }
 
 void SteeringTask::log_evacuations(const FleetState& fleet) {
-  const std::vector<EvacuatedZone>& present = fleet.steering.evacuated_zones;
-  for (const auto& before : logged_evacuations_) {
-    if (std::find(present.begin(), present.end(), before) == present.end()) {
-      log_event(LogEvent::kZoneRestored, {{"zone", before.zone}, {"revision", fleet.revision}});
+  const std::vector<EvacuatedZone>& current = fleet.steering.evacuated_zones;
+  for (const auto& previous : logged_evacuations_) {
+    if (std::find(current.begin(), current.end(), previous) == current.end()) {
+      log_event(LogEvent::kZoneRestored, {{"zone", previous.zone}, {"revision", fleet.revision}});
     }
   }
-  for (const auto& evacuated : present) {
+  for (const auto& evacuated : current) {
     if (std::find(logged_evacuations_.begin(), logged_evacuations_.end(), evacuated) ==
         logged_evacuations_.end()) {
       log_event(LogEvent::kZoneEvacuated,
                 {{"zone", evacuated.zone}, {"revision", evacuated.since}});
     }
   }
-  logged_evacuations_ = present;
+  logged_evacuations_ = current;
 }
 
 void SteeringTask::on_confirmed(Instant now) {
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -1,6 +1,6 @@
-/// The task of a balancer that steers by reflected tokens: owns the datagram socket, the session
-/// with the control replicas, and the steering core. What datagrams look like is the business of
-/// the packet format that is given to it.
+/// Task of a balancer that steers by reflected tokens. It owns the datagram socket, the session
+/// with the control replicas, and the steering core. PacketFormat defines the encoding of
+/// datagrams.
 #pragma once
 
 #include <array>
@@ -22,37 +22,37 @@
 
 namespace gorsevalve {
 
-/// How packets of callers and of targets look on the wire.
+/// Encoding of packets from clients and to targets.
 class PacketFormat {
  public:
   virtual ~PacketFormat() = default;
-  /// What steering needs of a datagram from a caller; nothing when it is malformed.
+  /// Parses a datagram from a client; empty if it is malformed.
   [[nodiscard]] virtual std::optional<ClientPacket> parse(ByteView datagram) const = 0;
-  /// Size of what is sent to a target in place of a caller's datagram, in octets.
+  /// Size in bytes of the packet to a target for a datagram of a client.
   [[nodiscard]] virtual std::size_t forwarded_size(std::size_t datagram_size) const = 0;
-  /// Writes what is sent to the target, with its token, into `out` of that size.
+  /// Writes the packet to the target, with its token, into `out` of that size.
   virtual void write_forwarded(ByteView datagram, const RegisteredTarget& target,
                                std::span<std::uint8_t> out) const = 0;
-  /// A reset that tells a caller that its flow has ended, and where it goes.
+  /// Reset that notifies a client that its flow has ended, and its destination.
   [[nodiscard]] virtual Bytes make_reset(const FlowReset& reset) const = 0;
   [[nodiscard]] virtual Endpoint reset_destination(const FlowReset& reset) const = 0;
 };
 
 struct SteeringTaskConfig {
-  /// `member.address` names this process to the control replicas.
+  /// `member.address` identifies this process to the control replicas.
   Member self;
   Endpoint datagram_address;
   std::vector<Endpoint> control;
   std::string cluster;
   ClusterKeys keys;
   SteeringPolicy policy;
-  /// Rate of the machine's link each way, in octets per second; 0 when it is not known.
+  /// Rate of the machine's link in each direction, in bytes per second; 0 if unknown.
   double link_bytes_per_s = 0;
-  /// How long a planned stop may take.
+  /// Time limit of a graceful shutdown.
   Duration shutdown_timeout = std::chrono::milliseconds(5000);
 };
 
-/// Counters since the start, by the reason of each decision.
+/// Counters since the start. `packets` is indexed by SteeringReason.
 struct SteeringCounters {
   std::uint64_t malformed = 0;
   std::array<std::uint64_t, kSteeringReasons> packets{};
@@ -68,10 +68,11 @@
                                                                        SteeringTaskConfig config,
                                                                        const PacketFormat& format);
 
-  /// True while routers may send packets here: settings are in force, a replica that holds the
-  /// newest state confirmed them, and no stop is under way.
+  /// True while routers may send packets: settings are applied, a replica with the newest state has
+  /// confirmed them, and no shutdown is in progress.
   [[nodiscard]] bool is_ready() const;
-  /// Begins a planned stop: not ready any more, forwards until packets cease, then ends the loop.
+  /// Starts a graceful shutdown: reports not ready, forwards until packets cease, then stops the
+  /// loop.
   void begin_shutdown();
   void set_control_seeds(const std::vector<Endpoint>& seeds) { control_.set_seeds(seeds); }
   [[nodiscard]] const SteeringCounters& counters() const { return counters_; }
@@ -79,8 +80,8 @@
   [[nodiscard]] std::uint64_t probes_sent() const { return prober_.sent(); }
   [[nodiscard]] const FleetState& fleet() const { return control_.fleet(); }
   [[nodiscard]] Revision revisions_behind() const { return control_.revisions_behind(); }
-  /// Time since the latest moment as of which the state in force was known to be the newest; since
-  /// the start before the first one.
+  /// Time since the applied state was last known to be the newest, or since the start if it never
+  /// was.
   [[nodiscard]] Duration state_age(Instant now) const;
   [[nodiscard]] const LinkShaper& link() const { return link_; }
   [[nodiscard]] const FrameCounters& frames() const { return network_.counters(); }
@@ -89,38 +90,39 @@
   SteeringTask(EventLoop& loop, SteeringTaskConfig config, const PacketFormat& format);
 
   void on_datagram(ByteView datagram, Instant now);
-  /// Forwards or resets; false when nothing can be decided yet.
+  /// Forwards, resets or drops a packet; false if there is not enough state to decide.
   bool decide(const ClientPacket& packet, ByteView datagram, Instant now);
-  /// Refuses a flow that the machine's link has no room for.
+  /// Rejects a flow because the machine's link has no capacity for it.
   void reject_for_full_link(const ClientPacket& packet);
-  /// Sends a packet to its target, or keeps it until the link has room for it.
+  /// Sends a packet to its target, or queues it until the link has capacity.
   void forward(const ClientPacket& packet, ByteView datagram, const RegisteredTarget& target,
                Instant now);
-  /// Sends what waits for the link and may leave now.
+  /// Sends queued packets that are due.
   void send_queued(Instant now);
   void schedule_send(Instant now);
-  /// Writes a line while packets have to wait, at most one for each kLinkLogInterval.
+  /// Logs long queueing delays, at most once per kLinkLogInterval.
   void log_queueing_delay(Duration waited, Instant now);
   void send_reset(const FlowReset& reset);
   void send_probes(Instant now);
-  /// Sends probes that are due, also between two steps.
+  /// Sends probes that are due, without waiting for the next step.
   void probe_if_needed(Instant now);
-  /// Probes targets that seem dead, each few milliseconds while there are any.
+  /// Sends probes, evaluates targets and zone paths, and schedules the next step while probing is
+  /// in progress.
   void check_reachability(Instant now);
   void on_probe_step();
-  /// Reports to the chosen replica in the next turn, or after the pause between two such reports.
+  /// Schedules a report to the chosen replica, at most once per kUrgentReportInterval.
   void schedule_report();
-  /// Looks at what should have been followed by something, and does so again when more is due.
+  /// Checks flows whose reply timeout expired and schedules the next check.
   void check_reply_timeouts(Instant now);
   void schedule_reply_check(Instant now);
   void on_unreachable(const UnreachableTarget& unreachable);
-  /// Concludes about paths to zones, and ends the flows into those that are cut off.
+  /// Evaluates the paths to zones and resets the flows into unreachable ones.
   void check_zone_paths(Instant now);
-  /// Gives held packets again, since more is known now.
+  /// Processes buffered packets again after the state changed.
   void release_buffered(Instant now);
   std::optional<Endpoint> on_frame(ByteView frame);
   void on_tick();
-  /// Asks the replicas more often until the first state is confirmed.
+  /// Polls the replicas at a shorter interval until the first state is confirmed.
   void tick_until_ready();
   void log_decision(const ClientPacket& packet, const SteeringDecision& decision) const;
 
@@ -129,17 +131,17 @@
   void on_deltas(const FleetState& fleet, const std::vector<FleetDelta>& deltas,
                  Instant now) override;
   void on_revision(const FleetState& fleet, Instant now);
-  /// Tells which evacuations came into force and which ended.
+  /// Logs evacuations that became effective and those that ended.
   void log_evacuations(const FleetState& fleet);
   void on_confirmed(Instant now) override;
   bool has_urgent_observations() override { return steering_.has_trouble(); }
   std::vector<TargetObservation> take_observations() override {
     return steering_.take_observations();
   }
-  void on_target_health(const std::vector<TargetHealth>& figures) override;
+  void on_target_health(const std::vector<TargetHealth>& health) override;
   void on_refusing(const RefusingTargets& refusing, Instant now) override;
-  void on_rank(const BalancerRank& place, Instant now) override {
-    steering_.set_balancer_rank(place, now);
+  void on_rank(const BalancerRank& rank, Instant now) override {
+    steering_.set_balancer_rank(rank, now);
   }
   void on_lease(Instant /*until*/) override {}
   void on_removed(Instant /*now*/) override {}
@@ -147,9 +149,9 @@
   void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
   void on_replica_chosen(const Endpoint& replica, Revision held) override;
   void on_update_refused(const RefusedUpdate& refused) override;
-  /// Tells which targets turned cold, and what those that are warm now took from here.
+  /// Logs targets that started to warm up, and the flows placed at those that are warm now.
   void log_warm_up(Instant now);
-  /// Tells when the state in force has not been confirmed for long, and when it is again.
+  /// Logs when the applied state has been unconfirmed for long, and when it is confirmed again.
   void log_state_age(Instant now);
 
   EventLoop& loop_;
--- a/src/tasks/steering_task_link.cc
+++ b/src/tasks/steering_task_link.cc
@@ -1,4 +1,4 @@
-/// The part of the steering task that sends packets to targets over the machine's own link.
+/// The part of the steering task that sends packets to targets over the machine's link.
 #include <algorithm>
 #include <cmath>
 
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-/// A wait that is worth a line: a quarter of the time after which senders repeat.
+/// Queueing delay that is logged: a quarter of the usual retransmission timeout.
 constexpr Duration kQueueingDelayLogThreshold = milliseconds(50);
 constexpr Duration kLinkLogInterval = std::chrono::seconds(1);
-/// Timers of the event loop count in milliseconds.
+/// Resolution of the timers of the event loop.
 constexpr Duration kMinSendDelay = milliseconds(1);
 
 }  // namespace
@@ -36,9 +36,9 @@
     link_.scheduler().on_sent_immediately(size, now);
     out = socket_->reserve(target.address, size);
   } else {
-    const PacketDeadlines patience =
+    const PacketDeadlines deadlines =
         LinkShaper::packet_deadlines(steering_.frontend(packet.flow.frontend), packet.opens);
-    out = link_.scheduler().enqueue(packet, target.address, size, patience, now);
+    out = link_.scheduler().enqueue(packet, target.address, size, deadlines, now);
     schedule_send(now);
   }
   if (!out.empty()) {
@@ -47,17 +47,17 @@
 }
 
 void SteeringTask::send_queued(Instant now) {
-  while (const auto due = link_.scheduler().dequeue(now)) {
-    socket_->send(due->to, due->bytes);
-    if (due->queueing_delay > kQueueingDelayLogThreshold) {
-      log_queueing_delay(due->queueing_delay, now);
+  while (const auto packet = link_.scheduler().dequeue(now)) {
+    socket_->send(packet->to, packet->bytes);
+    if (packet->queueing_delay > kQueueingDelayLogThreshold) {
+      log_queueing_delay(packet->queueing_delay, now);
     }
   }
   socket_->flush();
   schedule_send(now);
 }
 
-void SteeringTask::log_queueing_delay(Duration waited, Instant now) {
+void SteeringTask::log_queueing_delay(Duration queueing_delay, Instant now) {
   if (now - link_logged_at_ < kLinkLogInterval) {
     return;
   }
@@ -68,7 +68,7 @@
   log_event(LogEvent::kLinkBusy,
             {{"waiting", scheduler.queued_packets()},
              {"octets", scheduler.queued_bytes()},
-             {"waited_ms", waited / milliseconds(1)},
+             {"waited_ms", queueing_delay / milliseconds(1)},
              {"receive_percent", std::lround(link_.model().receive_utilization(now) * kPercent)},
              {"send_percent", std::lround(link_.model().send_utilization(now) * kPercent)},
              {"copies_spared", counters.retransmissions_suppressed},
@@ -77,12 +77,12 @@
 }
 
 void SteeringTask::schedule_send(Instant now) {
-  const auto turn = link_.scheduler().next_dequeue_at();
-  if (!turn || send_scheduled_) {
+  const auto next = link_.scheduler().next_dequeue_at();
+  if (!next || send_scheduled_) {
     return;
   }
   send_scheduled_ = true;
-  loop_.after(std::max(*turn - now, kMinSendDelay), [this] {
+  loop_.after(std::max(*next - now, kMinSendDelay), [this] {
     send_scheduled_ = false;
     send_queued(monotonic_now());
   });
--- a/src/tasks/submission_body.cc
+++ b/src/tasks/submission_body.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 namespace {
 
-/// An optional text field; false when it is there with another type.
+/// Reads an optional string field; false if it has another type.
 bool read_text(const nlohmann::json& body, const char* field, std::string& text) {
   const auto found = body.find(field);
   if (found == body.end()) {
--- a/src/tasks/submission_body.h
+++ b/src/tasks/submission_body.h
@@ -1,4 +1,4 @@
-/// Body of a submission to the administration API.
+/// JSON body of a settings submission to the administration API.
 #pragma once
 
 #include <string>
@@ -12,15 +12,15 @@
   SubmissionId id;
   Revision base_revision = 0;
   std::string author;
-  /// Name of the file, for error messages.
+  /// File name, for error messages.
   std::string file = "settings";
   std::string text;
 };
 
-/// Longest submission id, in characters.
+/// Longest submission id in bytes.
 constexpr std::size_t kMaxSubmissionIdLength = 128;
 
-/// Reads a JSON body. The error names the field that is missing or of a wrong type.
+/// Parses a JSON body. Errors name the field that is missing or has the wrong type.
 tl::expected<SubmissionBody, std::string> parse_submission_body(const std::string& body);
 
 }  // namespace gorsevalve
--- a/src/tasks/subscription_log.h
+++ b/src/tasks/subscription_log.h
@@ -1,5 +1,5 @@
-/// Lines in the log about the replica that a balancer follows and about what it gets from there,
-/// the same for balancers of all kinds. `up_to_date` is the balancer's revision.
+/// Log events about the subscription of a balancer to a control replica, shared by all kinds of
+/// balancers. `applied` is the revision that the balancer has applied.
 #pragma once
 
 #include "core/balancer/control_client.h"
@@ -8,9 +8,9 @@
 
 namespace gorsevalve {
 
-void log_replica_chosen(const Endpoint& replica, Revision held, Revision in_force);
+void log_replica_chosen(const Endpoint& replica, Revision replica_revision, Revision applied);
 void log_replica_silent(const Endpoint& replica);
-void log_updates_overdue(const Endpoint& replica, Revision behind, Revision in_force);
-void log_update_refused(const RefusedUpdate& refused, Revision in_force);
+void log_updates_overdue(const Endpoint& replica, Revision behind, Revision applied);
+void log_update_refused(const RefusedUpdate& refused, Revision applied);
 
 }  // namespace gorsevalve
--- a/src/tasks/target_poller.h
+++ b/src/tasks/target_poller.h
@@ -1,4 +1,4 @@
-/// Polls the health and load endpoints of targets and gives the results to a balancer.
+/// Polls the health endpoints of targets and reports the results to a balancer.
 #pragma once
 
 #include <functional>
@@ -10,15 +10,15 @@
 
 namespace gorsevalve {
 
-/// Reads the body of a health endpoint: {"healthy": bool, "connections": n, "running": n}. Nothing
-/// when it is not of this form.
+/// Parses the body of a health endpoint: {"healthy": bool, "connections": n, "running": n}. Empty
+/// if the body has another form.
 std::optional<TargetReport> parse_target_report(const Endpoint& target, const std::string& body);
 
 class TargetPoller {
  public:
   using Sink = std::function<void(const TargetReport&)>;
 
-  /// Calls `sink` on the loop's thread for each poll.
+  /// Calls `sink` with the result of each poll, on the thread of the loop.
   TargetPoller(EventLoop& loop, Sink sink);
 
   /// Polls each target once.
--- a/src/tasks/target_prober.cc
+++ b/src/tasks/target_prober.cc
@@ -39,8 +39,8 @@
   const auto* probe = static_cast<const Probe*>(socket->data);
   TargetProber& self = *probe->prober;
   const std::uint64_t number = probe->number;
-  // h2o names no cause: a connection that fails this soon was refused, since silence takes the
-  // kernel far longer than a probe lives.
+  // h2o does not report the error. A connection that fails before the probe times out was refused,
+  // since the connect timeout of the kernel is far longer.
   const ProbeAnswer answer = error == nullptr ? ProbeAnswer::kAccepted : ProbeAnswer::kRefused;
   self.close(number);
   self.callback_(number, answer);
--- a/src/tasks/target_prober.h
+++ b/src/tasks/target_prober.h
@@ -1,5 +1,5 @@
-/// Opens connections to targets and closes them again, to see whether anything listens there. What
-/// follows from it is decided by core/steering/target_reachability.
+/// Probes targets: opens a TCP connection and closes it, to find out whether the target listens.
+/// core/steering/target_reachability evaluates the results.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,12 @@
 
 class TargetProber {
  public:
-  /// Tells what became of a probe; a probe without an answer is never told of.
+  /// Reports the result of a probe. Not called for probes that time out.
   using Callback = std::function<void(std::uint64_t number, ProbeAnswer answer)>;
 
-  /// A probe is given up after this time: a suspicion is decided or dropped by then.
+  /// Timeout of a probe: a suspicion is decided or dropped by then.
   static constexpr Duration kTimeout = std::chrono::milliseconds(500);
-  /// Connections that are being opened at once: five for each suspicion, and some for targets that
-  /// may be back.
+  /// Limit of concurrent probes: five per suspicion, and some for targets that may have recovered.
   static constexpr std::size_t kMaxOpen = 6 * TargetReachability::kMaxSuspicions;
 
   TargetProber(EventLoop& loop, Callback callback);
@@ -29,14 +28,14 @@
   TargetProber(const TargetProber&) = delete;
   TargetProber& operator=(const TargetProber&) = delete;
 
-  /// False when the probe cannot be sent: too many are under way, or there is no descriptor.
+  /// False if the probe cannot be sent: too many are in flight, or there is no file descriptor.
   bool send(std::uint64_t number, const Endpoint& target);
-  /// Gives up probes that have taken too long.
+  /// Closes probes that have timed out.
   void on_tick(Instant now);
   [[nodiscard]] std::uint64_t sent() const { return sent_; }
 
  private:
-  /// A connection that is being opened.
+  /// A connection attempt.
   struct Probe {
     TargetProber* prober = nullptr;
     std::uint64_t number = 0;
--- a/src/tasks/udp_socket.cc
+++ b/src/tasks/udp_socket.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kSocketBufferSize = 4 << 20;
-/// Batches read in one turn before other events get theirs.
+/// Limit of batches per readiness event, so that other events are not starved.
 constexpr int kBatchesPerTurn = 8;
 
 }  // namespace
@@ -71,7 +71,7 @@
 
 void UdpSocket::on_readable() {
   Buffers& buffers = *buffers_;
-  for (int turn = 0; turn < kBatchesPerTurn; ++turn) {
+  for (int batch = 0; batch < kBatchesPerTurn; ++batch) {
     for (std::size_t i = 0; i < kBatchSize; ++i) {
       buffers.in_parts[i] = {buffers.in[i].data(), kMaxDatagram};
       buffers.in_headers[i] = {};
@@ -83,8 +83,8 @@
     const int count = ::recvmmsg(descriptor_, buffers.in_headers.data(), kBatchSize, 0, nullptr);
     for (int i = 0; i < count; ++i) {
       const auto index = static_cast<std::size_t>(i);
-      const bool cut = (buffers.in_headers[index].msg_hdr.msg_flags & MSG_TRUNC) != 0;
-      if (!cut) {
+      const bool is_truncated = (buffers.in_headers[index].msg_hdr.msg_flags & MSG_TRUNC) != 0;
+      if (!is_truncated) {
         receiver_(ByteView(buffers.in[index].data(), buffers.in_headers[index].msg_len),
                   from_sockaddr(buffers.in_addresses[index]));
       }
@@ -135,7 +135,8 @@
     if (count > 0) {
       sent += static_cast<std::size_t>(count);
     } else if (errno != EINTR) {
-      // The first datagram was refused (no listener, no room): drop it and go on.
+      // The kernel rejected the first datagram, for example because its buffer is full: drop it and
+      // continue.
       ++sent;
     }
   }
--- a/src/tasks/udp_socket.h
+++ b/src/tasks/udp_socket.h
@@ -1,5 +1,5 @@
-/// A UDP socket on an event loop. h2o's stream sockets carry no datagrams, so h2o gives readiness
-/// only and the datagrams move by recvmmsg and sendmmsg.
+/// A UDP socket on an event loop. The stream sockets of h2o carry no datagrams, so h2o only reports
+/// readiness; datagrams are read with recvmmsg and written with sendmmsg.
 #pragma once
 
 #include <array>
@@ -14,28 +14,28 @@
 
 namespace gorsevalve {
 
-/// Largest datagram that is received, in octets.
+/// Largest datagram in bytes; longer ones are dropped.
 constexpr std::size_t kMaxDatagram = 4096;
 
 class UdpSocket {
  public:
   using Receiver = std::function<void(ByteView datagram, const Endpoint& from)>;
 
-  /// Binds to an address. The error names the address.
+  /// Binds to an address. Errors name the address.
   static tl::expected<std::unique_ptr<UdpSocket>, std::string> open(EventLoop& loop,
                                                                     const Endpoint& address);
   ~UdpSocket();
   UdpSocket(const UdpSocket&) = delete;
   UdpSocket& operator=(const UdpSocket&) = delete;
 
-  /// `receiver` is called for each datagram; `after_batch` after the last one that was waiting.
+  /// Calls `receiver` for each datagram, and `after_batch` after the last one that was ready.
   void start(Receiver receiver, std::function<void()> after_batch = {});
 
-  /// Queues a datagram made of two parts. It leaves with the next `flush`, or when the queue is
-  /// full. Datagrams that the kernel does not take are dropped, as a network would.
+  /// Queues a datagram that consists of two parts. It is sent by the next `flush`, or when the
+  /// queue is full. Datagrams that the kernel rejects are dropped.
   void send(const Endpoint& to, ByteView head, ByteView body = {});
-  /// The same, for a datagram that the caller writes in place before anything else is sent; empty
-  /// when it would be too large.
+  /// Queues a datagram and returns its buffer, which the caller must fill before the next call.
+  /// Empty if the size exceeds the limit.
   std::span<std::uint8_t> reserve(const Endpoint& to, std::size_t size);
   void flush();
 
