--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -63,14 +63,14 @@
     return tl::unexpected(describe(identity.error()));
   }
   if (!identity->has_value()) {
-    ReplicaIdentity fresh;
-    fresh.id = task->config_.incarnation;
-    fresh.cluster = task->config_.cluster;
-    const auto written = task->store_.write_identity(fresh);
+    ReplicaIdentity new_identity;
+    new_identity.id = task->config_.incarnation;
+    new_identity.cluster = task->config_.cluster;
+    const auto written = task->store_.write_identity(new_identity);
     if (!written) {
       return tl::unexpected(describe(written.error()));
     }
-    *identity = fresh;
+    *identity = new_identity;
   }
   if ((*identity)->cluster != task->config_.cluster) {
     return tl::unexpected("the data directory belongs to cluster \"" + (*identity)->cluster + "\"");
@@ -158,10 +158,10 @@
     log_event(was_leader_ ? LogEvent::kBecameLeader : LogEvent::kLostLeadership,
               {{"term", replica.term()}});
   }
-  const bool hears_leader = replica.is_leader() || replica.has_leader_contact(now);
-  if (hears_leader != had_leader_contact_) {
-    had_leader_contact_ = hears_leader;
-    log_event(hears_leader ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
+  const bool has_leader_contact_now = replica.is_leader() || replica.has_leader_contact(now);
+  if (has_leader_contact_now != had_leader_contact_) {
+    had_leader_contact_ = has_leader_contact_now;
+    log_event(has_leader_contact_now ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
               {{"term", replica.term()}});
   }
   if (replica.replicas() != logged_replicas_) {
@@ -177,14 +177,14 @@
 }
 
 void ControlTask::log_unhealthy_targets() {
-  const std::vector<FlowToken> troubled = node_->target_health().unhealthy();
-  if (troubled == logged_unhealthy_ || !node_->replica().is_leader()) {
+  const std::vector<FlowToken> unhealthy_targets = node_->target_health().unhealthy();
+  if (unhealthy_targets == logged_unhealthy_ || !node_->replica().is_leader()) {
     return;
   }
-  logged_unhealthy_ = troubled;
+  logged_unhealthy_ = unhealthy_targets;
   nlohmann::json targets = nlohmann::json::array();
   for (const auto& [id, target] : node_->state().fleet().steering.targets) {
-    if (std::binary_search(troubled.begin(), troubled.end(), target.token)) {
+    if (std::binary_search(unhealthy_targets.begin(), unhealthy_targets.end(), target.token)) {
       targets.push_back(target.id);
     }
   }
@@ -206,20 +206,20 @@
 }
 
 void ControlTask::complete_submissions(Instant now) {
-  std::vector<PendingSubmission> still_waiting;
-  for (auto& waiting : std::exchange(pending_submissions_, {})) {
-    const SubmissionResult result = node_->outcome(waiting.id, now);
+  std::vector<PendingSubmission> still_pending;
+  for (auto& submission : std::exchange(pending_submissions_, {})) {
+    const SubmissionResult result = node_->outcome(submission.id, now);
     const bool decided = result.status == ControlStatus::kOk;
-    if (decided || now >= waiting.deadline) {
-      waiting.callback(result);
+    if (decided || now >= submission.deadline) {
+      submission.callback(result);
     } else {
-      still_waiting.push_back(std::move(waiting));
+      still_pending.push_back(std::move(submission));
     }
   }
   // Callbacks may have added submissions.
   std::move(pending_submissions_.begin(), pending_submissions_.end(),
-            std::back_inserter(still_waiting));
-  pending_submissions_ = std::move(still_waiting);
+            std::back_inserter(still_pending));
+  pending_submissions_ = std::move(still_pending);
 }
 
 SubmissionResult ControlTask::outcome(const SubmissionId& id) const {
@@ -237,9 +237,10 @@
     return;
   }
   const OperatorVersion version = command.settings.version;
-  const OperatorVersion held = node_->state().fleet().steering.settings.version;
-  log_event(LogEvent::kSteeringSubmitted, {{"version", version}, {"held_version", held}});
-  if (version <= held) {
+  const OperatorVersion committed_version = node_->state().fleet().steering.settings.version;
+  log_event(LogEvent::kSteeringSubmitted,
+            {{"version", version}, {"held_version", committed_version}});
+  if (version <= committed_version) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
     return;
   }
@@ -260,10 +261,11 @@
     callback({SteeringStatus::kUnknownZone, std::nullopt, known});
     return;
   }
-  const bool is_held = node_->is_committed(command, now);
-  log_event(LogEvent::kEvacuationOrdered,
-            {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", is_held}});
-  if (is_held) {
+  const bool already_committed = node_->is_committed(command, now);
+  log_event(
+      LogEvent::kEvacuationOrdered,
+      {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", already_committed}});
+  if (already_committed) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
     return;
   }
@@ -330,7 +332,7 @@
 
 const EncodedMessage& ControlTask::encode_cached(const SharedNodeMessage& message) {
   const auto found = std::find_if(encoded_messages_.begin(), encoded_messages_.end(),
-                                  [&](const auto& one) { return one.first == message; });
+                                  [&](const auto& entry) { return entry.first == message; });
   if (found != encoded_messages_.end()) {
     return found->second;
   }
--- a/src/tasks/forwarded_requests.cc
+++ b/src/tasks/forwarded_requests.cc
@@ -10,7 +10,7 @@
 namespace {
 
 bool is_committed(const ControlNode& node, const ForwardedRequests::ForwardedChange& change) {
-  return std::visit([&node](const auto& one) { return node.is_committed(one); }, change);
+  return std::visit([&node](const auto& update) { return node.is_committed(update); }, change);
 }
 
 }  // namespace
--- a/src/tasks/log_events.h
+++ b/src/tasks/log_events.h
@@ -1,4 +1,4 @@
-/// Catalogue of all events in the log: one line each in docs/LOGS.md, which a test compares.
+/// Catalogue of all log events. docs/LOGS.md lists the same events; a test compares them.
 #pragma once
 
 #include <array>
@@ -9,11 +9,11 @@
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
 
-/// What goes first when lines must be dropped.
+/// Determines which lines are dropped first.
 enum class LogClass : std::uint8_t {
-  /// About single flows or packets: many, dropped first.
+  /// About single flows or packets; frequent, dropped first.
   kRoutine = 0,
-  /// What the process believes or promised: kept as long as anything is.
+  /// About the state of the process; dropped only if no routine lines are queued.
   kState = 1,
 };
 constexpr std::size_t kLogClassCount = 2;
@@ -90,149 +90,153 @@
   std::string_view meaning;
 };
 
-/// In the order of the enumeration.
+/// Indexed by LogEvent.
 constexpr std::array<LogEventInfo, static_cast<std::size_t>(LogEvent::kLogLinesDropped) + 1>
     kLogEvents = {{
         {LogEvent::kStarting, "starting", LogLevel::kInfo, LogClass::kState,
-         "The process runs; its state is being read."},
+         "The process has started and reads its state."},
         {LogEvent::kStarted, "started", LogLevel::kInfo, LogClass::kState,
          "The process listens at all its addresses."},
         {LogEvent::kStopping, "stopping", LogLevel::kInfo, LogClass::kState,
-         "A planned stop began: not ready any more, leadership handed over."},
+         "A graceful shutdown started: the process is not ready, and leadership is transferred."},
         {LogEvent::kStopped, "stopped", LogLevel::kInfo, LogClass::kState,
-         "The planned stop is done; the process ends."},
+         "The graceful shutdown is complete; the process exits."},
         {LogEvent::kLeaving, "leaving", LogLevel::kInfo, LogClass::kState,
-         "The balancer asked to leave the members."},
+         "The balancer requested its removal from the members."},
         {LogEvent::kReady, "ready", LogLevel::kInfo, LogClass::kState,
-         "The newest state is in force and confirmed: routers may send packets."},
+         "The newest state is applied and confirmed: routers may send packets."},
         {LogEvent::kNotReady, "not_ready", LogLevel::kInfo, LogClass::kState,
-         "Routers are told to turn away."},
+         "The process reports not ready: routers must not send packets."},
         {LogEvent::kSettingsReloaded, "settings_reloaded", LogLevel::kInfo, LogClass::kState,
-         "The process's own settings file changed and is in force."},
+         "The settings file of the process changed and was applied."},
         {LogEvent::kSettingsRefused, "settings_refused", LogLevel::kError, LogClass::kState,
-         "The changed settings file is invalid; the former one stays in force."},
+         "The changed settings file is invalid; the previous settings stay applied."},
         {LogEvent::kFlowDecision, "flow_decision", LogLevel::kInfo, LogClass::kRoutine,
-         "A flow was placed, placed again, refused or not understood, and why."},
+         "A flow was placed, placed again, rejected or not recognized, with the reason."},
         {LogEvent::kRevisionInForce, "revision_in_force", LogLevel::kInfo, LogClass::kState,
-         "The balancer decides by this revision from now on; about open flows only, until one is "
-         "confirmed."},
+         "The balancer applied this revision. Until the first revision is confirmed, it only "
+         "forwards packets of open flows."},
         {LogEvent::kRevisionConfirmed, "revision_confirmed", LogLevel::kInfo, LogClass::kState,
-         "A replica that follows a living leader holds no newer revision: the starting balancer "
-         "places flows."},
+         "A replica in contact with a live leader confirmed that there is no newer revision: the "
+         "starting balancer now places flows."},
         {LogEvent::kZoneEvacuated, "zone_evacuated", LogLevel::kInfo, LogClass::kState,
-         "The balancer places no new flow in the zone from now on; the order's revision is named."},
+         "The balancer places no new flows in the zone from now on; `revision` is that of the "
+         "command."},
         {LogEvent::kZoneRestored, "zone_restored", LogLevel::kInfo, LogClass::kState,
-         "The balancer places new flows in the zone again, as of the named revision."},
+         "The balancer places new flows in the zone again, as of `revision`."},
         {LogEvent::kFleetNotKept, "fleet_not_kept", LogLevel::kWarning, LogClass::kState,
-         "The copy of the state for the next start could not be written."},
+         "The state could not be stored for the next start."},
         {LogEvent::kExpelledAndRejoining, "expelled_and_rejoining", LogLevel::kWarning,
-         LogClass::kState, "The balancer was removed from the members while it ran."},
+         LogClass::kState,
+         "The balancer was removed from the members while running; it joins again."},
         {LogEvent::kReplicaChosen, "replica_chosen", LogLevel::kInfo, LogClass::kState,
-         "The balancer follows this replica from now on; the revision that it claimed is named."},
+         "The balancer subscribed to this replica; `held` is the revision that the replica "
+         "reported."},
         {LogEvent::kReplicaSilent, "replica_silent", LogLevel::kWarning, LogClass::kState,
-         "The replica does not answer; the next one is asked."},
+         "The replica did not reply in time; the next one is tried."},
         {LogEvent::kRevisionsBehind, "revisions_behind", LogLevel::kWarning, LogClass::kState,
-         "Updates of the replica have not come for long; all replicas are asked."},
+         "Updates from the replica are overdue; all replicas are queried."},
         {LogEvent::kUpdateRefused, "update_refused", LogLevel::kWarning, LogClass::kState,
-         "An update does not follow the revision in force; what is missing is asked for."},
+         "An update is not based on the applied revision; the missing updates are requested."},
         {LogEvent::kStateUnconfirmed, "state_unconfirmed", LogLevel::kWarning, LogClass::kState,
-         "No current replica confirmed the state in force for this long: it may be older than what "
-         "operators were told."},
+         "No current replica has confirmed the applied state for this long: it may be older than "
+         "state that was acknowledged to operators."},
         {LogEvent::kStateConfirmedAgain, "state_confirmed_again", LogLevel::kInfo, LogClass::kState,
-         "A current replica confirmed the state in force again."},
+         "A current replica confirmed the applied state again."},
         {LogEvent::kUpdateRepeated, "update_repeated", LogLevel::kInfo, LogClass::kState,
-         "A balancer did not confirm what was sent to it: it is sent again."},
+         "A balancer did not acknowledge an update in time; it is retransmitted."},
         {LogEvent::kConnectionGivenUp, "connection_given_up", LogLevel::kInfo, LogClass::kState,
-         "Frames went over the connection, and nothing came back for long: it was closed."},
+         "Frames were sent and nothing was received within the timeout: the connection was "
+         "closed."},
         {LogEvent::kFramesDropped, "frames_dropped", LogLevel::kWarning, LogClass::kState,
-         "Messages to a peer were dropped: there is no connection, or too much waits on it."},
+         "Messages to a peer were dropped: there is no connection, or its queue is full."},
         {LogEvent::kBecameLeader, "became_leader", LogLevel::kInfo, LogClass::kState,
          "This replica won an election."},
         {LogEvent::kLostLeadership, "lost_leadership", LogLevel::kInfo, LogClass::kState,
-         "This replica leads no more."},
+         "This replica is no longer the leader."},
         {LogEvent::kLeaderHeard, "leader_heard", LogLevel::kInfo, LogClass::kState,
-         "This replica follows a leader that lives."},
+         "This replica is in contact with a live leader."},
         {LogEvent::kLeaderSilent, "leader_silent", LogLevel::kWarning, LogClass::kState,
-         "The leader was not heard for an election timeout."},
+         "Nothing was received from the leader for an election timeout."},
         {LogEvent::kReplicaSet, "replica_set", LogLevel::kInfo, LogClass::kState,
-         "The voters and learners changed: a replica was wiped, replaced, taken in or removed."},
+         "The voters and learners changed: a replica was wiped, replaced, admitted or removed."},
         {LogEvent::kTargetsTroubled, "targets_troubled", LogLevel::kInfo, LogClass::kState,
-         "Balancers saw these targets, and no others, refuse flows or leave packets unanswered; "
-         "they "
-         "get new flows only where there is nothing better."},
+         "Balancers reported that exactly these targets refuse flows or leave packets unanswered; "
+         "they get new flows only if there is no better target."},
         {LogEvent::kTargetsRefusing, "targets_refusing", LogLevel::kInfo, LogClass::kState,
-         "Targets have just refused probes of balancers in `zone`: those in this zone, and those "
-         "in "
-         "the targets' own, place new flows elsewhere for half a second."},
+         "Targets recently refused probes of balancers in `zone`. Balancers in this zone and in "
+         "the targets' zones place new flows elsewhere for half a second."},
         {LogEvent::kTargetUnreachable, "target_unreachable", LogLevel::kWarning, LogClass::kState,
-         "Probes of the target came to nothing while another target answered: its open flows were "
-         "reset."},
+         "Probes of the target failed while another target replied: its open flows were reset."},
         {LogEvent::kTargetReachable, "target_reachable", LogLevel::kInfo, LogClass::kState,
-         "A target that was unreachable from here answers again."},
+         "A target that was unreachable from this balancer replies again."},
         {LogEvent::kLinkBusy, "link_busy", LogLevel::kInfo, LogClass::kRoutine,
-         "Packets wait for the machine's own link: how many, how long the last one waited, what "
-         "the link carries, and what was spared or dropped since the start."},
+         "Packets are queued for the machine's link: queue length, delay of the last packet, "
+         "utilization, and retransmissions suppressed and packets dropped since the start."},
         {LogEvent::kWarmUpBegan, "warm_up_began", LogLevel::kInfo, LogClass::kState,
-         "Targets turned cold: they take few new flows until they are warm, from all balancers "
-         "together; `balancers` share them by turns, 0 while this one knows no place."},
+         "Targets started to warm up: all balancers together place few new flows there. "
+         "`balancers` is the number of balancers that share the time slots; 0 while the rank of "
+         "this balancer is unknown."},
         {LogEvent::kWarmUpEnded, "warm_up_ended", LogLevel::kInfo, LogClass::kState,
-         "Targets are warm; `flows` were placed there from here while they were cold."},
+         "Targets are warm; `flows` is the number of flows that this balancer placed there during "
+         "the warm-up."},
         {LogEvent::kZonePathCut, "zone_path_cut", LogLevel::kWarning, LogClass::kState,
-         "All probed targets of the zone were silent while the own zone "
-         "answered: idle open flows "
-         "into it were reset, new ones go elsewhere."},
+         "No probed target of the zone replied while the local zone did: idle open flows into it "
+         "were reset, and new flows are placed elsewhere."},
         {LogEvent::kZonePathRestored, "zone_path_restored", LogLevel::kInfo, LogClass::kState,
-         "Several targets of a zone that was cut off answer again; new flows "
-         "return over two "
-         "seconds."},
+         "Several targets of an unreachable zone reply again; new flows return over two seconds."},
         {LogEvent::kAcceptingPaused, "accepting_paused", LogLevel::kWarning, LogClass::kState,
-         "A listener holds as many connections as it may, or there is no descriptor left; others "
-         "wait until one closes."},
+         "A listener reached its connection limit, or the process has no file descriptor left; "
+         "pending connections wait until one closes."},
         {LogEvent::kLoopStalled, "loop_stalled", LogLevel::kWarning, LogClass::kState,
-         "Nothing ran for this long: a slow disk, a frozen machine, or too much work."},
+         "The event loop was blocked for this long: a slow disk, a paused machine, or too much "
+         "work."},
         {LogEvent::kClusterFounded, "cluster_founded", LogLevel::kInfo, LogClass::kState,
-         "This replica is one of the first of a new cluster."},
+         "This replica was initialized as one of the first replicas of a new cluster."},
         {LogEvent::kClusterNotFounded, "cluster_not_founded", LogLevel::kWarning, LogClass::kState,
-         "The data folder holds a replica already, or cannot be written."},
+         "The data directory already holds a replica, or is not writable."},
         {LogEvent::kReplicaNotOpened, "replica_not_opened", LogLevel::kError, LogClass::kState,
-         "The data folder cannot be used; it is tried again."},
+         "The data directory cannot be used; opening it is retried."},
         {LogEvent::kStorageRefuses, "storage_refuses", LogLevel::kError, LogClass::kState,
-         "A write failed; nothing is acknowledged until one succeeds."},
+         "A write failed; nothing is acknowledged until a write succeeds."},
         {LogEvent::kStorageAcceptsAgain, "storage_accepts_again", LogLevel::kInfo, LogClass::kState,
-         "A write succeeded after one that failed."},
+         "A write succeeded after a failed one."},
         {LogEvent::kStorageFailedStopping, "storage_failed_stopping", LogLevel::kError,
-         LogClass::kState, "Durable state is damaged; the process ends."},
+         LogClass::kState, "The durable state is damaged; the process exits."},
         {LogEvent::kSubmission, "submission", LogLevel::kInfo, LogClass::kState,
-         "A settings file was submitted against a base revision."},
+         "A settings file was submitted for a base revision."},
         {LogEvent::kSteeringSubmitted, "steering_submitted", LogLevel::kInfo, LogClass::kState,
-         "A file with an operator version was submitted; the held version is named."},
+         "A steering file with an operator version was submitted; `held_version` is the committed "
+         "version."},
         {LogEvent::kSteeringDecided, "steering_decided", LogLevel::kInfo, LogClass::kState,
-         "What the operator was told: acknowledged, or unknown after a change of leaders."},
+         "Outcome reported to the operator: acknowledged, or unknown after a leader change."},
         {LogEvent::kSteeringRefused, "steering_refused", LogLevel::kWarning, LogClass::kState,
          "The submitted file is invalid; the field is named."},
         {LogEvent::kEvacuationOrdered, "evacuation_ordered", LogLevel::kInfo, LogClass::kState,
-         "An operator ordered a zone to be evacuated or restored; held tells that it is already."},
+         "An operator requested the evacuation or restoration of a zone; `held` is true if the "
+         "committed state already includes it."},
         {LogEvent::kEvacuationDecided, "evacuation_decided", LogLevel::kInfo, LogClass::kState,
-         "What the operator was told of an order, and which pools have no targets for new flows "
-         "now."},
+         "Outcome of an evacuation command reported to the operator, and the pools without targets "
+         "for new flows."},
         {LogEvent::kEvacuationRefused, "evacuation_refused", LogLevel::kWarning, LogClass::kState,
-         "The order names a zone that is not known; those that are known are named."},
+         "The command names an unknown zone; the known zones are listed."},
         {LogEvent::kTargetAnnounced, "target_announced", LogLevel::kInfo, LogClass::kState,
-         "A target said something new here; phase 0 is ready, 2 draining."},
+         "This replica received a changed announcement of a target; phase 0 is ready, 2 draining."},
         {LogEvent::kTargetRestarted, "target_restarted", LogLevel::kInfo, LogClass::kState,
-         "A target began another life under its id; nothing that was known of the earlier one "
-         "holds."},
+         "A target announced a new incarnation under its id; the state of the previous one is "
+         "discarded."},
         {LogEvent::kTargetEnded, "target_ended", LogLevel::kInfo, LogClass::kState,
-         "A target said here that it ends."},
+         "This replica received the end of a target."},
         {LogEvent::kRegistrationsDecided, "registrations_decided", LogLevel::kInfo,
-         LogClass::kState, "What the targets of one entry were told."},
+         LogClass::kState,
+         "Outcome reported to the targets whose registrations share a log entry."},
         {LogEvent::kForwardedUndecided, "forwarded_undecided", LogLevel::kWarning, LogClass::kState,
-         "Calls of targets that went to the leader were not committed in time; the targets ask "
-         "again."},
+         "Requests of targets that were forwarded to the leader were not committed in time; the "
+         "targets retry."},
         {LogEvent::kAnnouncementRefused, "announcement_refused", LogLevel::kWarning,
          LogClass::kRoutine, "An announcement is invalid; the field is named."},
         {LogEvent::kLogLinesDropped, "log_lines_dropped", LogLevel::kWarning, LogClass::kState,
-         "The reader of the log was too slow: so many lines of each class are missing."},
+         "The reader of the log was too slow: this many lines of each class were dropped."},
     }};
 
 constexpr const LogEventInfo& info_of(LogEvent event) {
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -179,8 +179,8 @@
   send_probes(now);
   check_zone_paths(now);
   const std::vector<UnreachableTarget> unreachable = steering_.evaluate_reachability(now);
-  for (const auto& target : unreachable) {
-    on_unreachable(target);
+  for (const auto& unreachable_target : unreachable) {
+    on_unreachable(unreachable_target);
   }
   for (const TargetId target : steering_.take_restored()) {
     log_event(LogEvent::kTargetReachable, {{"target", target}});
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -101,7 +101,7 @@
   void send_queued(Instant now);
   void schedule_send(Instant now);
   /// Logs long queueing delays, at most once per kLinkLogInterval.
-  void log_queueing_delay(Duration waited, Instant now);
+  void log_queueing_delay(Duration queueing_delay, Instant now);
   void send_reset(const FlowReset& reset);
   void send_probes(Instant now);
   /// Sends probes that are due, without waiting for the next step.
--- a/tests/unit/allocation_counter.h
+++ b/tests/unit/allocation_counter.h
@@ -1,11 +1,11 @@
-/// Counts the heap allocations of the test program, whose allocation functions are replaced.
+/// Counts heap allocations of the test program, which replaces the allocation functions.
 #pragma once
 
 #include <cstdint>
 
 namespace gorsevalve {
 
-/// Allocations so far.
+/// Number of allocations since the start.
 std::uint64_t allocation_count();
 
 }  // namespace gorsevalve
--- a/tests/unit/free_endpoint.h
+++ b/tests/unit/free_endpoint.h
@@ -1,4 +1,4 @@
-/// Addresses on loopback for tests with real sockets.
+/// Loopback addresses for tests with real sockets.
 #pragma once
 
 #include <sys/socket.h>
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t kLoopback = 0x7F000001;
 
-/// A port that nobody listens at.
+/// A loopback endpoint on which nobody listens.
 inline Endpoint free_endpoint() {
   const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in raw = to_sockaddr({kLoopback, 0});
--- a/tests/unit/test_event_loop.cc
+++ b/tests/unit/test_event_loop.cc
@@ -16,15 +16,14 @@
 
 using std::chrono::milliseconds;
 
-/// Turns of the loop of at most 10 ms each, so that a failure ends.
+/// Limit of loop iterations, each at most 10 ms, so that a failing test ends.
 constexpr int kMaxTurns = 100;
 
 }  // namespace
 
 TEST_SUITE("event_loop") {
-  TEST_CASE(
-      "a timer set by a socket that became ready in an earlier timer's turn frees nothing in use") {
-    // h2o runs sockets that are ready between two timers, while it still holds the earlier one.
+  TEST_CASE("a timer set by a socket between two timers does not free a timer in use") {
+    // h2o runs ready sockets between two timers, while it still refers to the earlier one.
     EventLoop loop;
     std::array<int, 2> pair{};
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair.data()) == 0);
@@ -35,14 +34,14 @@
     h2o_socket_t* socket = h2o_evloop_socket_create(loop.raw(), pair[0], 0);
     socket->data = &context;
     loop.after(milliseconds(1), [&] {
-      static char octet = 'a';
-      h2o_iovec_t part = h2o_iovec_init(&octet, 1);
+      static char byte = 'a';
+      h2o_iovec_t part = h2o_iovec_init(&byte, 1);
       h2o_socket_write(socket, &part, 1, [](h2o_socket_t* written, const char* /*error*/) {
         auto* found = static_cast<Context*>(written->data);
         found->loop->after(milliseconds(1), [found] { ++found->fired; });
       });
     });
-    for (int turn = 0; turn < kMaxTurns && context.fired == 0; ++turn) {
+    for (int iteration = 0; iteration < kMaxTurns && context.fired == 0; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
     }
     CHECK(context.fired == 1);
@@ -50,12 +49,12 @@
     ::close(pair[1]);
   }
 
-  TEST_CASE("timers that have fired are given back") {
+  TEST_CASE("fired timers are freed") {
     EventLoop loop;
     int fired = 0;
     for (int timer = 0; timer < 50; ++timer) {
       loop.after(milliseconds(1), [&] { ++fired; });
-      for (int turn = 0; turn < kMaxTurns && fired <= timer; ++turn) {
+      for (int iteration = 0; iteration < kMaxTurns && fired <= timer; ++iteration) {
         h2o_evloop_run(loop.raw(), 10);
       }
     }
@@ -63,9 +62,9 @@
     CHECK(loop.timers() < 10);
   }
 
-  TEST_CASE("a server and a client may end before the timers of their loop") {
-    // A balancer's server is freed before its loop: the loop's list of timeouts, which its timers
-    // stand in, led through what was freed. (The test environment overwrites what is freed.)
+  TEST_CASE("a server and a client may be destroyed before the timers of their loop") {
+    // Guards against use after free through the loop's list of timeouts. The test environment
+    // overwrites freed memory.
     EventLoop loop;
     int fired = 0;
     loop.every(milliseconds(1), [&] { ++fired; });
@@ -77,7 +76,7 @@
       const HttpClient client(loop, milliseconds(100));
       loop.every(milliseconds(1), [&] { ++fired; });
     }
-    for (int turn = 0; turn < kMaxTurns && fired < 4; ++turn) {
+    for (int iteration = 0; iteration < kMaxTurns && fired < 4; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
     }
     CHECK(fired >= 4);
@@ -86,27 +85,28 @@
   TEST_CASE("a connection may outlive the server that accepted it") {
     EventLoop loop;
     const Endpoint address = free_endpoint();
-    int asked = 0;
+    int request_count = 0;
     auto server = HttpServer::open(
-        loop, address,
-        [&](HttpServer::RequestNumber /*number*/, const HttpRequest& /*request*/) { ++asked; });
+        loop, address, [&](HttpServer::RequestNumber /*number*/, const HttpRequest& /*request*/) {
+          ++request_count;
+        });
     REQUIRE(server);
-    const int caller = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    const int client_socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in raw = to_sockaddr(address);
-    REQUIRE(::connect(caller, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) == 0);
+    REQUIRE(::connect(client_socket, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) == 0);
     const std::string request = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
-    REQUIRE(::send(caller, request.data(), request.size(), 0) > 0);
-    for (int turn = 0; turn < kMaxTurns && asked == 0; ++turn) {
+    REQUIRE(::send(client_socket, request.data(), request.size(), 0) > 0);
+    for (int iteration = 0; iteration < kMaxTurns && request_count == 0; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
     }
-    REQUIRE(asked == 1);
+    REQUIRE(request_count == 1);
     server->reset();
-    // The request that waits for its answer goes with its connection.
-    ::close(caller);
-    for (int turn = 0; turn < 5; ++turn) {
+    // The pending request is freed with its connection.
+    ::close(client_socket);
+    for (int iteration = 0; iteration < 5; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
     }
-    CHECK(asked == 1);
+    CHECK(request_count == 1);
   }
 }
 
--- a/tests/unit/test_frame_network.cc
+++ b/tests/unit/test_frame_network.cc
@@ -14,36 +14,36 @@
 
 using std::chrono::milliseconds;
 
-/// Turns of the loop of at most 10 ms each, so that a failure ends.
+/// Limit of loop iterations, each at most 10 ms, so that a failing test ends.
 constexpr int kMaxTurns = 1000;
 
-/// Two networks on one loop: one asks, the other one answers with several frames at once.
+/// A client and a server network on one loop. The server replies to each frame with several frames.
 class RequestReplyPair {
  public:
-  /// What the asking one does with each frame that it gets.
-  using OnReply = std::function<std::optional<Endpoint>(FrameNetwork& asking)>;
+  /// Handles each frame that the client receives.
+  using OnReply = std::function<std::optional<Endpoint>(FrameNetwork& client)>;
 
-  RequestReplyPair(std::size_t answers, OnReply on_answer)
-      : reply_count_(answers),
+  RequestReplyPair(std::size_t reply_count, OnReply on_reply)
+      : reply_count_(reply_count),
         client_(loop_,
-                [this, on_answer = std::move(on_answer)](ByteView /*frame*/) {
+                [this, on_reply = std::move(on_reply)](ByteView /*frame*/) {
                   ++received;
-                  return on_answer(client_);
+                  return on_reply(client_);
                 }),
         server_(loop_, [this](ByteView /*frame*/) {
-          // The connection of the one that asks is known from the next turn on.
+          // The connection of the client is known from the next iteration on.
           loop_.after(milliseconds(1), [this] { send_replies(); });
           return std::optional(kClientAddress);
         }) {
     REQUIRE(server_.listen(server_address).has_value());
   }
 
-  /// Runs the loop until frames came, and some turns more.
+  /// Runs the loop until the client has received `frames`, and some more iterations.
   void run_until_received(int frames) {
-    for (int turn = 0; turn < kMaxTurns && received < frames; ++turn) {
+    for (int iteration = 0; iteration < kMaxTurns && received < frames; ++iteration) {
       h2o_evloop_run(loop_.raw(), 10);
     }
-    for (int turn = 0; turn < 10; ++turn) {
+    for (int iteration = 0; iteration < 10; ++iteration) {
       h2o_evloop_run(loop_.raw(), 1);
     }
   }
@@ -71,63 +71,62 @@
 }  // namespace
 
 TEST_SUITE("frame_network") {
-  TEST_CASE("another attempt begins soon, and earlier ones go on for a while") {
-    // On days when all machines lost power, balancers waited for the kernel's copy of the opening
-    // packet, which goes a second after the first one.
-    const Instant began{std::chrono::seconds(1)};
-    CHECK_FALSE(dialling::needs_another_attempt(began, began + milliseconds(40)));
-    CHECK(dialling::needs_another_attempt(began, began + milliseconds(50)));
-    CHECK_FALSE(dialling::has_timed_out(began, began + milliseconds(500)));
-    CHECK(dialling::has_timed_out(began, began + milliseconds(900)));
+  TEST_CASE("a new connection attempt starts soon, and earlier attempts continue") {
+    // Guards against waiting for a SYN retransmission of the kernel, which is sent after a second.
+    const Instant started_at{std::chrono::seconds(1)};
+    CHECK_FALSE(dialling::needs_another_attempt(started_at, started_at + milliseconds(40)));
+    CHECK(dialling::needs_another_attempt(started_at, started_at + milliseconds(50)));
+    CHECK_FALSE(dialling::has_timed_out(started_at, started_at + milliseconds(500)));
+    CHECK(dialling::has_timed_out(started_at, started_at + milliseconds(900)));
     CHECK(dialling::kNextAttemptDelay * 4 < std::chrono::seconds(1));
   }
 
-  TEST_CASE("one frame reaches a peer that begins to listen a little later") {
-    // After a loss of all a balancer's question waited for the next heartbeat to be dialled again.
+  TEST_CASE("one frame reaches a peer that starts to listen later") {
+    // Guards against frames that wait for the sender's next frame before the peer is dialled again.
     EventLoop loop;
     const Endpoint peer = free_endpoint();
-    int heard = 0;
-    FrameNetwork dialler(loop, [&](ByteView /*frame*/) { return std::optional(peer); });
-    FrameNetwork listener(loop, [&](ByteView /*frame*/) {
-      ++heard;
+    int received_frames = 0;
+    FrameNetwork client_network(loop, [&](ByteView /*frame*/) { return std::optional(peer); });
+    FrameNetwork server_network(loop, [&](ByteView /*frame*/) {
+      ++received_frames;
       return std::optional(Endpoint{kLoopback, 1});
     });
-    dialler.send(peer, {'a', 's', 'k'}, true);
-    for (int turn = 0; turn < kMaxTurns && heard == 0; ++turn) {
-      if (turn == 3) {
-        REQUIRE(listener.listen(peer).has_value());
+    client_network.send(peer, {'a', 's', 'k'}, true);
+    for (int iteration = 0; iteration < kMaxTurns && received_frames == 0; ++iteration) {
+      if (iteration == 3) {
+        REQUIRE(server_network.listen(peer).has_value());
       }
       h2o_evloop_run(loop.raw(), 10);
     }
-    CHECK(heard == 1);
+    CHECK(received_frames == 1);
   }
 
-  TEST_CASE("an accepted connection over which nothing comes is closed") {
-    // Connections may go silent for good: without this, each silence would keep a descriptor.
+  TEST_CASE("an idle accepted connection is closed") {
+    // Guards against file descriptors that leak when peers vanish.
     EventLoop loop;
     const Endpoint address = free_endpoint();
-    bool has_ended = false;
-    FrameNetwork accepting(
+    bool is_closed = false;
+    FrameNetwork network(
         loop,
         [&](ByteView /*frame*/) {
           return std::optional(Endpoint{kLoopback, 1});
         },
         milliseconds(40));
-    REQUIRE(accepting.listen(address).has_value());
-    const int silent = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+    REQUIRE(network.listen(address).has_value());
+    const int idle_socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in raw = to_sockaddr(address);
-    REQUIRE(::connect(silent, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) == 0);
-    for (int turn = 0; turn < kMaxTurns && !has_ended; ++turn) {
+    REQUIRE(::connect(idle_socket, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) == 0);
+    for (int iteration = 0; iteration < kMaxTurns && !is_closed; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
-      char octet = 0;
-      has_ended = ::recv(silent, &octet, 1, MSG_DONTWAIT) == 0;
+      char byte = 0;
+      is_closed = ::recv(idle_socket, &byte, 1, MSG_DONTWAIT) == 0;
     }
-    ::close(silent);
-    CHECK(has_ended);
-    CHECK(accepting.counters().idle_closed == 1);
+    ::close(idle_socket);
+    CHECK(is_closed);
+    CHECK(network.counters().idle_closed == 1);
   }
 
-  TEST_CASE("who sends without a connection is told that the frame was dropped") {
+  TEST_CASE("send reports that a frame was dropped for lack of a connection") {
     EventLoop loop;
     const Endpoint peer = free_endpoint();
     FrameNetwork network(loop, [&](ByteView /*frame*/) { return std::optional(peer); });
@@ -137,91 +136,89 @@
     CHECK(network.counters().dropped_without_connection == 1);
   }
 
-  TEST_CASE("frames reach a peer that begins to listen later, and answers come back") {
+  TEST_CASE("frames reach a peer that starts to listen later, and replies are received") {
     EventLoop loop;
     const Endpoint peer = free_endpoint();
     const Endpoint self{kLoopback, 1};
-    std::string heard;
-    std::string answered;
-    FrameNetwork dialler(loop, [&](ByteView frame) {
-      answered.assign(frame.begin(), frame.end());
+    std::string received_request;
+    std::string received_reply;
+    FrameNetwork client_network(loop, [&](ByteView frame) {
+      received_reply.assign(frame.begin(), frame.end());
       return std::optional(peer);
     });
-    FrameNetwork listener(loop, [&](ByteView frame) {
-      heard.assign(frame.begin(), frame.end());
+    FrameNetwork server_network(loop, [&](ByteView frame) {
+      received_request.assign(frame.begin(), frame.end());
       return std::optional(self);
     });
-    const Bytes question{'a', 's', 'k'};
-    const Bytes answer{'y', 'e', 's'};
-    for (int turn = 0; turn < kMaxTurns && answered.empty(); ++turn) {
-      dialler.send(peer, question, true);
-      if (turn == 3) {
-        REQUIRE(listener.listen(peer).has_value());
+    const Bytes request{'a', 's', 'k'};
+    const Bytes reply{'y', 'e', 's'};
+    for (int iteration = 0; iteration < kMaxTurns && received_reply.empty(); ++iteration) {
+      client_network.send(peer, request, true);
+      if (iteration == 3) {
+        REQUIRE(server_network.listen(peer).has_value());
       }
-      if (!heard.empty()) {
-        listener.send(self, answer, false);
+      if (!received_request.empty()) {
+        server_network.send(self, reply, false);
       }
       h2o_evloop_run(loop.raw(), 10);
     }
-    CHECK(heard == "ask");
-    CHECK(answered == "yes");
+    CHECK(received_request == "ask");
+    CHECK(received_reply == "yes");
   }
 
-  TEST_CASE("a receiver may drop the peer whose frame it reads") {
-    // A late answer of a replica led to a look at all replicas, and to its own being dropped as
-    // silent: the network went on with a connection that was freed.
-    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
-      asking.disconnect(conversation.server_address);
-      return std::optional(conversation.server_address);
+  TEST_CASE("a receiver may disconnect the peer whose frame it handles") {
+    // Guards against use of a freed connection after the receiver closed it.
+    RequestReplyPair pair(3, [&](FrameNetwork& client) {
+      client.disconnect(pair.server_address);
+      return std::optional(pair.server_address);
     });
-    conversation.client().send(conversation.server_address, {'a'}, true);
-    conversation.run_until_received(1);
-    // What came after the first frame went with the connection.
-    CHECK(conversation.received == 1);
-    // Nothing of the old connection is left: the peer is dialled again.
-    CHECK_FALSE(conversation.client().send(conversation.server_address, {'a'}, false));
-    CHECK(conversation.client().send(conversation.server_address, {'a'}, true));
-    conversation.run_until_received(2);
-    CHECK(conversation.received == 2);
+    pair.client().send(pair.server_address, {'a'}, true);
+    pair.run_until_received(1);
+    // Frames after the first one are discarded with the connection.
+    CHECK(pair.received == 1);
+    // The old connection is gone: the peer is dialled again.
+    CHECK_FALSE(pair.client().send(pair.server_address, {'a'}, false));
+    CHECK(pair.client().send(pair.server_address, {'a'}, true));
+    pair.run_until_received(2);
+    CHECK(pair.received == 2);
   }
 
-  TEST_CASE("a receiver may drop its peer and refuse the frame") {
-    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
-      asking.disconnect(conversation.server_address);
+  TEST_CASE("a receiver may disconnect its peer and reject the frame") {
+    RequestReplyPair pair(3, [&](FrameNetwork& client) {
+      client.disconnect(pair.server_address);
       return std::optional<Endpoint>();
     });
-    conversation.client().send(conversation.server_address, {'a'}, true);
-    conversation.run_until_received(1);
-    CHECK(conversation.received == 1);
+    pair.client().send(pair.server_address, {'a'}, true);
+    pair.run_until_received(1);
+    CHECK(pair.received == 1);
   }
 
-  TEST_CASE("a receiver may send a frame that gives up the connection it reads from") {
-    // The frame before was not answered for longer than a peer may stay silent: what is sent to the
-    // peer closes the connection.
-    RequestReplyPair conversation(3, [&](FrameNetwork& asking) {
-      asking.send(conversation.server_address, {'a'}, true);
+  TEST_CASE("a receiver may send a frame that closes its own connection as timed out") {
+    // The first frame is unanswered past the timeout, so the second `send` closes the connection.
+    RequestReplyPair pair(3, [&](FrameNetwork& client) {
+      client.send(pair.server_address, {'a'}, true);
       ::usleep(1600 * 1000);
-      asking.send(conversation.server_address, {'a'}, true);
-      return std::optional(conversation.server_address);
+      client.send(pair.server_address, {'a'}, true);
+      return std::optional(pair.server_address);
     });
-    conversation.client().send(conversation.server_address, {'a'}, true);
-    conversation.run_until_received(1);
-    CHECK(conversation.received >= 1);
-    CHECK(conversation.client().counters().connections_timed_out >= 1);
+    pair.client().send(pair.server_address, {'a'}, true);
+    pair.run_until_received(1);
+    CHECK(pair.received >= 1);
+    CHECK(pair.client().counters().connections_timed_out >= 1);
   }
 
-  TEST_CASE("a peer that names another address is found by both until its connection ends") {
-    // The connection was found by the address that was dialled, after it had been closed.
+  TEST_CASE(
+      "a peer that names another address is found by both addresses until its connection closes") {
+    // Guards against a closed connection that is still found by the dialled address.
     const Endpoint other{kLoopback, 2};
-    RequestReplyPair conversation(1,
-                                  [&](FrameNetwork& /*asking*/) { return std::optional(other); });
-    conversation.client().send(conversation.server_address, {'a'}, true);
-    conversation.run_until_received(1);
-    REQUIRE(conversation.received == 1);
-    CHECK(conversation.client().send(other, {'a'}, false));
-    CHECK(conversation.client().send(conversation.server_address, {'a'}, false));
-    conversation.client().disconnect(other);
-    CHECK_FALSE(conversation.client().send(conversation.server_address, {'a'}, false));
+    RequestReplyPair pair(1, [&](FrameNetwork& /*client*/) { return std::optional(other); });
+    pair.client().send(pair.server_address, {'a'}, true);
+    pair.run_until_received(1);
+    REQUIRE(pair.received == 1);
+    CHECK(pair.client().send(other, {'a'}, false));
+    CHECK(pair.client().send(pair.server_address, {'a'}, false));
+    pair.client().disconnect(other);
+    CHECK_FALSE(pair.client().send(pair.server_address, {'a'}, false));
   }
 }
 
--- a/tests/unit/test_listener.cc
+++ b/tests/unit/test_listener.cc
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-/// Callers that open connections and send nothing.
+/// Clients that open connections and send nothing.
 class IdleClients {
  public:
   explicit IdleClients(Endpoint server) : server_(server) {}
@@ -47,7 +47,7 @@
   std::vector<int> descriptors_;
 };
 
-/// No descriptor may be opened while this lives, beyond those that are open.
+/// Prevents new file descriptors by lowering the open-file limit to those in use.
 class DescriptorExhaustion {
  public:
   DescriptorExhaustion() {
@@ -66,41 +66,41 @@
   rlimit before_{};
 };
 
-/// Runs the loop until something holds, for bounded turns.
+/// Runs the loop until `holds` returns true, for a limited number of iterations.
 template <typename Condition>
 bool run_until(EventLoop& loop, Condition holds) {
-  constexpr int kMaxTurns = 200;
-  for (int turn = 0; turn < kMaxTurns && !holds(); ++turn) {
+  constexpr int kMaxIterations = 200;
+  for (int iteration = 0; iteration < kMaxIterations && !holds(); ++iteration) {
     h2o_evloop_run(loop.raw(), 50);
   }
   return holds();
 }
 
-/// Turns of the loop that end before a time has passed; one that only waits makes few.
+/// Number of loop iterations within `time`; low if the loop only waits.
 int loop_iterations_in(EventLoop& loop, Duration time) {
-  int turns = 0;
-  for (const Instant end = monotonic_now() + time; monotonic_now() < end; ++turns) {
+  int iterations = 0;
+  for (const Instant end = monotonic_now() + time; monotonic_now() < end; ++iterations) {
     h2o_evloop_run(loop.raw(), 50);
   }
-  return turns;
+  return iterations;
 }
 
 }  // namespace
 
 TEST_SUITE("listener") {
-  TEST_CASE("a listener takes as many connections as it may, and goes on when one closes") {
+  TEST_CASE("a listener accepts connections up to its limit, and continues when one closes") {
     EventLoop loop;
     const Endpoint address = free_endpoint();
     std::vector<h2o_socket_t*> accepted;
     auto listener =
         Listener::open(loop, address, 3, [&](h2o_socket_t* socket) { accepted.push_back(socket); });
     REQUIRE(listener);
-    IdleClients callers(address);
-    callers.open(8);
+    IdleClients clients(address);
+    clients.open(8);
     CHECK(run_until(loop, [&] { return (*listener)->pauses() == 1; }));
     CHECK(accepted.size() == 3);
     CHECK((*listener)->connections() == 3);
-    // Paused: the loop only waits, although others stand in the queue.
+    // Paused: the loop only waits, although the backlog has connections.
     CHECK(loop_iterations_in(loop, milliseconds(300)) < 20);
     h2o_socket_close(accepted[0]);
     CHECK(run_until(loop, [&] { return accepted.size() == 4; }));
@@ -110,17 +110,16 @@
     }
   }
 
-  TEST_CASE("without descriptors a listener waits, and serves those in the queue afterwards") {
-    // A control replica under a limit of 64 descriptors and 120 idle connections turned in place:
-    // accepting failed, and the listening socket stayed readable.
+  TEST_CASE("without file descriptors a listener pauses, and accepts the backlog afterwards") {
+    // Guards against a busy loop: accepting fails while the listening socket stays readable.
     EventLoop loop;
     const Endpoint address = free_endpoint();
     std::vector<h2o_socket_t*> accepted;
     auto listener = Listener::open(loop, address, 100,
                                    [&](h2o_socket_t* socket) { accepted.push_back(socket); });
     REQUIRE(listener);
-    IdleClients callers(address);
-    callers.open(5);
+    IdleClients clients(address);
+    clients.open(5);
     {
       const DescriptorExhaustion exhausted;
       CHECK(loop_iterations_in(loop, milliseconds(500)) < 40);
@@ -133,14 +132,14 @@
     }
   }
 
-  TEST_CASE("the shares of listeners leave descriptors for files") {
+  TEST_CASE("the shares of listeners leave file descriptors for other uses") {
     rlimit limit{};
     REQUIRE(::getrlimit(RLIMIT_NOFILE, &limit) == 0);
     CHECK(max_connections_for_share(0.5) <= limit.rlim_cur / 2);
     CHECK(max_connections_for_share(0) == 1);
   }
 
-  TEST_CASE("an address that is taken is named") {
+  TEST_CASE("the error names an address that is in use") {
     EventLoop loop;
     const Endpoint address = free_endpoint();
     const auto ignore = [](h2o_socket_t* socket) { h2o_socket_close(socket); };
--- a/tests/unit/test_log_writer.cc
+++ b/tests/unit/test_log_writer.cc
@@ -14,15 +14,15 @@
   return "dropped " + std::to_string(dropped[0]) + " " + std::to_string(dropped[1]) + "\n";
 }
 
-/// A reader that can be stopped.
+/// A reader with a limited capacity.
 struct Reader {
   std::string text;
   std::size_t capacity = ~std::size_t{0};
   LogWriter writer{[this](std::string_view part) {
-                     const std::size_t taken = std::min(capacity, part.size());
-                     text += part.substr(0, taken);
-                     capacity -= taken;
-                     return taken;
+                     const std::size_t accepted = std::min(capacity, part.size());
+                     text += part.substr(0, accepted);
+                     capacity -= accepted;
+                     return accepted;
                    },
                    format_dropped};
 };
@@ -32,7 +32,8 @@
 }  // namespace
 
 TEST_SUITE("log_writer") {
-  TEST_CASE("a stopped reader costs routine lines first, and the number is told later") {
+  TEST_CASE(
+      "with a stopped reader routine lines are dropped first, and their number is reported later") {
     Reader reader;
     reader.capacity = 10;
     for (int i = 0; i < 1000; ++i) {
@@ -50,11 +51,11 @@
     CHECK(reader.text.find("state 19\n") != std::string::npos);
     CHECK(reader.text.find("dropped " + std::to_string(reader.writer.dropped()[0]) + " 0\n") !=
           std::string::npos);
-    // A line that was half written is whole in the end.
+    // A partially written line is completed.
     CHECK(reader.text.substr(0, kLine.size()) == kLine);
   }
 
-  TEST_CASE("lines of state are dropped only when nothing else is left to drop, and counted") {
+  TEST_CASE("state lines are dropped only if no routine lines are queued, and are counted") {
     Reader reader;
     reader.capacity = 0;
     for (int i = 0; i < 300; ++i) {
@@ -63,7 +64,7 @@
     CHECK(reader.writer.dropped()[1] == 300 - LogWriter::kMaxQueuedBytes / kLine.size());
   }
 
-  TEST_CASE("a pipe that nobody reads does not hold the writer up") {
+  TEST_CASE("a pipe without a reader does not block the writer") {
     int ends[2] = {-1, -1};
     REQUIRE(::pipe2(ends, O_NONBLOCK) == 0);
     LogWriter writer(
@@ -72,7 +73,7 @@
           return written < 0 ? std::size_t{0} : static_cast<std::size_t>(written);
         },
         format_dropped);
-    // Far more than a pipe and the queue hold: a writer that waits would never come back.
+    // More than the pipe and the queue hold: a blocking writer would hang.
     for (int i = 0; i < 5000; ++i) {
       writer.offer(kLine, LogClass::kRoutine);
     }
@@ -81,7 +82,7 @@
     ::close(ends[1]);
   }
 
-  TEST_CASE("the catalogue is in order and docs/LOGS.md tells every event as it is") {
+  TEST_CASE("the catalogue is in order and docs/LOGS.md describes every event") {
     std::ifstream file(std::string(GORSEVALVE_SOURCE_DIR) + "/docs/LOGS.md");
     std::stringstream text;
     text << file.rdbuf();
--- a/tests/unit/test_submission_body.cc
+++ b/tests/unit/test_submission_body.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 
 TEST_SUITE("submission_body") {
-  TEST_CASE("a whole body is read") {
+  TEST_CASE("a complete body is parsed") {
     const auto body = parse_submission_body(
         R"({"id":"a","base_revision":3,"text":"schema = 1","author":"me","file":"f.toml"})");
     REQUIRE(body);
@@ -15,7 +15,7 @@
     CHECK(body->file == "f.toml");
   }
 
-  TEST_CASE("errors name the field, and no type makes it fail otherwise") {
+  TEST_CASE("errors name the field that is missing or has the wrong type") {
     const auto error = [](const std::string& text) {
       const auto body = parse_submission_body(text);
       REQUIRE_FALSE(body);
--- a/tests/unit/test_target_prober.cc
+++ b/tests/unit/test_target_prober.cc
@@ -12,10 +12,10 @@
 namespace gorsevalve {
 namespace {
 
-/// Turns of the loop of at most 10 ms each, so that a failure ends.
+/// Limit of loop iterations, each at most 10 ms, so that a failing test ends.
 constexpr int kMaxTurns = 300;
 
-/// A socket bound to a free port, that may listen.
+/// A socket bound to a free port. It listens if it has a backlog.
 class BoundSocket {
  public:
   explicit BoundSocket(std::optional<int> backlog)
@@ -51,7 +51,7 @@
     const BoundSocket closed(std::nullopt);
     CHECK(prober.send(1, listening.address));
     CHECK(prober.send(2, closed.address));
-    for (int turn = 0; turn < kMaxTurns && answers.size() < 2; ++turn) {
+    for (int iteration = 0; iteration < kMaxTurns && answers.size() < 2; ++iteration) {
       h2o_evloop_run(loop.raw(), 10);
     }
     CHECK(answers == std::map<std::uint64_t, ProbeAnswer>{{1, ProbeAnswer::kAccepted},
@@ -59,15 +59,15 @@
     CHECK(prober.sent() == 2);
   }
 
-  TEST_CASE("probes that nothing answers are bounded in number, and end without an answer") {
+  TEST_CASE("unanswered probes are limited in number, and time out without a result") {
     EventLoop loop;
     int answered = 0;
     TargetProber prober(loop,
                         [&](std::uint64_t /*number*/, ProbeAnswer /*answer*/) { ++answered; });
-    // Nobody accepts, so once its queue is full the listener drops what opens connections.
+    // Nobody accepts: once the backlog is full, the kernel drops SYNs.
     const BoundSocket full(0);
     std::uint64_t number = 0;
-    for (int turn = 0; turn < 20; ++turn) {
+    for (int iteration = 0; iteration < 20; ++iteration) {
       prober.send(++number, full.address);
       h2o_evloop_run(loop.raw(), 10);
     }
@@ -76,7 +76,7 @@
     while (prober.send(++number, full.address)) {
       REQUIRE(number < 2 * TargetProber::kMaxOpen + 20);
     }
-    // Time passes for the prober only: what is too old is closed, and there is room again.
+    // The tick is in the future: expired probes are closed, and new ones can be sent.
     prober.on_tick(monotonic_now() + TargetProber::kTimeout * 2);
     CHECK(prober.send(++number, full.address));
     CHECK(answered == accepted);
