--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -183,8 +183,8 @@
   log_event(LogEvent::kExpelledAndRejoining);
 }
 
-void BalancerTask::on_replica_chosen(const Endpoint& replica, Revision held) {
-  log_replica_chosen(replica, held, control_.fleet().revision);
+void BalancerTask::on_replica_chosen(const Endpoint& replica, Revision replica_revision) {
+  log_replica_chosen(replica, replica_revision, control_.fleet().revision);
 }
 
 void BalancerTask::on_replica_silent(const Endpoint& replica) {
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -158,10 +158,10 @@
     log_event(was_leader_ ? LogEvent::kBecameLeader : LogEvent::kLostLeadership,
               {{"term", replica.term()}});
   }
-  const bool has_leader_contact_now = replica.is_leader() || replica.has_leader_contact(now);
-  if (has_leader_contact_now != had_leader_contact_) {
-    had_leader_contact_ = has_leader_contact_now;
-    log_event(has_leader_contact_now ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
+  const bool has_contact = replica.is_leader() || replica.has_leader_contact(now);
+  if (has_contact != had_leader_contact_) {
+    had_leader_contact_ = has_contact;
+    log_event(has_contact ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
               {{"term", replica.term()}});
   }
   if (replica.replicas() != logged_replicas_) {
--- a/src/tasks/event_loop.cc
+++ b/src/tasks/event_loop.cc
@@ -101,9 +101,9 @@
 }
 
 void EventLoop::post(std::function<void()> action) {
-  auto* letter = new PostedAction;
-  letter->action = std::move(action);
-  h2o_multithread_send_message(&receiver_, &letter->message);
+  auto* posted = new PostedAction;
+  posted->action = std::move(action);
+  h2o_multithread_send_message(&receiver_, &posted->message);
 }
 
 void EventLoop::run_posted_actions(h2o_multithread_receiver_t* /*receiver*/,
@@ -111,8 +111,8 @@
   while (!h2o_linklist_is_empty(messages)) {
     auto* message = H2O_STRUCT_FROM_MEMBER(h2o_multithread_message_t, link, messages->next);
     h2o_linklist_unlink(&message->link);
-    const std::unique_ptr<PostedAction> letter(reinterpret_cast<PostedAction*>(message));
-    letter->action();
+    const std::unique_ptr<PostedAction> posted(reinterpret_cast<PostedAction*>(message));
+    posted->action();
   }
 }
 
--- a/src/tasks/frame_network.cc
+++ b/src/tasks/frame_network.cc
@@ -145,8 +145,8 @@
 }
 
 void FrameNetwork::schedule_redial(const Endpoint& to) {
-  loop_.after(dialling::kNextAttemptDelay, [this, to, lives = std::weak_ptr<bool>(alive_)] {
-    if (!lives.expired()) {
+  loop_.after(dialling::kNextAttemptDelay, [this, to, alive = std::weak_ptr<bool>(alive_)] {
+    if (!alive.expired()) {
       redial(to);
     }
   });
@@ -161,10 +161,10 @@
     redial_queues_.erase(to);
     return;
   }
-  FrameQueue& waiting = latest == nullptr ? redial_queues_[to] : latest->queue;
+  FrameQueue& queued = latest == nullptr ? redial_queues_[to] : latest->queue;
   FrameQueue frames;
-  if (!waiting.frames.empty() && now - waiting.last_queued_at <= dialling::kRetryWindow) {
-    frames = std::exchange(waiting, {});
+  if (!queued.frames.empty() && now - queued.last_queued_at <= dialling::kRetryWindow) {
+    frames = std::exchange(queued, {});
   }
   redial_queues_.erase(to);
   if (frames.frames.empty()) {
@@ -320,8 +320,8 @@
     ++counters_.idle_closed;
     close(*connection);
   }
-  loop_.after(idle_timeout_ / kIdleChecksPerTimeout, [this, lives = std::weak_ptr<bool>(alive_)] {
-    if (!lives.expired()) {
+  loop_.after(idle_timeout_ / kIdleChecksPerTimeout, [this, alive = std::weak_ptr<bool>(alive_)] {
+    if (!alive.expired()) {
       close_idle();
     }
   });
@@ -374,14 +374,14 @@
   // A peer whose messages name another address than the dialled one is stored under both.
   std::erase_if(by_peer_, [&](const auto& entry) { return entry.second == &connection; });
   h2o_socket_close(std::exchange(connection.socket, nullptr));
-  const auto held = std::find_if(connections_.begin(), connections_.end(),
-                                 [&](const auto& one) { return one.get() == &connection; });
-  closed_.splice(closed_.end(), connections_, held);
+  const auto position = std::find_if(connections_.begin(), connections_.end(),
+                                     [&](const auto& one) { return one.get() == &connection; });
+  closed_.splice(closed_.end(), connections_, position);
   if (closed_.size() > 1) {
     return;
   }
-  loop_.after(Duration::zero(), [this, lives = std::weak_ptr<bool>(alive_)] {
-    if (!lives.expired()) {
+  loop_.after(Duration::zero(), [this, alive = std::weak_ptr<bool>(alive_)] {
+    if (!alive.expired()) {
       closed_.clear();
     }
   });
--- a/src/tasks/http_server.cc
+++ b/src/tasks/http_server.cc
@@ -110,13 +110,13 @@
 }
 
 void HttpServer::respond(RequestNumber number, const HttpResponse& response) {
-  auto& waiting = internals_->pending;
-  const auto found = waiting.find(number);
-  if (found == waiting.end()) {
+  auto& pending = internals_->pending;
+  const auto found = pending.find(number);
+  if (found == pending.end()) {
     return;
   }
   h2o_req_t* request = found->second;
-  waiting.erase(found);
+  pending.erase(found);
   static h2o_generator_t generator = {nullptr, nullptr};
   request->res.status = response.status;
   request->res.reason = response.status < 400 ? "OK" : "Error";
--- a/src/tasks/log_writer.cc
+++ b/src/tasks/log_writer.cc
@@ -12,17 +12,17 @@
 
 void LogWriter::drop_routine_lines(std::size_t needed) {
   // A partially written first line must stay.
-  auto at = queue_.begin();
-  if (at != queue_.end() && head_written_ > 0) {
-    ++at;
+  auto queued = queue_.begin();
+  if (queued != queue_.end() && head_written_ > 0) {
+    ++queued;
   }
-  while (at != queue_.end() && queued_bytes_ + needed > kMaxQueuedBytes) {
-    if (at->log_class == LogClass::kRoutine) {
-      queued_bytes_ -= at->line.size();
-      count_dropped(at->log_class);
-      at = queue_.erase(at);
+  while (queued != queue_.end() && queued_bytes_ + needed > kMaxQueuedBytes) {
+    if (queued->log_class == LogClass::kRoutine) {
+      queued_bytes_ -= queued->line.size();
+      count_dropped(queued->log_class);
+      queued = queue_.erase(queued);
     } else {
-      ++at;
+      ++queued;
     }
   }
 }
--- a/src/tasks/pending_proposals.cc
+++ b/src/tasks/pending_proposals.cc
@@ -9,16 +9,16 @@
 namespace gorsevalve {
 namespace {
 
-void log_decision(const PendingProposals::PendingProposal& waiting, const ControlNode& node,
+void log_decision(const PendingProposals::PendingProposal& pending, const ControlNode& node,
                   bool committed, Instant now) {
-  nlohmann::json fields = {{"index", waiting.proposal.index},
-                           {"term", waiting.proposal.term},
+  nlohmann::json fields = {{"index", pending.proposal.index},
+                           {"term", pending.proposal.term},
                            {"outcome", committed ? "acknowledged" : "unknown"},
-                           {"us", (now - waiting.proposed_at).count()}};
-  if (const auto* version = std::get_if<OperatorVersion>(&waiting.subject)) {
+                           {"us", (now - pending.proposed_at).count()}};
+  if (const auto* version = std::get_if<OperatorVersion>(&pending.subject)) {
     fields["version"] = *version;
     log_event(LogEvent::kSteeringDecided, fields);
-  } else if (const auto* evacuation = std::get_if<EvacuationCommand>(&waiting.subject)) {
+  } else if (const auto* evacuation = std::get_if<EvacuationCommand>(&pending.subject)) {
     fields["zone"] = evacuation->zone;
     fields["order"] = to_string(evacuation->action);
     fields["pools_without_targets"] = pools_without_targets(node.state().fleet());
@@ -32,15 +32,15 @@
 
 void PendingProposals::complete(const ControlNode& node, Instant now) {
   std::vector<PendingProposal> still_pending;
-  for (auto& waiting : std::exchange(pending_, {})) {
-    const ProposalStatus status = node.status(waiting.proposal);
-    if (status == ProposalStatus::kPending && now < waiting.deadline) {
-      still_pending.push_back(std::move(waiting));
+  for (auto& pending : std::exchange(pending_, {})) {
+    const ProposalStatus status = node.status(pending.proposal);
+    if (status == ProposalStatus::kPending && now < pending.deadline) {
+      still_pending.push_back(std::move(pending));
       continue;
     }
     const bool committed = status == ProposalStatus::kCommitted;
-    log_decision(waiting, node, committed, now);
-    for (const auto& callback : waiting.callbacks) {
+    log_decision(pending, node, committed, now);
+    for (const auto& callback : pending.callbacks) {
       callback({committed ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
     }
   }
--- a/src/tasks/pending_proposals.h
+++ b/src/tasks/pending_proposals.h
@@ -45,7 +45,7 @@
     Instant deadline;
   };
 
-  void add(PendingProposal waiting) { pending_.push_back(std::move(waiting)); }
+  void add(PendingProposal pending) { pending_.push_back(std::move(pending)); }
   /// Completes all entries that are committed or superseded, and those past their deadline as
   /// unknown.
   void complete(const ControlNode& node, Instant now);
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -274,8 +274,8 @@
   if (buffered_.size() == 0) {
     return;
   }
-  buffered_.release(steering_, now, [&](const BufferedPacket& held) {
-    return decide(held.packet, held.bytes, now);
+  buffered_.release(steering_, now, [&](const BufferedPacket& buffered) {
+    return decide(buffered.packet, buffered.bytes, now);
   });
   socket_->flush();
 }
@@ -345,8 +345,8 @@
   log_updates_overdue(replica, revisions, control_.fleet().revision);
 }
 
-void SteeringTask::on_replica_chosen(const Endpoint& replica, Revision held) {
-  log_replica_chosen(replica, held, control_.fleet().revision);
+void SteeringTask::on_replica_chosen(const Endpoint& replica, Revision replica_revision) {
+  log_replica_chosen(replica, replica_revision, control_.fleet().revision);
 }
 
 void SteeringTask::on_update_refused(const RefusedUpdate& refused) {
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -147,7 +147,7 @@
   void on_removed(Instant /*now*/) override {}
   void on_replica_silent(const Endpoint& replica) override;
   void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
-  void on_replica_chosen(const Endpoint& replica, Revision held) override;
+  void on_replica_chosen(const Endpoint& replica, Revision replica_revision) override;
   void on_update_refused(const RefusedUpdate& refused) override;
   /// Logs targets that started to warm up, and the flows placed at those that are warm now.
   void log_warm_up(Instant now);
--- a/src/tasks/submission_body.cc
+++ b/src/tasks/submission_body.cc
@@ -35,16 +35,16 @@
     }
   }
   if (submission.id.empty() || submission.id.size() > kMaxSubmissionIdLength) {
-    return tl::unexpected("id: needs 1 to " + std::to_string(kMaxSubmissionIdLength) +
+    return tl::unexpected("id: must have 1 to " + std::to_string(kMaxSubmissionIdLength) +
                           " characters");
   }
   const auto base = body.find("base_revision");
   if (base == body.end() || !base->is_number_unsigned()) {
-    return tl::unexpected(std::string("base_revision: must be a revision number"));
+    return tl::unexpected(std::string("base_revision: must be an unsigned integer"));
   }
   submission.base_revision = base->get<Revision>();
   if (!body.contains("text")) {
-    return tl::unexpected(std::string("text: the settings file is missing"));
+    return tl::unexpected(std::string("text: missing; must hold the settings file"));
   }
   return submission;
 }
