--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -11,10 +11,9 @@
 namespace gorsevalve {
 namespace {
 
-/// A pause between two ticks that is worth a line in the log.
+/// Delay between two ticks that is logged as a stall.
 constexpr Duration kStallLogThreshold = std::chrono::milliseconds(120);
-/// Encoded messages that are kept for further peers: an update from nothing, some from the latest
-/// revisions, and figures.
+/// Encoded messages cached for other peers: a snapshot, recent deltas and target health.
 constexpr std::size_t kMaxCachedMessages = 8;
 
 std::string describe(const StorageError& error) { return error.message; }
@@ -38,7 +37,7 @@
   }
   if (existing->has_value()) {
     return tl::unexpected(
-        StorageError{StorageErrorKind::kOperation, "the data folder holds a replica already"});
+        StorageError{StorageErrorKind::kOperation, "the data directory already holds a replica"});
   }
   ReplicaIdentity identity;
   identity.cluster = config.cluster;
@@ -64,17 +63,17 @@
     return tl::unexpected(describe(identity.error()));
   }
   if (!identity->has_value()) {
-    ReplicaIdentity fresh;
-    fresh.id = task->config_.incarnation;
-    fresh.cluster = task->config_.cluster;
-    const auto written = task->store_.write_identity(fresh);
+    ReplicaIdentity new_identity;
+    new_identity.id = task->config_.incarnation;
+    new_identity.cluster = task->config_.cluster;
+    const auto written = task->store_.write_identity(new_identity);
     if (!written) {
       return tl::unexpected(describe(written.error()));
     }
-    *identity = fresh;
+    *identity = new_identity;
   }
   if ((*identity)->cluster != task->config_.cluster) {
-    return tl::unexpected("the data folder belongs to cluster \"" + (*identity)->cluster + "\"");
+    return tl::unexpected("the data directory belongs to cluster \"" + (*identity)->cluster + "\"");
   }
   auto stored = task->store_.open();
   if (!stored) {
@@ -119,7 +118,8 @@
   if (const auto* replica = std::get_if<ReplicaMessage>(&opened->message)) {
     node_->on_replica_message(*replica, now);
   } else if (const auto* message = std::get_if<NodeMessage>(&opened->message)) {
-    // The sender's connection must be known before the answer is sent, so the answer waits a turn.
+    // The network records the sender's connection after this call, so the message is handled in the
+    // next iteration of the loop.
     loop_.post([this, sender = opened->sender, copy = *message] {
       node_->on_node_message(sender, copy, monotonic_now());
     });
@@ -133,7 +133,6 @@
 void ControlTask::on_tick() {
   const Instant now = monotonic_now();
   if (last_tick_ != Instant{} && now - last_tick_ > kStallLogThreshold) {
-    // A slow disk, a frozen machine, or too much work in one turn.
     log_event(
         LogEvent::kLoopStalled,
         {{"ms", std::chrono::duration_cast<std::chrono::milliseconds>(now - last_tick_).count()}});
@@ -159,10 +158,10 @@
     log_event(was_leader_ ? LogEvent::kBecameLeader : LogEvent::kLostLeadership,
               {{"term", replica.term()}});
   }
-  const bool hears_leader = replica.is_leader() || replica.has_leader_contact(now);
-  if (hears_leader != had_leader_contact_) {
-    had_leader_contact_ = hears_leader;
-    log_event(hears_leader ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
+  const bool has_contact = replica.is_leader() || replica.has_leader_contact(now);
+  if (has_contact != had_leader_contact_) {
+    had_leader_contact_ = has_contact;
+    log_event(has_contact ? LogEvent::kLeaderHeard : LogEvent::kLeaderSilent,
               {{"term", replica.term()}});
   }
   if (replica.replicas() != logged_replicas_) {
@@ -178,14 +177,14 @@
 }
 
 void ControlTask::log_unhealthy_targets() {
-  const std::vector<FlowToken> troubled = node_->target_health().unhealthy();
-  if (troubled == logged_unhealthy_ || !node_->replica().is_leader()) {
+  const std::vector<FlowToken> unhealthy_targets = node_->target_health().unhealthy();
+  if (unhealthy_targets == logged_unhealthy_ || !node_->replica().is_leader()) {
     return;
   }
-  logged_unhealthy_ = troubled;
+  logged_unhealthy_ = unhealthy_targets;
   nlohmann::json targets = nlohmann::json::array();
   for (const auto& [id, target] : node_->state().fleet().steering.targets) {
-    if (std::binary_search(troubled.begin(), troubled.end(), target.token)) {
+    if (std::binary_search(unhealthy_targets.begin(), unhealthy_targets.end(), target.token)) {
       targets.push_back(target.id);
     }
   }
@@ -207,20 +206,20 @@
 }
 
 void ControlTask::complete_submissions(Instant now) {
-  std::vector<PendingSubmission> still_waiting;
-  for (auto& waiting : std::exchange(pending_submissions_, {})) {
-    const SubmissionResult result = node_->outcome(waiting.id, now);
+  std::vector<PendingSubmission> still_pending;
+  for (auto& submission : std::exchange(pending_submissions_, {})) {
+    const SubmissionResult result = node_->outcome(submission.id, now);
     const bool decided = result.status == ControlStatus::kOk;
-    if (decided || now >= waiting.deadline) {
-      waiting.callback(result);
+    if (decided || now >= submission.deadline) {
+      submission.callback(result);
     } else {
-      still_waiting.push_back(std::move(waiting));
+      still_pending.push_back(std::move(submission));
     }
   }
-  // A callback may have submitted more.
+  // Callbacks may have added submissions.
   std::move(pending_submissions_.begin(), pending_submissions_.end(),
-            std::back_inserter(still_waiting));
-  pending_submissions_ = std::move(still_waiting);
+            std::back_inserter(still_pending));
+  pending_submissions_ = std::move(still_pending);
 }
 
 SubmissionResult ControlTask::outcome(const SubmissionId& id) const {
@@ -238,9 +237,10 @@
     return;
   }
   const OperatorVersion version = command.settings.version;
-  const OperatorVersion held = node_->state().fleet().steering.settings.version;
-  log_event(LogEvent::kSteeringSubmitted, {{"version", version}, {"held_version", held}});
-  if (version <= held) {
+  const OperatorVersion committed_version = node_->state().fleet().steering.settings.version;
+  log_event(LogEvent::kSteeringSubmitted,
+            {{"version", version}, {"held_version", committed_version}});
+  if (version <= committed_version) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
     return;
   }
@@ -261,10 +261,11 @@
     callback({SteeringStatus::kUnknownZone, std::nullopt, known});
     return;
   }
-  const bool is_held = node_->is_committed(command, now);
-  log_event(LogEvent::kEvacuationOrdered,
-            {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", is_held}});
-  if (is_held) {
+  const bool already_committed = node_->is_committed(command, now);
+  log_event(
+      LogEvent::kEvacuationOrdered,
+      {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", already_committed}});
+  if (already_committed) {
     callback({SteeringStatus::kAcknowledged, std::nullopt});
     return;
   }
@@ -321,17 +322,17 @@
   return network_.send(to, envelope_.seal(encode_cached(message)), is_replica(to));
 }
 
-void ControlTask::on_update_retransmitted(const UpdateRetransmission& repeated) {
+void ControlTask::on_update_retransmitted(const UpdateRetransmission& retransmission) {
   ++updates_retransmitted_;
-  log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(repeated.balancer)},
-                                        {"confirmed", repeated.confirmed},
-                                        {"sent", repeated.sent},
-                                        {"has_gap", repeated.has_gap}});
+  log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(retransmission.balancer)},
+                                        {"confirmed", retransmission.confirmed},
+                                        {"sent", retransmission.sent},
+                                        {"has_gap", retransmission.has_gap}});
 }
 
 const EncodedMessage& ControlTask::encode_cached(const SharedNodeMessage& message) {
   const auto found = std::find_if(encoded_messages_.begin(), encoded_messages_.end(),
-                                  [&](const auto& one) { return one.first == message; });
+                                  [&](const auto& entry) { return entry.first == message; });
   if (found != encoded_messages_.end()) {
     return found->second;
   }
--- a/src/tasks/log_writer.cc
+++ b/src/tasks/log_writer.cc
@@ -11,18 +11,18 @@
 }
 
 void LogWriter::drop_routine_lines(std::size_t needed) {
-  // The first line may be half written: it stays.
-  auto at = queue_.begin();
-  if (at != queue_.end() && head_written_ > 0) {
-    ++at;
+  // A partially written first line must stay.
+  auto queued = queue_.begin();
+  if (queued != queue_.end() && head_written_ > 0) {
+    ++queued;
   }
-  while (at != queue_.end() && queued_bytes_ + needed > kMaxQueuedBytes) {
-    if (at->log_class == LogClass::kRoutine) {
-      queued_bytes_ -= at->line.size();
-      count_dropped(at->log_class);
-      at = queue_.erase(at);
+  while (queued != queue_.end() && queued_bytes_ + needed > kMaxQueuedBytes) {
+    if (queued->log_class == LogClass::kRoutine) {
+      queued_bytes_ -= queued->line.size();
+      count_dropped(queued->log_class);
+      queued = queue_.erase(queued);
     } else {
-      ++at;
+      ++queued;
     }
   }
 }
@@ -43,10 +43,10 @@
 
 void LogWriter::write_queued() {
   while (!queue_.empty()) {
-    const std::string_view rest = std::string_view(queue_.front().line).substr(head_written_);
-    const std::size_t taken = std::min(sink_(rest), rest.size());
-    head_written_ += taken;
-    if (taken < rest.size()) {
+    const std::string_view unwritten = std::string_view(queue_.front().line).substr(head_written_);
+    const std::size_t accepted = std::min(sink_(unwritten), unwritten.size());
+    head_written_ += accepted;
+    if (accepted < unwritten.size()) {
       return;
     }
     queued_bytes_ -= queue_.front().line.size();
