--- a/src/bench/bench_fleet.cc
+++ b/src/bench/bench_fleet.cc
@@ -95,16 +95,17 @@
 
 void BenchBalancer::exchange(std::uint32_t flow) {
   const auto send = [&](const ProxyHeader& header, const Bytes& message) {
-    const std::size_t head = encode_proxy_header(header, buffer_.data());
-    std::copy(message.begin(), message.end(), buffer_.begin() + static_cast<std::ptrdiff_t>(head));
-    balancer_.on_datagram(ByteView(buffer_.data(), head + message.size()), now_);
+    const std::size_t header_size = encode_proxy_header(header, buffer_.data());
+    std::copy(message.begin(), message.end(),
+              buffer_.begin() + static_cast<std::ptrdiff_t>(header_size));
+    balancer_.on_datagram(ByteView(buffer_.data(), header_size + message.size()), now_);
   };
   ProxyHeader request;
   request.flow = make_flow_key(flow);
   send(request, request_);
-  ProxyHeader answer = last_header_;
-  answer.target = last_target_;
-  send(answer, response_);
+  ProxyHeader response = last_header_;
+  response.target = last_target_;
+  send(response, response_);
 }
 
 struct BenchPair::Node : BalancerOutput {
@@ -142,13 +143,13 @@
     node->balancer.on_fleet(fleet_, now_);
   }
   const Bytes request = encode_coap(make_message(coap_code::kGet, CoapType::kConfirmable));
-  const Bytes answer = encode_coap(make_message(coap_code::kContent, CoapType::kAcknowledgement));
+  const Bytes response = encode_coap(make_message(coap_code::kContent, CoapType::kAcknowledgement));
   for (std::uint32_t i = 0; i < flows; ++i) {
     first_->balancer.on_datagram(encode_proxy_datagram({make_flow_key(i), {}, {}, {}}, request),
                                  now_);
     ProxyHeader header = first_->last_header;
     header.target = first_->last_target;
-    first_->balancer.on_datagram(encode_proxy_datagram(header, answer), now_);
+    first_->balancer.on_datagram(encode_proxy_datagram(header, response), now_);
   }
 }
 
--- a/src/bench/bench_fleet.h
+++ b/src/bench/bench_fleet.h
@@ -1,4 +1,4 @@
-/// Balancer cores in memory, for benchmarks.
+/// In-memory balancer cores for benchmarks.
 #pragma once
 
 #include <array>
@@ -10,19 +10,19 @@
 
 namespace gorsevalve {
 
-/// A fleet state with this many members and targets.
+/// Returns a fleet state with the given numbers of members, targets, services and partitions.
 FleetState make_bench_fleet(std::uint32_t members, std::uint32_t targets,
                             std::uint32_t services = 1,
                             std::uint32_t partitions = kDefaultPartitions);
 
-/// A balancer that owns everything, and callers whose requests are answered at once.
+/// A balancer that owns all partitions, with clients whose requests are answered immediately.
 class BenchBalancer : private BalancerOutput {
  public:
   explicit BenchBalancer(const FleetState& fleet);
 
   /// Opens flows with numbers below `events_run` that are not open yet, with one request each.
   void open_flows(std::uint32_t count);
-  /// One request and its answer on a flow.
+  /// Sends one request and its response on a flow.
   void exchange(std::uint32_t flow);
 
  private:
@@ -43,7 +43,8 @@
   ProxyHeader last_header_;
 };
 
-/// Two balancers that exchange their messages in memory: the first has flows, and leaves.
+/// Two balancers that exchange messages in memory. The first one hands its flows over to the
+/// second.
 class BenchPair {
  public:
   explicit BenchPair(std::uint32_t flows);
@@ -51,7 +52,7 @@
   BenchPair(const BenchPair&) = delete;
   BenchPair& operator=(const BenchPair&) = delete;
 
-  /// Takes the first balancer out of the members and delivers messages until all is moved.
+  /// Marks the first balancer as leaving and delivers messages until the handover is complete.
   void hand_over();
   [[nodiscard]] std::size_t flows_at_second() const;
   [[nodiscard]] std::size_t messages() const { return messages_; }
--- a/src/bench/bench_main.cc
+++ b/src/bench/bench_main.cc
@@ -1,5 +1,5 @@
-/// gorsevalve-bench: costs of the packet path, of state and of handovers, through Google Benchmark.
-/// Counters carry what a time alone does not tell. See docs/MEASUREMENTS.md.
+/// gorsevalve-bench: Google Benchmark suite for the packet path, state and handovers. Counters
+/// report memory, messages and bytes. See docs/MEASUREMENTS.md.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -17,7 +17,7 @@
 namespace gorsevalve {
 namespace {
 
-/// One request and its answer on an established flow, by flows held and targets.
+/// One request and its response on an established flow. Arguments: open flows, targets.
 void decision(benchmark::State& state) {
   const auto flows = static_cast<std::uint32_t>(state.range(0));
   const auto targets = static_cast<std::uint32_t>(state.range(1));
@@ -32,24 +32,25 @@
 }
 BENCHMARK(decision)->Args({1000, 15})->Args({100000, 15})->Args({500000, 15})->Args({100000, 4200});
 
-/// Memory that a flow takes at its owner, as the allocator counts it.
+/// Memory per flow at its owner, from the statistics of the allocator.
 void flow_memory(benchmark::State& state) {
   const auto flows = static_cast<std::uint32_t>(state.range(0));
-  double octets = 0;
+  double bytes_per_flow = 0;
   for (auto _ : state) {
     BenchBalancer bench(make_bench_fleet(1, 15));
     bench.open_flows(1000);
     const auto before = mallinfo2();
     bench.open_flows(flows);
     const auto after = mallinfo2();
-    octets = static_cast<double>(after.uordblks + after.hblkhd - before.uordblks - before.hblkhd) /
-             (flows - 1000);
+    bytes_per_flow =
+        static_cast<double>(after.uordblks + after.hblkhd - before.uordblks - before.hblkhd) /
+        (flows - 1000);
   }
-  state.counters["octets_per_flow"] = octets;
+  state.counters["octets_per_flow"] = bytes_per_flow;
 }
 BENCHMARK(flow_memory)->Arg(100000)->Arg(500000)->Iterations(1);
 
-/// Moves all flows of one balancer to another one, message by message.
+/// Hands all flows of one balancer over to another.
 void handover(benchmark::State& state) {
   const auto flows = static_cast<std::uint32_t>(state.range(0));
   for (auto _ : state) {
@@ -68,7 +69,7 @@
 }
 BENCHMARK(handover)->Arg(10000)->Arg(100000)->Unit(benchmark::kMillisecond)->Iterations(3);
 
-/// Tables of one revision, by members and targets.
+/// Builds the tables of a revision. Arguments: members, targets, services, partitions.
 void fleet_view(benchmark::State& state) {
   const auto members = static_cast<std::uint32_t>(state.range(0));
   const auto targets = static_cast<std::uint32_t>(state.range(1));
@@ -86,7 +87,7 @@
     ->Args({750, 4200, 2200, 4096})
     ->Unit(benchmark::kMillisecond);
 
-/// The same after one member joined, with the tables that did not change taken over.
+/// Builds the tables after one member joined, reusing unchanged tables.
 void fleet_view_next(benchmark::State& state) {
   const FleetState before = make_bench_fleet(749, 4200, 2200, 4096);
   FleetState after = make_bench_fleet(750, 4200, 2200, 4096);
@@ -99,7 +100,7 @@
 }
 BENCHMARK(fleet_view_next)->Unit(benchmark::kMillisecond);
 
-/// The same after one service changed.
+/// Builds the tables after one service changed.
 void fleet_view_settings(benchmark::State& state) {
   const FleetState before = make_bench_fleet(750, 4200, 2200, 4096);
   FleetState after = before;
@@ -112,14 +113,14 @@
 }
 BENCHMARK(fleet_view_settings)->Unit(benchmark::kMillisecond);
 
-/// Appends to the control log, each synced to the disk.
+/// Appends to the control log with a sync to disk after each entry.
 void log_append(benchmark::State& state) {
-  const std::string folder =
+  const std::string directory =
       (std::filesystem::temp_directory_path() / "gorsevalve-bench-log").string();
-  std::filesystem::remove_all(folder);
-  auto disk = PosixDisk::open(folder);
+  std::filesystem::remove_all(directory);
+  auto disk = PosixDisk::open(directory);
   if (!disk) {
-    state.SkipWithError("no folder");
+    state.SkipWithError("cannot open the directory for the log");
     return;
   }
   LogStore store(**disk);
@@ -131,11 +132,11 @@
     benchmark::DoNotOptimize(store.append(frame).has_value());
   }
   disk->reset();
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
 }
 BENCHMARK(log_append)->Unit(benchmark::kMillisecond);
 
-/// A message between balancers: sealed by one, opened by the other.
+/// Seals a message between balancers and opens it at the receiver.
 void envelope(benchmark::State& state) {
   const ClusterKeys keys{{"bench-key-0123456789"}};
   Envelope sender("bench", keys, {1, 1}, 1);
@@ -150,7 +151,7 @@
 }
 BENCHMARK(envelope);
 
-/// Applies a log of settings changes, as a replica does after its restart.
+/// Replays a log of settings changes, as a replica does after a restart.
 void replay(benchmark::State& state) {
   const auto entries = static_cast<LogIndex>(state.range(0));
   const auto targets = static_cast<std::uint32_t>(state.range(1));
--- a/src/bench/bench_steering.cc
+++ b/src/bench/bench_steering.cc
@@ -1,5 +1,5 @@
-/// Costs of steering by tokens, as a balancer in calm has them: a request and the acknowledgement
-/// of its answer on an open flow, and the opening of a flow, by number of targets in three zones.
+/// Cost of steering by tokens without failures: a request and the acknowledgement of its response
+/// on an open flow, and opening a flow. Argument: number of targets, in three zones.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -15,7 +15,7 @@
 constexpr Instant kStart{seconds(1000)};
 constexpr Endpoint kFrontend{0xC6120001, 443};
 constexpr std::uint32_t kFlows = 500;
-/// Time between two requests at one balancer, and from a request to the end of its answer.
+/// Time between two requests at one balancer, and from a request to the end of its response.
 constexpr Duration kRequestInterval = milliseconds(1);
 constexpr Duration kResponseTime = std::chrono::microseconds(500);
 constexpr std::uint32_t kRequestsPerTick = 250;
@@ -38,7 +38,7 @@
   return state;
 }
 
-/// A balancer with open flows, and time that passes with each request.
+/// A balancer with open flows and a virtual clock that advances with each request.
 class SteeringBench {
  public:
   explicit SteeringBench(std::uint32_t targets) : targets_(targets) {
--- a/src/bench/relay_bench_main.cc
+++ b/src/bench/relay_bench_main.cc
@@ -1,5 +1,5 @@
-/// gorsevalve-relay-bench: datagrams a second through a balancer that relays, against a plain loop
-/// of recvmmsg and sendmmsg, both in the same run and taking turns. Prints the ratio.
+/// gorsevalve-relay-bench: compares the datagram rate of a relaying balancer with that of a plain
+/// recvmmsg/sendmmsg loop, in alternating rounds. Prints the ratio.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -21,8 +21,8 @@
 #include "tasks/balancer_task.h"
 #include "tasks/socket_address.h"
 
-ABSL_FLAG(std::int32_t, rounds, 7, "rounds of both");
-ABSL_FLAG(std::int32_t, round_ms, 500, "length of a round");
+ABSL_FLAG(std::int32_t, rounds, 7, "number of rounds of each");
+ABSL_FLAG(std::int32_t, round_ms, 500, "length of a round, in milliseconds");
 
 namespace gorsevalve {
 namespace {
@@ -32,7 +32,7 @@
 constexpr Endpoint kSink{0x7F3C0003, 6000};
 constexpr std::size_t kBatch = 32;
 constexpr std::size_t kDatagramSize = 128;
-/// Datagrams that may be on the way.
+/// Maximum number of datagrams in flight.
 constexpr std::uint64_t kWindow = 256;
 
 int open_socket(const Endpoint& address) {
@@ -43,7 +43,7 @@
   ::setsockopt(descriptor, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof(timeout));
   const sockaddr_in raw = to_sockaddr(address);
   if (::bind(descriptor, reinterpret_cast<const sockaddr*>(&raw), sizeof(raw)) != 0) {
-    std::exit(fail("bind " + to_string(address), kExitFailure));
+    std::exit(fail("cannot bind " + to_string(address), kExitFailure));
   }
   return descriptor;
 }
@@ -55,13 +55,13 @@
   std::array<mmsghdr, kBatch> headers{};
   sockaddr_in to{};
 
-  void prepare(std::size_t size, bool addressed) {
+  void prepare(std::size_t size, bool has_destination) {
     for (std::size_t i = 0; i < kBatch; ++i) {
       parts[i] = {data[i].data(), size};
       headers[i] = {};
       headers[i].msg_hdr.msg_iov = &parts[i];
       headers[i].msg_hdr.msg_iovlen = 1;
-      if (addressed) {
+      if (has_destination) {
         headers[i].msg_hdr.msg_name = &to;
         headers[i].msg_hdr.msg_namelen = sizeof(to);
       }
@@ -69,7 +69,7 @@
   }
 };
 
-/// The plain loop: what arrives goes to the sink as it is.
+/// Forwards datagrams unchanged to the sink.
 void run_plain_forwarder(std::atomic<bool>& running) {
   const int descriptor = open_socket(kPlainForwarder);
   Batch batch;
@@ -93,7 +93,7 @@
   ::close(descriptor);
 }
 
-/// A fleet in which the relay owns nothing: all goes to the sink.
+/// A fleet in which the relay owns no partition, so it relays all datagrams to the sink.
 FleetState relay_fleet() {
   FleetState fleet = make_bench_fleet(2, 15);
   fleet.members[0].address = kRelay;
@@ -103,7 +103,7 @@
   return fleet;
 }
 
-/// Sends with a bounded number on the way, and counts what arrives at the sink.
+/// Sends with a bounded number of datagrams in flight and counts arrivals at the sink.
 class Generator {
  public:
   Generator() : sink_(open_socket(kSink)), source_(open_socket({0x7F3C0004, 6000})) {}
@@ -125,7 +125,7 @@
       in.prepare(2048, false);
       const int count = ::recvmmsg(sink_, in.headers.data(), kBatch, MSG_WAITFORONE, nullptr);
       if (count <= 0) {
-        sent = arrived;  // what is missing was lost
+        sent = arrived;  // the missing datagrams are lost
       } else {
         arrived += static_cast<std::uint64_t>(count);
       }
@@ -158,11 +158,11 @@
 };
 
 int run() {
-  const std::filesystem::path folder =
+  const std::filesystem::path directory =
       std::filesystem::temp_directory_path() / ("gorsevalve-bench-" + std::to_string(getpid()));
-  auto disk = PosixDisk::open(folder.string());
+  auto disk = PosixDisk::open(directory.string());
   if (!disk || !(*disk)->replace("fleet", encode_frame(encode_archive(relay_fleet())))) {
-    return fail("no folder for the fleet state", kExitFailure);
+    return fail("cannot store the fleet state in the temporary directory", kExitFailure);
   }
   EventLoop loop;
   BalancerTaskConfig config;
@@ -175,7 +175,7 @@
     return fail(task.error(), kExitFailure);
   }
   std::atomic<bool> running{true};
-  std::thread echo([&] { run_plain_forwarder(running); });
+  std::thread plain_forwarder([&] { run_plain_forwarder(running); });
   std::thread relay([&] { loop.run(); });
   Generator generator;
   std::vector<double> ratios;
@@ -187,13 +187,13 @@
                 relayed / plain);
   }
   std::sort(ratios.begin(), ratios.end());
-  std::printf("ratio: median %.2f, least %.2f, greatest %.2f\n", ratios[ratios.size() / 2],
+  std::printf("ratio: median %.2f, minimum %.2f, maximum %.2f\n", ratios[ratios.size() / 2],
               ratios.front(), ratios.back());
   running = false;
-  echo.join();
+  plain_forwarder.join();
   loop.stop();
   relay.join();
-  std::filesystem::remove_all(folder);
+  std::filesystem::remove_all(directory);
   return kExitOk;
 }
 
@@ -201,7 +201,8 @@
 }  // namespace gorsevalve
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("gorsevalve-relay-bench: a relaying balancer against a plain loop.");
+  absl::SetProgramUsageMessage(
+      "gorsevalve-relay-bench: compares a relaying balancer with a plain loop.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/programs/api_client.cc
+++ b/src/programs/api_client.cc
@@ -10,7 +10,7 @@
 
 ABSL_FLAG(std::vector<std::string>, server, {}, "administration addresses, IP:port,...");
 ABSL_FLAG(std::string, token_file, "", "file whose first line is the API token");
-ABSL_FLAG(std::int32_t, timeout_s, 30, "how long to try and to wait, in seconds");
+ABSL_FLAG(std::int32_t, timeout_s, 30, "time limit for requests and for --wait, in seconds");
 
 namespace gorsevalve {
 namespace {
@@ -33,7 +33,7 @@
 ApiClient::ApiClient() : client_(loop_, std::chrono::seconds(6)) {
   servers_ = require_endpoints("server", absl::GetFlag(FLAGS_server));
   if (servers_.empty()) {
-    std::exit(fail("--server is needed", kExitUsage));
+    std::exit(fail("--server is required", kExitUsage));
   }
   std::ifstream file(require_value("token_file", absl::GetFlag(FLAGS_token_file)));
   std::string line;
@@ -41,7 +41,7 @@
   const std::size_t space = line.find(' ');
   token_ = space == std::string::npos ? line : line.substr(space + 1);
   if (token_.empty()) {
-    std::exit(fail("--token_file: no token in its first line", kExitUsage));
+    std::exit(fail("--token_file: the first line contains no token", kExitUsage));
   }
 }
 
@@ -52,9 +52,9 @@
   do {
     for (const auto& server : servers_) {
       auto response = send(server, method, path, body);
-      const bool leads = response && response->status != kStatusNotLeader &&
-                         response->status != kStatusPending && is_from_leader(path, *response);
-      if (leads) {
+      const bool is_final = response && response->status != kStatusNotLeader &&
+                            response->status != kStatusPending && is_from_leader(path, *response);
+      if (is_final) {
         return response;
       }
     }
--- a/src/programs/api_client.h
+++ b/src/programs/api_client.h
@@ -1,5 +1,5 @@
-/// The operator's side of the administration API: finds the replica that leads. Takes servers,
-/// token and patience from the flags --server, --token_file and --timeout_s.
+/// Client of the administration API for operators; finds the leader. Reads the flags --server,
+/// --token_file and --timeout_s.
 #pragma once
 
 #include <optional>
@@ -14,14 +14,14 @@
 
 class ApiClient {
  public:
-  /// Ends the program with kExitUsage when a flag is missing or malformed.
+  /// Exits with kExitUsage if a flag is missing or malformed.
   ApiClient();
 
-  /// The leader's response; nothing when none answered in time.
+  /// Returns the leader's response, or nothing if no leader responded within --timeout_s.
   std::optional<HttpClientResponse> request(const std::string& method, const std::string& path,
                                             const std::string& body = {});
 
-  /// Waits before the same is asked again.
+  /// Runs the loop for the retry interval.
   void wait_before_retry();
 
  private:
--- a/src/programs/balancer_main.cc
+++ b/src/programs/balancer_main.cc
@@ -1,5 +1,5 @@
-/// gorsevalve-balancer: takes datagrams from the fabric, decides, forwards to targets, returns
-/// answers.
+/// gorsevalve-balancer: receives datagrams from the fabric, forwards them to targets and returns
+/// responses to clients.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -17,24 +17,24 @@
 #include "tasks/target_poller.h"
 
 ABSL_FLAG(std::string, name, "", "name of this balancer in logs and status");
-ABSL_FLAG(std::string, zone, "", "zone that this balancer is in");
+ABSL_FLAG(std::string, zone, "", "zone of this balancer");
 ABSL_FLAG(std::string, address, "", "UDP address for datagrams, IP:port");
-ABSL_FLAG(std::string, egress, "", "where datagrams for callers go, IP:port");
+ABSL_FLAG(std::string, egress, "", "address for datagrams to clients, IP:port");
 ABSL_FLAG(std::string, listen, "",
-          "address to bind when others reach --address through a forwarder, IP:port");
+          "address to bind if --address belongs to a port forwarder, IP:port");
 ABSL_FLAG(std::string, admin, "", "HTTP address for health and metrics, IP:port");
 ABSL_FLAG(std::vector<std::string>, control, {}, "addresses of the control replicas, IP:port,...");
 ABSL_FLAG(std::string, cluster, "gorsevalve", "name of the cluster");
 ABSL_FLAG(std::string, key_file, "", "file with the cluster's keys, mode 0600");
 ABSL_FLAG(std::string, data_folder, "",
-          "folder that keeps the last fleet state over a restart; may be empty");
+          "directory that stores the last fleet state for a restart; may be empty");
 ABSL_FLAG(std::string, log_level, "info", "debug, info, warning or error");
-ABSL_FLAG(std::string, log_file, "", "file for the log instead of the standard error stream");
+ABSL_FLAG(std::string, log_file, "", "log file; standard error if empty");
 
 namespace gorsevalve {
 namespace {
 
-/// The administration task: health, metrics and target polls, on a thread and loop of its own.
+/// Serves health and metrics and polls targets, on its own thread and event loop.
 class AdminTask {
  public:
   AdminTask(EventLoop& main_loop, BalancerTask& balancer)
@@ -138,7 +138,7 @@
   config.egress = require_endpoint("egress", absl::GetFlag(FLAGS_egress));
   config.control = require_endpoints("control", absl::GetFlag(FLAGS_control));
   if (config.control.empty()) {
-    std::exit(fail("--control is needed", kExitUsage));
+    std::exit(fail("--control is required", kExitUsage));
   }
   if (const std::string listen = absl::GetFlag(FLAGS_listen); !listen.empty()) {
     config.listen = require_endpoint("listen", listen);
@@ -189,8 +189,8 @@
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "gorsevalve-balancer: takes datagrams from the fabric and forwards them to targets.\n"
-      "Flags may stand in a file: --flagfile=FILE. See docs/programs.md.");
+      "gorsevalve-balancer: forwards datagrams from the fabric to targets.\n"
+      "Flags can be read from a file: --flagfile=FILE. See docs/programs.md.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -38,7 +38,7 @@
   return list;
 }
 
-/// A message may quote octets of a caller that are no text.
+/// Serializes a body. Replaces invalid UTF-8, which a message may quote from a request.
 std::string to_text(const json& body) {
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
@@ -53,7 +53,7 @@
   return body.dump();
 }
 
-/// HTTP status and body for the result of an order.
+/// HTTP response for the result of an evacuation command.
 HttpResponse to_response(const EvacuationCommand& command, const SteeringReply& reply) {
   switch (reply.status) {
     case SteeringStatus::kAcknowledged:
@@ -62,7 +62,7 @@
     case SteeringStatus::kNotLeader:
       return {421, "application/json", not_leader_body(reply.leader)};
     case SteeringStatus::kUnknown:
-      return {202, "application/json", error_body("not decided yet; ask again")};
+      return {202, "application/json", error_body("the command is not committed yet; retry")};
     case SteeringStatus::kUnknownZone:
       return {404, "application/json",
               to_text({{"error", unknown_zone_error(command.zone, reply.known_zones)},
@@ -71,7 +71,7 @@
   return {500, "application/json", error_body("internal error")};
 }
 
-/// HTTP status and body for the result of a submission.
+/// HTTP response for the result of a submission.
 HttpResponse to_response(const SubmissionResult& result) {
   switch (result.status) {
     case ControlStatus::kOk:
@@ -80,7 +80,8 @@
     case ControlStatus::kNotLeader:
       return {421, "application/json", not_leader_body(result.leader)};
     case ControlStatus::kPending:
-      return {202, "application/json", error_body("not decided yet; ask again with the same id")};
+      return {202, "application/json",
+              error_body("the submission is not committed yet; retry with the same id")};
   }
   return {500, "application/json", error_body("internal error")};
 }
@@ -95,9 +96,9 @@
 
 json status_json(const ControlTask& control) {
   const ControlNode& node = control.node();
-  const RolloutStatus force = node.rollout_status();
+  const RolloutStatus rollout = node.rollout_status();
   json lagging = json::array();
-  for (const auto& member : force.lagging) {
+  for (const auto& member : rollout.lagging) {
     lagging.push_back(member.name);
   }
   json body = {{"is_leader", node.replica().has_lease(monotonic_now())},
@@ -107,8 +108,8 @@
                {"settings_revision", node.state().fleet().settings_revision},
                {"members_revision", node.state().fleet().members_revision},
                {"digest", node.state().digest()},
-               {"members", force.members},
-               {"in_force", force.up_to_date},
+               {"members", rollout.members},
+               {"in_force", rollout.up_to_date},
                {"lagging", lagging},
                {"evacuated_zones", evacuations_json(node.state().fleet().steering)},
                {"without_targets", pools_without_targets(node.state().fleet())},
@@ -155,7 +156,7 @@
 
 std::string metrics_text(const ControlTask& control) {
   const ControlNode& node = control.node();
-  const RolloutStatus force = node.rollout_status();
+  const RolloutStatus rollout = node.rollout_status();
   return render_metrics({
       {"gorsevalve_control_is_leader", "1 on the leader", node.replica().is_leader() ? 1.0 : 0.0,
        false},
@@ -164,10 +165,11 @@
       {"gorsevalve_control_commit_index", "Committed log index",
        static_cast<double>(node.replica().commit_index()), false},
       {"gorsevalve_control_settings_revision", "Settings revision",
-       static_cast<double>(force.revision), false},
-      {"gorsevalve_control_members", "Balancer members", static_cast<double>(force.members), false},
+       static_cast<double>(rollout.revision), false},
+      {"gorsevalve_control_members", "Balancer members", static_cast<double>(rollout.members),
+       false},
       {"gorsevalve_control_members_in_force", "Members that have the settings in force",
-       static_cast<double>(force.up_to_date), false},
+       static_cast<double>(rollout.up_to_date), false},
       {"gorsevalve_control_zones_evacuated", "Zones that are evacuated by the committed state",
        static_cast<double>(node.state().fleet().steering.evacuated_zones.size()), false},
       {"gorsevalve_control_messages_refused_total", "Messages that were not authentic",
@@ -185,16 +187,16 @@
   ApiTokens tokens;
   for (const auto& line : *lines) {
     std::istringstream words(line.text);
-    std::string right;
+    std::string permission;
     std::string token;
-    words >> right >> token;
-    const bool known = right == "read" || right == "submit";
+    words >> permission >> token;
+    const bool known = permission == "read" || permission == "submit";
     if (!known || token.size() < kMinSecretSize) {
       return tl::unexpected(path + ":" + std::to_string(line.number) +
                             ": must be \"read TOKEN\" or \"submit TOKEN\" with a token of at "
                             "least 16 characters");
     }
-    (right == "read" ? tokens.read : tokens.submit).push_back(token);
+    (permission == "read" ? tokens.read : tokens.submit).push_back(token);
   }
   return tokens;
 }
@@ -245,14 +247,16 @@
   const bool may_submit = is_authorized(request.authorization, tokens_.submit);
   const bool may_read = may_submit || is_authorized(request.authorization, tokens_.read);
   const bool is_open = request.path == "/v1/health" || request.path == "/metrics";
-  const bool orders = request.path.starts_with(kEvacuationPrefix) &&
-                      (request.method == "PUT" || request.method == "DELETE");
-  const bool submits = orders || (request.method == "POST" && request.path == "/v1/submissions");
-  if (submits ? !may_submit : !may_read && !is_open) {
-    server_->respond(number, {401, "application/json", error_body("a valid token is needed")});
-  } else if (orders) {
+  const bool is_evacuation = request.path.starts_with(kEvacuationPrefix) &&
+                             (request.method == "PUT" || request.method == "DELETE");
+  const bool needs_submit_token =
+      is_evacuation || (request.method == "POST" && request.path == "/v1/submissions");
+  if (needs_submit_token ? !may_submit : !may_read && !is_open) {
+    server_->respond(number,
+                     {401, "application/json", error_body("a valid bearer token is required")});
+  } else if (is_evacuation) {
     on_evacuation(number, request);
-  } else if (submits) {
+  } else if (needs_submit_token) {
     on_submission(number, request);
   } else if (request.method == "GET") {
     main_loop_.post([this, number, path = request.path] { on_read(number, path); });
--- a/src/programs/control_admin.h
+++ b/src/programs/control_admin.h
@@ -1,5 +1,5 @@
-/// The administration API of a control replica: HTTP and JSON, on a thread and loop of its own.
-/// Paths and bodies are described in docs/api.md.
+/// Administration API of a control replica over HTTP and JSON, on its own thread and event loop.
+/// docs/api.md describes paths and bodies.
 #pragma once
 
 #include <memory>
@@ -13,17 +13,17 @@
 
 namespace gorsevalve {
 
-/// Who may do what: a token for reading, one for submitting (which may read too).
+/// Bearer tokens by permission. Tokens in `submit` may also read.
 struct ApiTokens {
   std::vector<std::string> read;
   std::vector<std::string> submit;
 };
 
-/// Reads a token file with lines "read TOKEN" and "submit TOKEN". The error names file and line; a
-/// file that others may read is refused.
+/// Reads a file of lines "read TOKEN" and "submit TOKEN". Rejects a file that other users can read.
+/// The error names file and line.
 tl::expected<ApiTokens, std::string> read_token_file(const std::string& path);
 
-/// True when the Authorization header carries one of the tokens; compares in constant time.
+/// True if the Authorization header contains one of the tokens. Compares in constant time.
 bool is_authorized(const std::string& authorization, const std::vector<std::string>& tokens);
 
 class ControlAdmin {
@@ -41,7 +41,7 @@
   void on_submission(Number number, const HttpRequest& request);
   void on_evacuation(Number number, const HttpRequest& request);
   void on_read(Number number, const std::string& path);
-  /// Answers from the main task's thread.
+  /// Sends a response from the main loop's thread.
   void respond(Number number, int status, const std::string& body,
                const std::string& type = "application/json");
 
--- a/src/programs/control_main.cc
+++ b/src/programs/control_main.cc
@@ -1,4 +1,4 @@
-/// gorsevalve-control: one replica of the control log.
+/// gorsevalve-control: a replica of the control log.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -11,22 +11,22 @@
 #include "tasks/random_number.h"
 
 ABSL_FLAG(std::string, name, "", "name of this replica in logs");
-ABSL_FLAG(std::string, zone, "", "zone that this replica is in");
+ABSL_FLAG(std::string, zone, "", "zone of this replica");
 ABSL_FLAG(std::string, address, "", "TCP address for replicas and balancers, IP:port");
 ABSL_FLAG(std::string, listen, "",
-          "address to bind when others reach --address through a forwarder, IP:port");
+          "address to bind if --address belongs to a port forwarder, IP:port");
 ABSL_FLAG(std::string, admin, "", "HTTP address of the administration API, IP:port");
 ABSL_FLAG(std::vector<std::string>, replicas, {},
           "addresses of all replicas of the cluster, IP:port,...");
 ABSL_FLAG(std::string, cluster, "gorsevalve", "name of the cluster");
 ABSL_FLAG(std::string, key_file, "", "file with the cluster's keys, mode 0600");
 ABSL_FLAG(std::string, token_file, "", "file with the API's tokens, mode 0600");
-ABSL_FLAG(std::string, data_folder, "", "folder for this replica's state");
+ABSL_FLAG(std::string, data_folder, "", "directory for this replica's state");
 ABSL_FLAG(bool, initialize, false,
-          "found the cluster: write the identity of a founding replica into an empty data folder, "
-          "and end. Never do this for a replica whose disk was lost.");
+          "initialize a new cluster: write the identity of an initial replica into an empty data "
+          "directory and exit. Never use this for a replica whose disk was lost.");
 ABSL_FLAG(std::string, log_level, "info", "debug, info, warning or error");
-ABSL_FLAG(std::string, log_file, "", "file for the log instead of the standard error stream");
+ABSL_FLAG(std::string, log_file, "", "log file; standard error if empty");
 
 namespace gorsevalve {
 namespace {
@@ -90,8 +90,8 @@
 
 int main(int argc, char** argv) {
   absl::SetProgramUsageMessage(
-      "gorsevalve-control: one replica of the control log.\n"
-      "Flags may stand in a file: --flagfile=FILE. See docs/programs.md.");
+      "gorsevalve-control: a replica of the control log.\n"
+      "Flags can be read from a file: --flagfile=FILE. See docs/programs.md.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/programs/explain.cc
+++ b/src/programs/explain.cc
@@ -45,7 +45,7 @@
                      [&](const char* name) { return field_text(fields, name) == id; });
 }
 
-/// Events that change what a node believes or whether it runs at all.
+/// True for events about the state of a node rather than of one flow or target.
 bool is_node_event(const std::string& event) {
   static const std::set<std::string> kEvents = {"starting",
                                                 "started",
@@ -72,8 +72,8 @@
 std::vector<ExplainedLine> explain(const std::string& id, const std::vector<std::string>& lines) {
   std::vector<ParsedLine> parsed;
   for (const auto& line : lines) {
-    if (auto one = parse_line(line)) {
-      parsed.push_back(std::move(*one));
+    if (auto parsed_line = parse_line(line)) {
+      parsed.push_back(std::move(*parsed_line));
     }
   }
   std::set<std::string> targets;
--- a/src/programs/explain.h
+++ b/src/programs/explain.h
@@ -1,5 +1,5 @@
-/// Collects from many nodes' logs the lines that tell what became of one flow, target or version,
-/// in the order of time: `gorsevalve explain ID LOGFILES...`.
+/// Collects the log lines of many nodes that concern one flow, target or version, in time order:
+/// `gorsevalve explain ID LOGFILES...`.
 #pragma once
 
 #include <string>
@@ -7,23 +7,23 @@
 
 namespace gorsevalve {
 
-/// One line of a log that belongs to the answer.
+/// A log line that is related to the id.
 struct ExplainedLine {
   std::string time;
   std::string node;
   std::string event;
-  /// Why the line was taken: "id", "target of the flow", "node of the flow".
+  /// Why the line is included: "id", "target of the flow", "node of the flow".
   std::string relation;
   std::string text;
 };
 
-/// `lines` are JSON lines in any order; others are passed over. A prefix before the first brace is
-/// ignored. `id` is a flow ("IP:port>IP:port", or its caller "IP:port"), the number of a target, or
-/// a version. Lines of the flow's targets and of the nodes that decided on it are added when they
-/// change what the node believes.
+/// `lines` are JSON lines in any order. Other lines, and a prefix before the first brace, are
+/// ignored. `id` is a flow ("IP:port>IP:port", or its client "IP:port"), the number of a target, or
+/// a version. For a flow, lines about its targets are included, and state changes of the nodes that
+/// decided on it.
 std::vector<ExplainedLine> explain(const std::string& id, const std::vector<std::string>& lines);
 
-/// One line of text for each, ready to read.
+/// Formats each entry as one line of text.
 std::string render_explanation(const std::vector<ExplainedLine>& explained);
 
 }  // namespace gorsevalve
--- a/src/programs/operator_main.cc
+++ b/src/programs/operator_main.cc
@@ -1,4 +1,4 @@
-/// gorsevalve: the operator's command.
+/// gorsevalve: command-line tool for operators.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -20,10 +20,10 @@
 #include "settings/settings_file.h"
 #include "tasks/random_number.h"
 
-ABSL_FLAG(std::string, id, "", "submission id; a resend with the same id is harmless");
-ABSL_FLAG(std::string, author, "", "name for the audit line");
-ABSL_FLAG(std::int64_t, base, -1, "settings revision the file is based on; -1 for the present one");
-ABSL_FLAG(bool, wait, false, "apply: wait until the settings are in force on every balancer");
+ABSL_FLAG(std::string, id, "", "submission id; a retry with the same id has no further effect");
+ABSL_FLAG(std::string, author, "", "name of the author for the audit log");
+ABSL_FLAG(std::int64_t, base, -1, "settings revision the file is based on; -1 for the current one");
+ABSL_FLAG(bool, wait, false, "apply: wait until every balancer has applied the settings");
 ABSL_DECLARE_FLAG(std::int32_t, timeout_s);
 ABSL_FLAG(bool, json, false, "print JSON");
 
@@ -35,43 +35,40 @@
 const std::map<std::string, std::string>& command_help() {
   static const std::map<std::string, std::string> kHelp = {
       {"check",
-       "gorsevalve check FILE\n  Checks a settings file without sending it.\n"
-       "  Exit: 0 good, 2 refused.\n"},
+       "gorsevalve check FILE\n  Checks a settings file without submitting it.\n"
+       "  Exit: 0 valid, 2 invalid.\n"},
       {"apply",
        "gorsevalve apply FILE --server=IP:port,... --token_file=FILE [--wait] [--base=N]\n"
        "                [--id=ID] [--author=NAME] [--timeout_s=N]\n"
-       "  Submits a whole settings file. With --wait it returns when the file is in force on "
-       "every\n"
-       "  balancer. A resend with the same --id gives the first outcome again.\n"
-       "  Exit: 0 accepted, 2 refused, 3 conflict, 4 no leader reached, 5 not in force in time.\n"},
+       "  Submits a complete settings file. With --wait it returns when every balancer has "
+       "applied\n"
+       "  it. A retry with the same --id returns the first outcome.\n"
+       "  Exit: 0 accepted, 2 rejected, 3 conflict, 4 no leader reached, 5 not applied in time.\n"},
       {"evacuate",
        "gorsevalve evacuate ZONE --server=IP:port,... --token_file=FILE [--timeout_s=N]\n"
-       "  Keeps new flows and requests from the zone's targets; open flows stay there. Returns "
-       "when\n"
-       "  the order is kept by a majority of the replicas; it holds until \"restore\". The same "
-       "order\n"
-       "  again is harmless. Pools that are left without targets are named.\n"
-       "  Exit: 0 in force, 2 unknown zone, 4 no leader reached.\n"},
+       "  Sends no new flows and requests to targets in the zone; open flows stay there. Returns\n"
+       "  when a majority of the replicas has committed the command, which applies until\n"
+       "  \"restore\". Repeating it has no further effect. Lists pools without targets.\n"
+       "  Exit: 0 committed, 2 unknown zone, 4 no leader reached.\n"},
       {"restore",
        "gorsevalve restore ZONE --server=IP:port,... --token_file=FILE [--timeout_s=N]\n"
        "  Ends the evacuation of a zone.\n"
-       "  Exit: 0 in force, 2 unknown zone, 4 no leader reached.\n"},
+       "  Exit: 0 committed, 2 unknown zone, 4 no leader reached.\n"},
       {"status",
        "gorsevalve status --server=IP:port,... --token_file=FILE [--json]\n"
-       "  Shows the leader's view: revision, members, and which lag; evacuated zones with the\n"
-       "  revision since when, and pools that are without targets by it.\n"
-       "  Exit: 0, or 4 when no leader was reached.\n"},
+       "  Shows the state of the leader: revision, members and lagging members, evacuated zones\n"
+       "  with the revision of the evacuation, and pools without targets because of it.\n"
+       "  Exit: 0, or 4 if no leader was reached.\n"},
       {"diff",
        "gorsevalve diff FILE --server=IP:port,... --token_file=FILE\n"
-       "  Shows the lines in which FILE differs from the settings in force.\n"
+       "  Shows the lines in which FILE differs from the current settings.\n"
        "  Exit: 0 equal, 3 different, 4 no leader reached.\n"},
       {"explain",
        "gorsevalve explain ID LOGFILE...\n"
-       "  Collects the lines about a flow (IP:port of the caller, or caller>frontend), a target "
-       "or\n"
-       "  a version from many nodes' logs, in the order of time, with what its target and its\n"
-       "  nodes did. \"-\" reads the standard input.\n"
-       "  Exit: 0, or 2 when no line tells of it.\n"},
+       "  Collects the log lines of many nodes about a flow (client IP:port, or client>frontend),\n"
+       "  a target or a version, in time order. For a flow, lines about its target and its nodes\n"
+       "  are included. \"-\" reads standard input.\n"
+       "  Exit: 0, or 2 if no line matches.\n"},
   };
   return kHelp;
 }
@@ -102,7 +99,7 @@
   for (const auto& service : settings->services) {
     targets += service.targets.size();
   }
-  std::printf("%s: good: %zu services, %zu targets\n", path.c_str(), settings->services.size(),
+  std::printf("%s: valid: %zu services, %zu targets\n", path.c_str(), settings->services.size(),
               targets);
   return kExitOk;
 }
@@ -114,16 +111,16 @@
     const auto response = api.request("GET", "/v1/status");
     if (response) {
       status = json::parse(response->body, nullptr, false);
-      const bool reached = status.value("settings_revision", Revision{0}) >= revision;
+      const bool is_committed = status.value("settings_revision", Revision{0}) >= revision;
       const std::size_t members = status.value("members", std::size_t{0});
-      if (reached && members > 0 && status.value("in_force", std::size_t{0}) == members) {
-        std::printf("in force on %zu of %zu balancers\n", members, members);
+      if (is_committed && members > 0 && status.value("in_force", std::size_t{0}) == members) {
+        std::printf("applied on %zu of %zu balancers\n", members, members);
         return kExitOk;
       }
     }
     api.wait_before_retry();
   }
-  std::fprintf(stderr, "not in force everywhere in time; lagging: %s\n",
+  std::fprintf(stderr, "not applied on every balancer within --timeout_s; lagging: %s\n",
                status.value("lagging", json::array()).dump().c_str());
   return kExitTimeout;
 }
@@ -131,7 +128,7 @@
 int print_rejection(const HttpClientResponse& response) {
   const json body = json::parse(response.body, nullptr, false);
   if (response.status == 409) {
-    std::fprintf(stderr, "conflict: revision %llu was made by submission %s\n",
+    std::fprintf(stderr, "conflict: revision %llu was created by submission %s\n",
                  static_cast<unsigned long long>(body.value("revision", Revision{0})),
                  body.value("winner", std::string()).c_str());
     return kExitConflict;
@@ -141,7 +138,7 @@
                    error.value("message", "")}});
   }
   if (!body.contains("errors")) {
-    std::fprintf(stderr, "refused: %s\n", response.body.c_str());
+    std::fprintf(stderr, "rejected: %s\n", response.body.c_str());
   }
   return kExitRefused;
 }
@@ -157,7 +154,7 @@
   if (base < 0) {
     const auto status = api.request("GET", "/v1/status");
     if (!status) {
-      return fail("no leader answered", kExitUnreachable);
+      return fail("no leader responded within --timeout_s", kExitUnreachable);
     }
     base = json::parse(status->body, nullptr, false).value("settings_revision", std::int64_t{0});
   }
@@ -172,7 +169,7 @@
                      {"text", text}};
   const auto response = api.request("POST", "/v1/submissions", body.dump());
   if (!response) {
-    return fail("no leader answered; send again with --id=" + id, kExitUnreachable);
+    return fail("no leader responded within --timeout_s; retry with --id=" + id, kExitUnreachable);
   }
   if (response->status != 200) {
     return print_rejection(*response);
@@ -198,30 +195,31 @@
   }
 }
 
-/// Orders a zone to be evacuated (PUT) or restored (DELETE).
-/// True for names that stand in a path as they are.
+/// True for names that need no escaping in a URL path.
 bool is_path_safe_name(const std::string& name) {
-  constexpr std::string_view kOthers = "._-";
-  const bool has_plain_octets = std::all_of(name.begin(), name.end(), [&](char octet) {
-    return absl::ascii_isalnum(static_cast<unsigned char>(octet)) ||
-           kOthers.find(octet) != std::string_view::npos;
+  constexpr std::string_view kOtherCharacters = "._-";
+  const bool has_safe_characters = std::all_of(name.begin(), name.end(), [&](char character) {
+    return absl::ascii_isalnum(static_cast<unsigned char>(character)) ||
+           kOtherCharacters.find(character) != std::string_view::npos;
   });
-  return has_plain_octets && name != "." && name != "..";
+  return has_safe_characters && name != "." && name != "..";
 }
 
+/// Evacuates (PUT) or restores (DELETE) a zone.
 int send_evacuation(const std::string& method, const std::string& zone) {
   if (!is_path_safe_name(zone)) {
-    return fail("zone \"" + zone + "\": letters, digits, '.', '_' and '-' only", kExitUsage);
+    return fail("zone \"" + zone + "\": only letters, digits, '.', '_' and '-' are allowed",
+                kExitUsage);
   }
   ApiClient api;
   const auto response = api.request(method, "/v1/evacuations/" + zone);
   if (!response) {
-    return fail("no leader answered; send the order again", kExitUnreachable);
+    return fail("no leader responded within --timeout_s; retry the command", kExitUnreachable);
   }
   if (response->status != 200) {
     return print_rejection(*response);
   }
-  std::printf("in force: zone %s is %s\n", zone.c_str(),
+  std::printf("committed: zone %s is %s\n", zone.c_str(),
               method == "PUT" ? "evacuated" : "not evacuated");
   const auto status = api.request("GET", "/v1/status");
   if (status) {
@@ -234,14 +232,14 @@
   ApiClient api;
   const auto response = api.request("GET", "/v1/status");
   if (!response) {
-    return fail("no leader answered", kExitUnreachable);
+    return fail("no leader responded within --timeout_s", kExitUnreachable);
   }
   const json body = json::parse(response->body, nullptr, false);
   if (absl::GetFlag(FLAGS_json)) {
     std::printf("%s\n", body.dump(2).c_str());
     return kExitOk;
   }
-  std::printf("leader %s, term %llu\nsettings revision %llu in force on %zu of %zu balancers\n",
+  std::printf("leader %s, term %llu\nsettings revision %llu applied on %zu of %zu balancers\n",
               body.value("leader", std::string("?")).c_str(),
               static_cast<unsigned long long>(body.value("term", 0ULL)),
               static_cast<unsigned long long>(body.value("settings_revision", 0ULL)),
@@ -262,7 +260,7 @@
   return lines;
 }
 
-/// Prints the lines of a longest common subsequence diff; gives the number of lines that differ.
+/// Prints a longest common subsequence diff. Returns the number of differing lines.
 std::size_t print_diff(const std::vector<std::string>& before,
                        const std::vector<std::string>& after) {
   const std::size_t rows = before.size();
@@ -298,7 +296,7 @@
   ApiClient api;
   const auto response = api.request("GET", "/v1/settings");
   if (!response) {
-    return fail("no leader answered", kExitUnreachable);
+    return fail("no leader responded within --timeout_s", kExitUnreachable);
   }
   const json body = json::parse(response->body, nullptr, false);
   const std::size_t differing =
@@ -333,12 +331,12 @@
 int run(const std::vector<char*>& words) {
   const std::string command = words.size() > 1 ? words[1] : "";
   const std::string file = words.size() > 2 ? words[2] : "";
-  const bool explains = command == "explain";
-  const bool orders = command == "evacuate" || command == "restore";
+  const bool is_explain = command == "explain";
+  const bool is_evacuation = command == "evacuate" || command == "restore";
   const bool needs_file =
-      command == "check" || command == "apply" || command == "diff" || explains || orders;
+      command == "check" || command == "apply" || command == "diff" || is_explain || is_evacuation;
   if (!command_help().contains(command) || (needs_file && file.empty()) ||
-      (explains && words.size() < 4)) {
+      (is_explain && words.size() < 4)) {
     std::fprintf(stderr,
                  "usage: gorsevalve check|apply|status|diff|evacuate|restore|explain [FILE|ZONE] "
                  "[flags]; "
@@ -348,10 +346,10 @@
   if (command == "check") {
     return check(file);
   }
-  if (explains) {
+  if (is_explain) {
     return explain_id(file, {words.begin() + 3, words.end()});
   }
-  if (orders) {
+  if (is_evacuation) {
     return send_evacuation(command == "evacuate" ? "PUT" : "DELETE", file);
   }
   if (command == "apply") {
@@ -360,11 +358,11 @@
   return command == "status" ? status() : diff(file);
 }
 
-/// Prints the help of a subcommand when it is asked for.
+/// Prints the help of a subcommand if --help is given. Returns whether it did.
 bool print_command_help(int argc, char** argv) {
   const std::vector<std::string> words(argv + 1, argv + argc);
-  const bool asked = std::find(words.begin(), words.end(), "--help") != words.end();
-  if (!asked || words.empty() || !command_help().contains(words.front())) {
+  const bool has_help_flag = std::find(words.begin(), words.end(), "--help") != words.end();
+  if (!has_help_flag || words.empty() || !command_help().contains(words.front())) {
     return false;
   }
   std::printf("%s", command_help().at(words.front()).c_str());
@@ -380,6 +378,6 @@
   }
   absl::SetProgramUsageMessage(
       "gorsevalve check|apply|status|diff|evacuate|restore|explain [FILE|ZONE] [flags]\n"
-      "gorsevalve COMMAND --help tells of one command. See docs/programs.md.");
+      "gorsevalve COMMAND --help describes one command. See docs/programs.md.");
   return gorsevalve::run(absl::ParseCommandLine(argc, argv));
 }
--- a/src/programs/program.cc
+++ b/src/programs/program.cc
@@ -13,18 +13,18 @@
 namespace gorsevalve {
 namespace {
 
-/// Write end of the pipe through which the handler wakes the loop.
+/// Write end of the self-pipe from the signal handler to the event loop.
 volatile std::sig_atomic_t signal_pipe = -1;
 
 void on_signal(int signal) {
-  const int saved = errno;
-  const char octet = static_cast<char>(signal);
-  const ssize_t written = ::write(signal_pipe, &octet, 1);
+  const int saved_errno = errno;
+  const char byte = static_cast<char>(signal);
+  const ssize_t written = ::write(signal_pipe, &byte, 1);
   static_cast<void>(written);
-  errno = saved;
+  errno = saved_errno;
 }
 
-/// Reads signals from the pipe on the loop and acts on them.
+/// Reads signal numbers from the self-pipe on the loop and runs their actions.
 class SignalReader {
  public:
   SignalReader(EventLoop& loop, int descriptor, SignalActions actions)
@@ -89,7 +89,7 @@
 
 std::string require_value(const std::string& flag, const std::string& value) {
   if (value.empty()) {
-    std::exit(fail("--" + flag + " is needed", kExitUsage));
+    std::exit(fail("--" + flag + " is required", kExitUsage));
   }
   return value;
 }
@@ -97,14 +97,14 @@
 void ignore_reload_signal() { std::signal(SIGHUP, SIG_IGN); }
 
 void handle_signals(EventLoop& loop, SignalActions actions) {
-  int ends[2] = {-1, -1};
-  if (::pipe2(ends, O_NONBLOCK | O_CLOEXEC) != 0) {
-    std::exit(fail("no pipe for signals", kExitFailure));
+  int pipe_ends[2] = {-1, -1};
+  if (::pipe2(pipe_ends, O_NONBLOCK | O_CLOEXEC) != 0) {
+    std::exit(fail("cannot create the pipe for signals", kExitFailure));
   }
-  signal_pipe = ends[1];
-  // Lives as long as the process, like the handlers.
+  signal_pipe = pipe_ends[1];
+  // Signal handlers need it for the lifetime of the process.
   static std::unique_ptr<SignalReader> reader;
-  reader = std::make_unique<SignalReader>(loop, ends[0], std::move(actions));
+  reader = std::make_unique<SignalReader>(loop, pipe_ends[0], std::move(actions));
   std::signal(SIGTERM, on_signal);
   std::signal(SIGINT, on_signal);
   std::signal(SIGHUP, on_signal);
--- a/src/programs/program.h
+++ b/src/programs/program.h
@@ -1,4 +1,4 @@
-/// What all programs share: flag values, signals and exit codes.
+/// Shared by all programs: flag values, signals and exit codes.
 #pragma once
 
 #include <cstdint>
@@ -23,32 +23,32 @@
   kExitFailure = 6,
 };
 
-/// Prints "program: message" to the standard error stream and gives the code.
+/// Prints "program: message" to standard error and returns the code.
 int fail(const std::string& message, ExitCode code);
 
-/// Ends the program with kExitUsage when the text is not an address; the message names the flag.
+/// Exits with kExitUsage if the text is not an address; the message names the flag.
 Endpoint require_endpoint(const std::string& flag, const std::string& text);
 std::vector<Endpoint> require_endpoints(const std::string& flag,
                                         const std::vector<std::string>& texts);
-/// Ends the program with kExitUsage when the value is empty.
+/// Exits with kExitUsage if the value is empty.
 std::string require_value(const std::string& flag, const std::string& value);
 
-/// What a program does on signals.
+/// Actions of a program on signals.
 struct SignalActions {
-  /// First SIGTERM or SIGINT; the second one ends the loop.
+  /// Called on the first SIGTERM or SIGINT; the second one stops the loop.
   std::function<void()> on_terminate;
-  /// SIGHUP; may be empty.
+  /// Called on SIGHUP; may be empty.
   std::function<void()> on_reload;
 };
 
-/// Until `handle_signals` is called, SIGHUP would end the process. To be called first in a program
-/// that reloads its settings, before it reads them.
+/// Ignores SIGHUP, which would terminate the process before `handle_signals` is called. Call this
+/// before reading settings that can be reloaded.
 void ignore_reload_signal();
 
-/// Runs actions on the loop when signals come. To be called once in a process.
+/// Runs the actions on the loop when signals arrive. Call at most once per process.
 void handle_signals(EventLoop& loop, SignalActions actions);
 
-/// Runs `on_terminate` on the loop at the first SIGTERM or SIGINT, and ends the loop at the second.
+/// Runs `on_terminate` on the loop at the first SIGTERM or SIGINT; stops the loop at the second.
 void handle_signals(EventLoop& loop, std::function<void()> on_terminate);
 
 }  // namespace gorsevalve
--- a/src/standins/client_main.cc
+++ b/src/standins/client_main.cc
@@ -1,5 +1,5 @@
-/// standin-caller: many callers at once against one service; checks every answer and prints what it
-/// saw as one JSON object.
+/// standin-caller: runs many clients against one service, checks every response, and prints the
+/// totals as one JSON object.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -13,26 +13,26 @@
 #include "tasks/udp_socket.h"
 
 ABSL_FLAG(std::string, service, "", "address of the service, IP:port");
-ABSL_FLAG(std::string, source, "127.200.0.1", "IP that the callers use; ports are given by --port");
-ABSL_FLAG(std::int32_t, port, 20000, "first caller port");
+ABSL_FLAG(std::string, source, "127.200.0.1", "IP of the clients; --port gives the ports");
+ABSL_FLAG(std::int32_t, port, 20000, "first client port");
 ABSL_FLAG(std::string, name, "caller", "prefix of the request ids");
-ABSL_FLAG(std::int32_t, feeds, 0, "callers that keep a feed open");
-ABSL_FLAG(std::int32_t, updates, 0, "callers that send updates");
-ABSL_FLAG(std::int32_t, downloads, 0, "callers that fetch documents");
-ABSL_FLAG(std::int32_t, lookups, 0, "callers that ask for single values");
-ABSL_FLAG(std::int32_t, seconds, 10, "how long new work is begun");
-ABSL_FLAG(std::int32_t, pause_ms, 200, "pause between two pieces of work of one caller");
-ABSL_FLAG(std::int32_t, feed_interval_ms, 500, "pause between notifications that is expected");
+ABSL_FLAG(std::int32_t, feeds, 0, "clients that keep an observation open");
+ABSL_FLAG(std::int32_t, updates, 0, "clients that send updates");
+ABSL_FLAG(std::int32_t, downloads, 0, "clients that download documents");
+ABSL_FLAG(std::int32_t, lookups, 0, "clients that request single values");
+ABSL_FLAG(std::int32_t, seconds, 10, "time during which new requests are started, in seconds");
+ABSL_FLAG(std::int32_t, pause_ms, 200, "time between two requests of one client");
+ABSL_FLAG(std::int32_t, feed_interval_ms, 500, "expected time between notifications");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of tokens and timeouts");
 
 namespace gorsevalve {
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(10);
-/// Outstanding work may end within this time after the last was begun.
+/// Time for outstanding requests to complete after the last one was started.
 constexpr Duration kFinish = std::chrono::seconds(8);
 
-/// One caller with its socket.
+/// One client with its socket.
 class ClientSocket : private ClientOutput {
  public:
   ClientSocket(EventLoop& loop, const ClientConfig& config)
@@ -96,26 +96,26 @@
 
   void on_tick() {
     const Instant now = monotonic_now();
-    for (const auto& caller : clients_) {
-      caller->model().on_tick(now);
+    for (const auto& client : clients_) {
+      client->model().on_tick(now);
     }
   }
 
   void stop() {
-    for (const auto& caller : clients_) {
-      caller->model().stop();
+    for (const auto& client : clients_) {
+      client->model().stop();
     }
   }
 
   [[nodiscard]] bool is_idle() const {
     return std::all_of(clients_.begin(), clients_.end(),
-                       [](const auto& caller) { return caller->model().is_idle(); });
+                       [](const auto& client) { return client->model().is_idle(); });
   }
 
   [[nodiscard]] ClientStats stats() const {
     ClientStats total;
-    for (const auto& caller : clients_) {
-      total.add(caller->model().stats());
+    for (const auto& client : clients_) {
+      total.add(client->model().stats());
     }
     return total;
   }
@@ -126,19 +126,19 @@
   std::vector<std::unique_ptr<ClientSocket>> clients_;
 };
 
-double quantile_ms(std::vector<Duration>& sorted, double share) {
+double quantile_ms(std::vector<Duration>& sorted, double quantile) {
   if (sorted.empty()) {
     return 0;
   }
-  const auto index = static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1));
+  const auto index = static_cast<std::size_t>(quantile * static_cast<double>(sorted.size() - 1));
   return std::chrono::duration<double, std::milli>(sorted[index]).count();
 }
 
 void print(ClientStats stats) {
   std::sort(stats.latencies.begin(), stats.latencies.end());
   nlohmann::json updates = nlohmann::json::object();
-  for (const auto& [id, fate] : stats.updates) {
-    updates[id] = static_cast<int>(fate);
+  for (const auto& [id, outcome] : stats.updates) {
+    updates[id] = static_cast<int>(outcome);
   }
   const nlohmann::json body = {{"requests", stats.requests},
                                {"answers", stats.responses},
@@ -189,7 +189,7 @@
 }  // namespace gorsevalve
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("standin-caller: callers for tests and experiments.");
+  absl::SetProgramUsageMessage("standin-caller: clients for tests and experiments.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/standins/client_model.cc
+++ b/src/standins/client_model.cc
@@ -170,13 +170,14 @@
   }
   const ByteView payload = parser_.payload();
   const std::string text(payload.begin(), payload.end());
-  const bool is_feed = config_.kind == ClientKind::kObserve && summary->token == observation_token_;
+  const bool is_observation =
+      config_.kind == ClientKind::kObserve && summary->token == observation_token_;
   if (summary->type == CoapType::kConfirmable) {
-    // A feed that is not wanted any more is refused (RFC 7641 section 3.6).
-    const CoapType reply = is_feed ? CoapType::kAcknowledgement : CoapType::kReset;
+    // A reset rejects notifications of an unknown observation (RFC 7641, section 3.6).
+    const CoapType reply = is_observation ? CoapType::kAcknowledgement : CoapType::kReset;
     output_.send(config_.flow, encode_empty_message(reply, summary->message_id));
   }
-  if (is_feed && summary->observe) {
+  if (is_observation && summary->observe) {
     on_notification(*summary, text, now);
     return;
   }
@@ -232,7 +233,7 @@
       on_block(summary, text, now);
       return;
     case ClientKind::kObserve:
-      // An answer without Observe: the target refuses the feed.
+      // A response without Observe: the target rejected the registration.
       ++stats_.wrong_responses;
       schedule_next_work(now, config_.work_interval);
       return;
@@ -241,16 +242,16 @@
 
 void ClientModel::on_block(const CoapSummary& summary, const std::string& text, Instant now) {
   if (summary.code == coap_code::kEntityIncomplete) {
-    // The target that answers is not the one that the download began at.
+    // The response is from another target than the first block.
     ++stats_.broken_flows;
     next_block_ = 0;
     schedule_next_work(now, config_.work_interval);
     return;
   }
   const std::string expected = download_content(document_id_);
-  const bool right = summary.block2 && summary.block2->number == next_block_ &&
-                     expected.compare(document_.size(), text.size(), text) == 0;
-  if (!right) {
+  const bool is_expected = summary.block2 && summary.block2->number == next_block_ &&
+                           expected.compare(document_.size(), text.size(), text) == 0;
+  if (!is_expected) {
     ++stats_.wrong_responses;
     next_block_ = 0;
     schedule_next_work(now, config_.work_interval);
--- a/src/standins/client_model.h
+++ b/src/standins/client_model.h
@@ -1,5 +1,5 @@
-/// Behaviour of callers, for the simulator and the stand-in program. Each caller has its own
-/// endpoint and does one kind of work; every answer is checked against what was asked.
+/// Model of CoAP clients, for the simulator and the test program standin-caller. Each client has
+/// its own endpoint, sends one kind of request, and checks that every response matches its request.
 #pragma once
 
 #include <deque>
@@ -18,38 +18,38 @@
 namespace gorsevalve {
 
 enum class ClientKind : std::uint8_t {
-  /// Keeps one feed open.
+  /// Keeps one observation registered (RFC 7641).
   kObserve = 0,
-  /// Sends updates that may not be repeated.
+  /// Sends non-idempotent updates.
   kUpdate = 1,
-  /// Fetches documents block by block.
+  /// Downloads documents block by block (RFC 7959).
   kDownload = 2,
-  /// Asks for single values, each on a new flow.
+  /// Requests single values, each on a new flow.
   kLookup = 3,
 };
 
-/// What became of an update, as its caller was told.
+/// Outcome of an update as reported to its client.
 enum class UpdateOutcome : std::uint8_t { kUnknown = 0, kDone = 1, kNotRun = 2, kMayHaveRun = 3 };
 
-/// What callers saw, added up.
+/// Totals of what clients observed.
 struct ClientStats {
   std::uint64_t requests = 0;
   std::uint64_t responses = 0;
-  /// Answers whose content belongs to another request.
+  /// Responses whose content doesn't match the request.
   std::uint64_t wrong_responses = 0;
-  /// Feeds that went silent, and downloads that failed or changed their target unasked.
+  /// Observations without notifications, and downloads that failed or changed their target.
   std::uint64_t broken_flows = 0;
   std::uint64_t observations = 0;
   std::uint64_t notifications = 0;
-  /// Feed notifications from another target than before.
+  /// Notifications from another target than the one before.
   std::uint64_t observation_moves = 0;
   std::uint64_t downloads = 0;
   std::uint64_t verdicts_not_run = 0;
   std::uint64_t verdicts_may_have_run = 0;
   std::uint64_t timeouts = 0;
-  /// Verdicts without a time to come back.
+  /// Verdicts without a Max-Age that tells when to retry.
   std::uint64_t verdicts_without_max_age = 0;
-  /// Time from first send to answer.
+  /// Time from the first transmission to the response.
   std::vector<Duration> latencies;
   std::map<std::string, UpdateOutcome> updates;
 
@@ -59,15 +59,15 @@
 struct ClientConfig {
   ClientKind kind = ClientKind::kLookup;
   FlowKey flow;
-  /// Distinguishes the ids of this caller from all others'.
+  /// Prefix of request ids, unique to this client.
   std::string name;
   std::uint64_t seed = 1;
-  /// Time before the first piece of work.
+  /// Time before the first request.
   Duration start_delay{};
-  /// Pause between two pieces of work.
+  /// Time between the end of one request or download and the next.
   Duration work_interval = std::chrono::milliseconds(200);
   Duration notification_interval = std::chrono::milliseconds(500);
-  /// Ports that the caller uses in turn, from the flow's port on: each lookup is a flow of its own.
+  /// Number of ports, from the flow's client port on, that lookups use in rotation.
   std::uint16_t port_count = 1;
 };
 
@@ -77,21 +77,21 @@
   virtual void send(const FlowKey& flow, ByteView message) = 0;
 };
 
-/// One caller. Retransmits as RFC 7252 section 4.2 says.
+/// One client. Retransmits as in RFC 7252, section 4.2.
 class ClientModel {
  public:
   ClientModel(ClientConfig config, ClientOutput& output, Instant now);
 
   void on_message(ByteView message, Instant now);
   void on_tick(Instant now);
-  /// Begins nothing new; a feed is given up.
+  /// Starts no new requests.
   void stop() { stopping_ = true; }
   [[nodiscard]] bool is_idle() const;
 
   [[nodiscard]] const ClientStats& stats() const { return stats_; }
   [[nodiscard]] const ClientConfig& config() const { return config_; }
 
-  /// A feed is broken when it is silent for this many intervals.
+  /// An observation counts as broken after this many intervals without a notification.
   static constexpr int kSilentIntervals = 8;
 
  private:
--- a/src/standins/fabric_main.cc
+++ b/src/standins/fabric_main.cc
@@ -1,5 +1,5 @@
-/// standin-fabric: listens at the service addresses, sprays callers' datagrams over the live
-/// balancers with a PROXY header, brings answers back, and injects seeded faults.
+/// standin-fabric: listens at the service addresses, sprays client datagrams with a PROXY header
+/// over the live balancers, returns responses, and injects faults from a seeded generator.
 #include <absl/container/flat_hash_map.h>
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
@@ -17,21 +17,21 @@
 #include "tasks/http_client.h"
 #include "tasks/udp_socket.h"
 
-ABSL_FLAG(std::string, settings, "", "settings file: gives the service addresses");
-ABSL_FLAG(std::string, egress, "", "address where balancers send datagrams for callers");
-ABSL_FLAG(std::string, ingress, "", "address where targets send their answers");
-ABSL_FLAG(std::string, platform, "", "HTTP address of the platform's list of machines");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the faults and of the spraying");
+ABSL_FLAG(std::string, settings, "", "settings file with the service addresses");
+ABSL_FLAG(std::string, egress, "", "address to which balancers send datagrams for clients");
+ABSL_FLAG(std::string, ingress, "", "address to which targets send responses");
+ABSL_FLAG(std::string, platform, "", "HTTP address of the platform's machine list");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of fault injection and spraying");
 ABSL_FLAG(double, loss, 0, "share of datagrams lost, 0 to 1");
 ABSL_FLAG(double, duplication, 0, "share of datagrams sent twice");
-ABSL_FLAG(std::int32_t, delay_ms, 0, "longest random delay; reorders");
+ABSL_FLAG(std::int32_t, delay_ms, 0, "maximum random delay; causes reordering");
 
 namespace gorsevalve {
 namespace {
 
 constexpr Duration kMachineListInterval = std::chrono::milliseconds(500);
 
-/// Loses, doubles and delays what is sent through it.
+/// Sends datagrams with injected loss, duplication and delay.
 class FaultySender {
  public:
   explicit FaultySender(EventLoop& loop) : loop_(loop), random_(absl::GetFlag(FLAGS_seed)) {}
@@ -49,19 +49,19 @@
   std::mt19937_64& random() { return random_; }
 
  private:
-  bool chance(double share) {
-    return std::uniform_real_distribution<double>(0, 1)(random_) < share;
+  bool chance(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
   }
 
   void deliver(UdpSocket& socket, const Endpoint& to, Bytes datagram) {
-    const std::int32_t longest = absl::GetFlag(FLAGS_delay_ms);
-    if (longest == 0) {
+    const std::int32_t max_delay_ms = absl::GetFlag(FLAGS_delay_ms);
+    if (max_delay_ms == 0) {
       socket.send(to, datagram);
       return;
     }
-    const auto delay = std::uniform_int_distribution<std::int32_t>(0, longest)(random_);
-    loop_.after(std::chrono::milliseconds(delay), [&socket, to, held = std::move(datagram)] {
-      socket.send(to, held);
+    const auto delay = std::uniform_int_distribution<std::int32_t>(0, max_delay_ms)(random_);
+    loop_.after(std::chrono::milliseconds(delay), [&socket, to, delayed = std::move(datagram)] {
+      socket.send(to, delayed);
       socket.flush();
     });
   }
@@ -186,7 +186,7 @@
 }  // namespace gorsevalve
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("standin-fabric: sprays callers' datagrams over the balancers.");
+  absl::SetProgramUsageMessage("standin-fabric: sprays client datagrams over the balancers.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/standins/platform_main.cc
+++ b/src/standins/platform_main.cc
@@ -1,6 +1,5 @@
-/// standin-platform: the platform's lagging list of machines that are live and machines that are
-/// leaving. POST /live or /leaving or /gone with an address as body changes it; GET /machines shows
-/// it as it was some time ago.
+/// standin-platform: the platform's list of live and leaving machines. POST /live, /leaving or
+/// /gone with an address as body changes it; GET /machines returns it with a delay of --lag_ms.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -13,7 +12,7 @@
 #include "tasks/http_server.h"
 
 ABSL_FLAG(std::string, address, "", "HTTP address, IP:port");
-ABSL_FLAG(std::int32_t, lag_ms, 500, "age of the list that is shown");
+ABSL_FLAG(std::int32_t, lag_ms, 500, "age of the list that GET /machines returns");
 
 namespace gorsevalve {
 namespace {
@@ -50,11 +49,12 @@
   };
 
   std::string delayed_list_json() {
-    const Instant then = monotonic_now() - std::chrono::milliseconds(absl::GetFlag(FLAGS_lag_ms));
-    while (history_.size() > 1 && history_[1].since <= then) {
+    const Instant shown_at =
+        monotonic_now() - std::chrono::milliseconds(absl::GetFlag(FLAGS_lag_ms));
+    while (history_.size() > 1 && history_[1].since <= shown_at) {
       history_.pop_front();
     }
-    const bool known = !history_.empty() && history_.front().since <= then;
+    const bool known = !history_.empty() && history_.front().since <= shown_at;
     const MachineList list = known ? history_.front().list : MachineList{};
     return nlohmann::json{{"live", list.live}, {"leaving", list.leaving}}.dump();
   }
@@ -83,7 +83,7 @@
 }  // namespace gorsevalve
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("standin-platform: the platform's lagging list of machines.");
+  absl::SetProgramUsageMessage("standin-platform: the platform's list of machines, with a delay.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/standins/target_main.cc
+++ b/src/standins/target_main.cc
@@ -1,5 +1,5 @@
-/// standin-target: one or more back ends, each on an address of its own, with health endpoints and
-/// a record of every execution.
+/// standin-target: one or more targets, each on its own address, with a health endpoint and a
+/// record of executions.
 #include <absl/flags/flag.h>
 #include <absl/flags/parse.h>
 #include <absl/flags/usage.h>
@@ -12,19 +12,19 @@
 #include "tasks/udp_socket.h"
 
 ABSL_FLAG(std::vector<std::string>, targets, {}, "NAME@IP:port of each target, ...");
-ABSL_FLAG(std::string, ingress, "", "where answers go, IP:port");
+ABSL_FLAG(std::string, ingress, "", "address to which responses are sent, IP:port");
 ABSL_FLAG(std::int32_t, health_port, 8080, "port of the health endpoint at each target's IP");
-ABSL_FLAG(std::int32_t, service_time_ms, 2, "time to run one request");
-ABSL_FLAG(std::int32_t, feed_interval_ms, 500, "pause between notifications of a feed");
-ABSL_FLAG(std::int32_t, report_lag_ms, 500, "age of the figures at the health endpoint");
-ABSL_FLAG(bool, misleading_report, false, "report no load, whatever runs");
+ABSL_FLAG(std::int32_t, service_time_ms, 2, "time to execute one request");
+ABSL_FLAG(std::int32_t, feed_interval_ms, 500, "time between notifications of an observation");
+ABSL_FLAG(std::int32_t, report_lag_ms, 500, "age of the load report at the health endpoint");
+ABSL_FLAG(bool, misleading_report, false, "always report no load");
 
 namespace gorsevalve {
 namespace {
 
 constexpr Duration kTick = std::chrono::milliseconds(1);
 
-/// One back end with its sockets.
+/// One target with its sockets.
 class TargetServer : private TargetOutput {
  public:
   TargetServer(EventLoop& loop, const TargetModelConfig& config, const Endpoint& ingress)
@@ -128,7 +128,7 @@
 }  // namespace gorsevalve
 
 int main(int argc, char** argv) {
-  absl::SetProgramUsageMessage("standin-target: back ends for tests and experiments.");
+  absl::SetProgramUsageMessage("standin-target: targets for tests and experiments.");
   absl::ParseCommandLine(argc, argv);
   return gorsevalve::run();
 }
--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -9,7 +9,8 @@
 
 constexpr std::size_t kMaxCachedResponses = 20000;
 constexpr std::uint32_t kMaxUnacknowledged = 8;
-/// Every so many notifications one is confirmable, so that dead feeds are found (RFC 7641 4.5).
+/// One notification out of this many is confirmable, to detect clients that are gone (RFC 7641,
+/// section 4.5).
 constexpr std::uint32_t kConfirmableInterval = 4;
 
 }  // namespace
@@ -31,11 +32,11 @@
   if (age >= config_.warm_up_time) {
     return config_.service_time;
   }
-  const double warm =
+  const double warm_share =
       static_cast<double>(age.count()) / static_cast<double>(config_.warm_up_time.count());
   const auto extra =
       static_cast<double>((config_.warm_up_service_time - config_.service_time).count());
-  return config_.service_time + Duration(static_cast<std::int64_t>(extra * (1 - warm)));
+  return config_.service_time + Duration(static_cast<std::int64_t>(extra * (1 - warm_share)));
 }
 
 void TargetModel::respond(const ProxyHeader& header, const Bytes& message) {
@@ -100,7 +101,8 @@
     return;
   }
   if (running_.size() >= config_.slots && queued_.size() >= config_.queue_limit) {
-    // A copy of a refused request is refused, too, also when there is room by then (RFC 7252 4.5).
+    // Caches the rejection: a retransmission must get the same response even if the queue has room
+    // by then (RFC 7252, section 4.5).
     cached_response(key) = encode_verdict({Execution::kNotRun, FailureReason::kOverload},
                                           summary.type, summary.message_id, summary.token);
     respond(header, cached_responses_[key]);
@@ -156,7 +158,7 @@
     }
   }
   std::vector<TokenKey> dead;
-  for (auto& [key, feed] : observations_) {
+  for (auto& [key, observation] : observations_) {
     if (now < feed.next_at) {
       continue;
     }
@@ -227,16 +229,16 @@
   if (number == 0) {
     downloads_[flow] = id;
   }
-  const bool begun_here = downloads_[flow] == id;
+  const bool started_here = downloads_[flow] == id;
   const std::size_t start = std::min(std::size_t{number} * kDownloadBlockSize, content.size());
   const std::size_t size = std::min(kDownloadBlockSize, content.size() - start);
   CoapMessage reply;
   reply.type = summary.type == CoapType::kConfirmable ? CoapType::kAcknowledgement
                                                       : CoapType::kNonConfirmable;
-  reply.code = begun_here ? coap_code::kContent : coap_code::kEntityIncomplete;
+  reply.code = started_here ? coap_code::kContent : coap_code::kEntityIncomplete;
   reply.message_id = summary.message_id;
   reply.token = summary.token;
-  if (!begun_here) {
+  if (!started_here) {
     return encode_coap(reply);
   }
   reply.block2 = BlockOption{number, start + size < content.size(), kDownloadBlockExponent};
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -1,6 +1,6 @@
-/// Behaviour of a back end, for the simulator and the stand-in program: a CoAP server behind PROXY
-/// headers with two slots, a short queue, feeds, downloads, once-only updates, draining, cold
-/// start, shedding and cancellation. It counts every execution by the caller's own id.
+/// Model of a target, for the simulator and the test program standin-target: a CoAP server behind
+/// PROXY headers with slots, a bounded queue, observations, downloads, non-idempotent updates,
+/// warm-up, load shedding and cancellation. Counts executions by the client's request id.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -18,23 +18,23 @@
 
 namespace gorsevalve {
 
-/// Resources that every target serves.
+/// Resources of every target.
 namespace target_path {
-/// GET with Observe: a feed. Query "id=X" names it.
+/// GET with Observe: an observation. The query "id=X" names it.
 constexpr std::string_view kFeed = "/feed";
-/// POST: runs an update that may not be repeated. Query "id=X" names it.
+/// POST: runs a non-idempotent update. The query "id=X" names it.
 constexpr std::string_view kUpdate = "/update";
-/// GET: a document of kDownloadSize octets in blocks, made from the query "id=X".
+/// GET: a document of kDownloadSize bytes in blocks, generated from the query "id=X".
 constexpr std::string_view kDownload = "/download";
-/// GET: answers with the query "id=X".
+/// GET: returns the id of the query "id=X".
 constexpr std::string_view kLookup = "/lookup";
 }  // namespace target_path
 
 constexpr std::size_t kDownloadSize = 4096;
-constexpr std::uint8_t kDownloadBlockExponent = 4;  // 2^(4+4) = 256 octets
+constexpr std::uint8_t kDownloadBlockExponent = 4;  // 2^(4+4) = 256 bytes
 constexpr std::size_t kDownloadBlockSize = 256;
 
-/// The document that belongs to an id.
+/// Content of the document with an id.
 std::string download_content(const std::string& id);
 
 struct TargetModelConfig {
@@ -48,16 +48,16 @@
   Duration warm_up_service_time = std::chrono::milliseconds(6);
   Duration warm_up_time = std::chrono::seconds(5);
   Duration notification_interval = std::chrono::milliseconds(500);
-  /// Age of the figures that the health endpoint shows.
+  /// Age of the load report at the health endpoint.
   Duration report_lag = std::chrono::milliseconds(500);
-  /// The health endpoint says well whatever happens, or reports no load.
+  /// The health endpoint always reports no load.
   bool misleading_report = false;
 };
 
 class TargetOutput {
  public:
   virtual ~TargetOutput() = default;
-  /// Sends an answer towards the balancers. The header names flow, request id and target.
+  /// Sends a response to the balancers. The header contains flow, request id and target.
   virtual void send_response(const ProxyHeader& header, ByteView message) = 0;
 };
 
@@ -66,22 +66,23 @@
   TargetModel(TargetModelConfig config, TargetOutput& output, Instant now);
 
   void on_datagram(ByteView datagram, Instant now);
-  /// To be called every few milliseconds.
+  /// Call every few milliseconds.
   void on_tick(Instant now);
 
-  /// What the health endpoint says now.
+  /// Current response of the health endpoint.
   [[nodiscard]] TargetReport report(Instant now);
 
-  /// How often each update id was run.
+  /// Number of executions by update id.
   [[nodiscard]] const std::map<std::string, std::uint32_t>& executions() const {
     return executions_;
   }
-  /// Datagrams that came for a service other than the first one seen.
+  /// Datagrams for another service than that of the first datagram.
   [[nodiscard]] std::uint64_t misrouted_datagrams() const { return misrouted_datagrams_; }
-  /// New flows and new requests since the start, and when the last one came.
+  /// Requests executed since the start.
   [[nodiscard]] std::uint64_t requests_run() const { return requests_run_; }
-  /// Requests that were not begun since they were cancelled or their time had passed.
+  /// Requests not executed because they were cancelled or past their deadline.
   [[nodiscard]] std::uint64_t requests_dropped() const { return requests_dropped_; }
+  /// Arrival time of the last request that does not continue a download.
   [[nodiscard]] Instant last_new_work() const { return last_new_work_; }
   [[nodiscard]] std::size_t open_observations() const { return observations_.size(); }
   [[nodiscard]] const TargetModelConfig& config() const { return config_; }
@@ -91,7 +92,7 @@
     ProxyHeader header;
     Bytes message;
     Instant started;
-    /// Not begun after this instant: nobody waits for it any more.
+    /// The job is dropped if it has not started by then: the client has timed out.
     std::optional<Instant> deadline;
     bool cancelled = false;
   };
@@ -108,7 +109,7 @@
   void on_empty(const ProxyHeader& header, const CoapSummary& summary);
   void on_request(const ProxyHeader& header, const CoapSummary& summary, ByteView message,
                   Instant now);
-  /// The place of the answer to a message; the oldest one is forgotten.
+  /// Cache entry for the response to a message. Evicts the oldest entry of a full cache.
   Bytes& cached_response(const MessageKey& key);
   void start_jobs(Instant now);
   void finish(const Job& job, Instant now);
@@ -126,11 +127,11 @@
   std::deque<Job> running_;
   std::deque<Job> queued_;
   std::map<std::string, std::uint32_t> executions_;
-  /// Document that each flow fetches here. A block of another document than the one begun here is
-  /// refused, so a download that was sent to two targets is noticed.
+  /// Document being downloaded by each flow. Blocks of another document are rejected, which detects
+  /// a download that was split between targets.
   std::map<FlowKey, std::string> downloads_;
   absl::btree_map<TokenKey, Observation> observations_;
-  /// Answers by message id, for duplicates (RFC 7252 section 4.5).
+  /// Responses by message id, for duplicates (RFC 7252, section 4.5).
   absl::flat_hash_map<MessageKey, Bytes> cached_responses_;
   std::deque<MessageKey> cached_response_order_;
   std::uint16_t next_message_id_ = 1;
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -10,11 +10,11 @@
 namespace gorsevalve::platform {
 namespace {
 
-/// The opening packet that the protocol page shows.
+/// Opening packet from the protocol page.
 const Bytes kOpeningPacket = {0x00, 0x00, 0x44, 0x33, 0x22, 0x11, 0x00, 0x00, 0x00, 0x00, 0xd5,
                               0xc3, 0xb2, 0xa1, 0x01, 0x00, 0x12, 0xc6, 0x41, 0x9c, 0x07, 0x00,
                               0x40, 0x64, 0xbb, 0x01, 0x08, 0x00, 0x00, 0x00, 0x00, 0x00};
-/// The reset that the protocol page shows for it.
+/// Reset for it from the protocol page.
 const Bytes kReset = {0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00, 0x00,
                       0x00, 0x00, 0x00, 0x07, 0x00, 0x40, 0x64, 0xbb, 0x01, 0x01, 0x00,
                       0x12, 0xc6, 0x41, 0x9c, 0x01, 0x00, 0x00, 0x00, 0x00, 0x00};
@@ -60,7 +60,8 @@
 }  // namespace
 
 TEST_SUITE("platform") {
-  TEST_CASE("the page's opening packet is read, and its reset is written, octet by octet") {
+  TEST_CASE(
+      "the opening packet of the protocol page is parsed and its reset has the bytes of the page") {
     const PlatformPacketFormat format(8172);
     const auto packet = format.parse(kOpeningPacket);
     REQUIRE(packet);
@@ -72,7 +73,7 @@
     CHECK(to_string(format.reset_destination(reset_of(*packet))) == "100.64.0.7:8172");
   }
 
-  TEST_CASE("a forwarded packet differs in the token only, behind the target's number") {
+  TEST_CASE("a forwarded packet has the target's id as prefix and differs in the token only") {
     const PlatformPacketFormat format(8172);
     RegisteredTarget target;
     target.id = 0x7f3a91c2;
@@ -86,18 +87,18 @@
     CHECK(format.parse(ByteView(out).subspan(8))->token == 0x04030201);
   }
 
-  TEST_CASE("malformed packets and those that only targets write are refused") {
+  TEST_CASE("malformed packets and packets that only targets send are rejected") {
     const PlatformPacketFormat format(8172);
     CHECK_FALSE(format.parse(ByteView(kOpeningPacket).first(31)));
     Bytes longer = kOpeningPacket;
     longer.push_back(0);
     CHECK_FALSE(format.parse(longer));
-    Bytes answer = kOpeningPacket;
-    answer[26] = 8 | 2;
-    CHECK_FALSE(format.parse(answer));
+    Bytes syn_ack = kOpeningPacket;
+    syn_ack[26] = 8 | 2;
+    CHECK_FALSE(format.parse(syn_ack));
   }
 
-  TEST_CASE("a configuration is translated") {
+  TEST_CASE("a configuration is parsed into steering settings") {
     const auto settings = parse_steering_settings(kConfiguration);
     REQUIRE(settings);
     CHECK(settings->version == 7);
@@ -109,7 +110,7 @@
     CHECK(settings->frontends[0].pools[0].pool == "s1");
   }
 
-  TEST_CASE("classes of requests, priorities and warm-up are translated") {
+  TEST_CASE("request classes, priorities and warm-up are parsed") {
     std::string text = replaced(kConfiguration, R"("type":"idempotent")", R"("type":"upload")");
     text = replaced(text, R"("tls":false})", R"("tls":false,"warmup_s":2.5,"warmup_per_s":7.5})");
     const auto settings = parse_steering_settings(text);
@@ -123,14 +124,14 @@
     CHECK(settings->pools[1].cold_flows_per_1000_s == 0);
   }
 
-  TEST_CASE("a type of a later page is served as the most careful class") {
+  TEST_CASE("an unknown request type becomes the non-idempotent class") {
     const auto settings = parse_steering_settings(
         replaced(kConfiguration, R"("type":"idempotent")", R"("type":"tail")"));
     REQUIRE(settings);
     CHECK(settings->frontends[1].request_class == RequestClass::kNonIdempotent);
   }
 
-  TEST_CASE("an invalid configuration is refused with the field's name") {
+  TEST_CASE("an invalid configuration is rejected with the name of the field") {
     const auto refused = [](const std::string& body, const std::string& word) {
       const auto settings = parse_steering_settings(body);
       REQUIRE_FALSE(settings);
@@ -152,7 +153,7 @@
     refused(replaced(kConfiguration, "198.18.0.1", "198.18.0"), "host");
   }
 
-  TEST_CASE("announcements are translated; bad ones are refused with the field's name") {
+  TEST_CASE("announcements are parsed and invalid ones are rejected") {
     const auto target = parse_announcement("i-7f3a91c2", kAnnouncement);
     REQUIRE(target);
     CHECK(target->id == 0x7f3a91c2);
@@ -169,7 +170,7 @@
     CHECK_FALSE(parse_announcement("i-1", replaced(kAnnouncement, "10.128.0.9:8080", "here")));
   }
 
-  TEST_CASE("an announcement tells which life of the target it is from") {
+  TEST_CASE("an announcement gives the incarnation of the target") {
     CHECK(parse_announcement("i-1", kAnnouncement)->started_at_ms == 0);
     const auto with_start = [](const std::string& start) {
       return parse_announcement("i-1", replaced(kAnnouncement, "{", R"({"born":)" + start + ","));
@@ -186,7 +187,7 @@
     }
   }
 
-  TEST_CASE("the end of a target may tell which life ends") {
+  TEST_CASE("the end of a target may give the incarnation that ends") {
     CHECK(parse_target_end("").value() == std::nullopt);
     CHECK(parse_target_end("{}").value() == std::nullopt);
     CHECK(parse_target_end(R"({"born":1764732526000})").value() == TargetStart{1764732526000});
@@ -194,7 +195,7 @@
     CHECK_FALSE(parse_target_end("\xff\xfe"));
   }
 
-  TEST_CASE("what another writer sends as an announcement names no target") {
+  TEST_CASE("a malformed announcement is rejected with a message that can be serialized") {
     const std::string deep(100000, '[');
     for (const std::string& foreign :
          {std::string(), std::string("null"), std::string("7"), std::string("[]"),
@@ -208,12 +209,12 @@
           replaced(kAnnouncement, R"("warmup_left_ms":0,)", "")}) {
       const auto refused = parse_announcement("i-7f", foreign);
       REQUIRE_FALSE(refused);
-      // The message goes into an answer, whatever octets it quotes.
+      // The message may quote invalid UTF-8 and still has to fit into a JSON response.
       CHECK(error_body(refused.error()).size() > 2);
     }
   }
 
-  TEST_CASE("settings are read; a bad field is named") {
+  TEST_CASE("node settings are parsed and an invalid field is named") {
     const auto settings = parse_node_settings(kSettings, "boot.conf");
     REQUIRE(settings);
     CHECK(settings->datagram_address.port == 8172);
@@ -236,7 +237,7 @@
     CHECK_FALSE(parse_node_settings("name = ", "boot.conf"));
   }
 
-  TEST_CASE("no change of octets makes a decoder misbehave") {
+  TEST_CASE("corrupted input does not crash the parsers") {
     std::mt19937_64 random(20261202);
     const PlatformPacketFormat format(8172);
     for (int round = 0; round < 20000; ++round) {
--- a/tests/unit/test_explain.cc
+++ b/tests/unit/test_explain.cc
@@ -1,4 +1,4 @@
-/// Four kinds of failed request, from the lines that the programs write to their cause.
+/// Traces failed requests and a version to their cause in the log lines of the programs.
 #include <doctest/doctest.h>
 
 #include "programs/explain.h"
@@ -17,8 +17,8 @@
 std::vector<std::string> events_of(const std::vector<ExplainedLine>& explained) {
   std::vector<std::string> events;
   events.reserve(explained.size());
-  for (const auto& one : explained) {
-    events.push_back(one.event);
+  for (const auto& explained_line : explained) {
+    events.push_back(explained_line.event);
   }
   return events;
 }
@@ -26,7 +26,7 @@
 }  // namespace
 
 TEST_SUITE("explain") {
-  TEST_CASE("refused with nothing run: no target was left") {
+  TEST_CASE("rejected flow: the decision with reason no_target is found by client address") {
     const auto explained =
         explain("100.64.0.7:40001",
                 {line("05.000", "edge-1", "flow_decision",
@@ -38,7 +38,7 @@
     CHECK(explained[0].text.find("no_target") != std::string::npos);
   }
 
-  TEST_CASE("reset because its target ended: the target's end stands before the reset") {
+  TEST_CASE("reset because the target ended: the end of the target precedes the reset") {
     const auto explained =
         explain(kFlow, {line("09.000", "edge-2", "flow_decision",
                              R"("flow":")" + kFlow + R"(","reason":"target_replaced","target":0)"),
@@ -51,7 +51,7 @@
     CHECK(explained[1].relation == "target of the flow");
   }
 
-  TEST_CASE("reset because its target is dead: the probes' conclusion follows the placement") {
+  TEST_CASE("reset because the target is unreachable: the detection follows the placement") {
     const auto explained = explain(
         kFlow, {line("01.000", "edge-1", "flow_decision",
                      R"("flow":")" + kFlow + R"(","reason":"placed","target":77)"),
@@ -62,7 +62,7 @@
     CHECK(explained[1].relation == "target of the flow");
   }
 
-  TEST_CASE("late because its node stopped: the node's end stands between its decisions") {
+  TEST_CASE("delayed because the node restarted: the restart follows the decision") {
     const auto explained =
         explain(kFlow, {line("01.000", "edge-1", "flow_decision",
                              R"("flow":")" + kFlow + R"(","reason":"placed","target":77)"),
@@ -74,7 +74,7 @@
     CHECK(explained[1].relation == "node of the flow");
   }
 
-  TEST_CASE("a version is followed from its submission to the nodes") {
+  TEST_CASE("a version is traced from its submission to the nodes") {
     const auto explained =
         explain("12", {line("02.000", "edge-1", "revision_in_force", R"("operator_version":12)"),
                        line("01.000", "core-1", "steering_submitted", R"("version":12)"),
