--- a/src/bench/bench_fleet.h
+++ b/src/bench/bench_fleet.h
@@ -20,7 +20,7 @@
  public:
   explicit BenchBalancer(const FleetState& fleet);
 
-  /// Opens flows with numbers below `events_run` that are not open yet, with one request each.
+  /// Opens flows until `count` are open, with one request each.
   void open_flows(std::uint32_t count);
   /// Sends one request and its response on a flow.
   void exchange(std::uint32_t flow);
--- a/src/programs/balancer_main.cc
+++ b/src/programs/balancer_main.cc
@@ -159,8 +159,8 @@
     return fail("--log_level must be debug, info, warning or error", kExitUsage);
   }
   std::unique_ptr<PosixDisk> disk;
-  if (const std::string folder = absl::GetFlag(FLAGS_data_folder); !folder.empty()) {
-    auto opened = PosixDisk::open(folder);
+  if (const std::string directory = absl::GetFlag(FLAGS_data_folder); !directory.empty()) {
+    auto opened = PosixDisk::open(directory);
     if (!opened) {
       return fail(opened.error().message, kExitFailure);
     }
--- a/src/standins/client_model.cc
+++ b/src/standins/client_model.cc
@@ -145,9 +145,9 @@
   }
 }
 
-void ClientModel::schedule_next_work(Instant now, Duration pause) {
+void ClientModel::schedule_next_work(Instant now, Duration delay) {
   outstanding_.reset();
-  next_work_ = now + pause;
+  next_work_ = now + delay;
 }
 
 void ClientModel::on_timeout(Instant now) {
@@ -200,12 +200,12 @@
     stats_.updates[outstanding_->id] =
         not_run ? UpdateOutcome::kNotRun : UpdateOutcome::kMayHaveRun;
   }
-  const Duration wait = std::chrono::seconds(summary.max_age.value_or(1));
+  const Duration retry_delay = std::chrono::seconds(summary.max_age.value_or(1));
   if (config_.kind == ClientKind::kDownload && next_block_ > 0) {
     ++stats_.broken_flows;
     next_block_ = 0;
   }
-  schedule_next_work(now, wait);
+  schedule_next_work(now, retry_delay);
 }
 
 void ClientModel::on_response(const CoapSummary& summary, const std::string& text, Instant now) {
--- a/src/standins/client_model.h
+++ b/src/standins/client_model.h
@@ -47,7 +47,7 @@
   std::uint64_t verdicts_not_run = 0;
   std::uint64_t verdicts_may_have_run = 0;
   std::uint64_t timeouts = 0;
-  /// Verdicts without a Max-Age that tells when to retry.
+  /// Verdicts without a Max-Age that says when to retry.
   std::uint64_t verdicts_without_max_age = 0;
   /// Time from the first transmission to the response.
   std::vector<Duration> latencies;
@@ -115,7 +115,7 @@
   void on_notification(const CoapSummary& summary, const std::string& text, Instant now);
   void on_block(const CoapSummary& summary, const std::string& text, Instant now);
   void on_timeout(Instant now);
-  void schedule_next_work(Instant now, Duration pause);
+  void schedule_next_work(Instant now, Duration delay);
 
   ClientConfig config_;
   ClientOutput& output_;
--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -75,16 +75,17 @@
       job.cancelled = true;
     }
   }
-  for (auto feed = observations_.begin(); feed != observations_.end(); ++feed) {
-    const bool matches =
-        feed->first.flow == header.flow && feed->second.last_message_id == summary.message_id;
+  for (auto observation = observations_.begin(); observation != observations_.end();
+       ++observation) {
+    const bool matches = observation->first.flow == header.flow &&
+                         observation->second.last_message_id == summary.message_id;
     if (!matches) {
       continue;
     }
     if (summary.type == CoapType::kReset) {
-      observations_.erase(feed);
+      observations_.erase(observation);
     } else {
-      feed->second.unacknowledged = 0;
+      observation->second.unacknowledged = 0;
     }
     return;
   }
@@ -159,17 +160,17 @@
   }
   std::vector<TokenKey> dead;
   for (auto& [key, observation] : observations_) {
-    if (now < feed.next_at) {
+    if (now < observation.next_at) {
       continue;
     }
-    if (feed.unacknowledged > kMaxUnacknowledged) {
+    if (observation.unacknowledged > kMaxUnacknowledged) {
       dead.push_back(key);
       continue;
     }
-    const bool confirmable = feed.sequence % kConfirmableInterval == 0;
-    notify(feed, confirmable ? CoapType::kConfirmable : CoapType::kNonConfirmable,
+    const bool confirmable = observation.sequence % kConfirmableInterval == 0;
+    notify(observation, confirmable ? CoapType::kConfirmable : CoapType::kNonConfirmable,
            next_message_id_++, now);
-    feed.unacknowledged += confirmable ? 1 : 0;
+    observation.unacknowledged += confirmable ? 1 : 0;
   }
   for (const auto& key : dead) {
     observations_.erase(key);
@@ -262,29 +263,30 @@
     respond(job.header, encode_coap(reply));
     return;
   }
-  Observation& feed = observations_[key];
-  feed.header = job.header;
-  feed.token = summary.token;
-  feed.id = id;
-  feed.unacknowledged = 0;
-  notify(feed, reply_type, summary.message_id, now);
+  Observation& observation = observations_[key];
+  observation.header = job.header;
+  observation.token = summary.token;
+  observation.id = id;
+  observation.unacknowledged = 0;
+  notify(observation, reply_type, summary.message_id, now);
 }
 
-void TargetModel::notify(Observation& feed, CoapType type, std::uint16_t message_id, Instant now) {
-  feed.next_at = now + config_.notification_interval;
-  feed.sequence = (feed.sequence + 1) & kObserveMask;
+void TargetModel::notify(Observation& observation, CoapType type, std::uint16_t message_id,
+                         Instant now) {
+  observation.next_at = now + config_.notification_interval;
+  observation.sequence = (observation.sequence + 1) & kObserveMask;
   CoapMessage message;
   message.type = type;
   message.code = coap_code::kContent;
   message.message_id = message_id;
-  message.token = feed.token;
-  message.observe = feed.sequence;
-  const std::string text = "feed " + feed.id + " from " + config_.name;
+  message.token = observation.token;
+  message.observe = observation.sequence;
+  const std::string text = "feed " + observation.id + " from " + config_.name;
   message.payload.assign(text.begin(), text.end());
   if (type != CoapType::kAcknowledgement) {
-    feed.last_message_id = message_id;
+    observation.last_message_id = message_id;
   }
-  respond(feed.header, encode_coap(message));
+  respond(observation.header, encode_coap(message));
 }
 
 TargetReport TargetModel::report(Instant now) {
--- a/src/standins/target_model.h
+++ b/src/standins/target_model.h
@@ -44,7 +44,7 @@
   std::uint32_t max_connections = 2000;
   std::uint32_t queue_limit = 16;
   Duration service_time = std::chrono::milliseconds(2);
-  /// Service time right after the start, falling to service_time within warm_up_time.
+  /// Service time at the start; falls linearly to service_time within warm_up_time.
   Duration warm_up_service_time = std::chrono::milliseconds(6);
   Duration warm_up_time = std::chrono::seconds(5);
   Duration notification_interval = std::chrono::milliseconds(500);
@@ -115,7 +115,7 @@
   void finish(const Job& job, Instant now);
   void respond(const ProxyHeader& header, const Bytes& message);
   void run_observe(const Job& job, const CoapSummary& summary, const std::string& id, Instant now);
-  void notify(Observation& feed, CoapType type, std::uint16_t message_id, Instant now);
+  void notify(Observation& observation, CoapType type, std::uint16_t message_id, Instant now);
   Bytes run_download(const FlowKey& flow, const CoapSummary& summary, const std::string& id);
   [[nodiscard]] std::string query_id() const;
   [[nodiscard]] Duration service_time(Instant now) const;
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -132,25 +132,26 @@
   }
 
   TEST_CASE("an invalid configuration is rejected with the name of the field") {
-    const auto refused = [](const std::string& body, const std::string& word) {
+    const auto rejected = [](const std::string& body, const std::string& word) {
       const auto settings = parse_steering_settings(body);
       REQUIRE_FALSE(settings);
       CHECK(settings.error().find(word) != std::string::npos);
     };
-    refused(kConfiguration.substr(0, kConfiguration.size() - 9), "JSON");
-    refused("[]", "version");
-    refused(replaced(kConfiguration, R"("service":"s1","attempts")", R"("service":"x","attempts")"),
-            "not declared");
-    refused(replaced(kConfiguration, "/8080/", "/8443/"), "same place");
-    refused(replaced(kConfiguration, R"("timeout_ms":1500)", R"("timeout_ms":0)"), "timeout_ms");
-    refused(replaced(kConfiguration, R"("weight":90)", R"("weight":-1)"), "weight");
-    refused(replaced(replaced(kConfiguration, R"("weight":90)", R"("weight":0)"), R"("weight":10)",
-                     R"("weight":0)"),
-            "weight");
-    refused(replaced(kConfiguration, R"({"service":"s2","weight":10})", R"({"service":"s2"})"),
-            "weight");
-    refused(replaced(kConfiguration, R"("version":7)", R"("version":"7")"), "version");
-    refused(replaced(kConfiguration, "198.18.0.1", "198.18.0"), "host");
+    rejected(kConfiguration.substr(0, kConfiguration.size() - 9), "JSON");
+    rejected("[]", "version");
+    rejected(
+        replaced(kConfiguration, R"("service":"s1","attempts")", R"("service":"x","attempts")"),
+        "not declared");
+    rejected(replaced(kConfiguration, "/8080/", "/8443/"), "same place");
+    rejected(replaced(kConfiguration, R"("timeout_ms":1500)", R"("timeout_ms":0)"), "timeout_ms");
+    rejected(replaced(kConfiguration, R"("weight":90)", R"("weight":-1)"), "weight");
+    rejected(replaced(replaced(kConfiguration, R"("weight":90)", R"("weight":0)"), R"("weight":10)",
+                      R"("weight":0)"),
+             "weight");
+    rejected(replaced(kConfiguration, R"({"service":"s2","weight":10})", R"({"service":"s2"})"),
+             "weight");
+    rejected(replaced(kConfiguration, R"("version":7)", R"("version":"7")"), "version");
+    rejected(replaced(kConfiguration, "198.18.0.1", "198.18.0"), "host");
   }
 
   TEST_CASE("announcements are parsed and invalid ones are rejected") {
@@ -180,10 +181,10 @@
     for (const char* const wrong :
          {"\"1764732526000\"", "-1", "1764732526000.5", "null", "true", "[1]", "{}", "1e400",
           "253402300800000", "99999999999999999999"}) {
-      const auto refused = with_start(wrong);
-      REQUIRE_FALSE(refused);
-      CHECK((refused.error().find("born") != std::string::npos ||
-             refused.error().find("JSON") != std::string::npos));
+      const auto rejected = with_start(wrong);
+      REQUIRE_FALSE(rejected);
+      CHECK((rejected.error().find("born") != std::string::npos ||
+             rejected.error().find("JSON") != std::string::npos));
     }
   }
 
@@ -197,7 +198,7 @@
 
   TEST_CASE("a malformed announcement is rejected with a message that can be serialized") {
     const std::string deep(100000, '[');
-    for (const std::string& foreign :
+    for (const std::string& malformed :
          {std::string(), std::string("null"), std::string("7"), std::string("[]"),
           std::string("\"text\""), std::string("{}"), std::string("\xc3\x28\xff"), deep,
           R"({"service":)" + deep, replaced(kAnnouncement, R"("slots":2)", R"("slots":-2)"),
@@ -207,10 +208,10 @@
           replaced(kAnnouncement, R"("ready")", R"("READY")"),
           replaced(kAnnouncement, R"("ready")", R"(0)"),
           replaced(kAnnouncement, R"("warmup_left_ms":0,)", "")}) {
-      const auto refused = parse_announcement("i-7f", foreign);
-      REQUIRE_FALSE(refused);
+      const auto rejected = parse_announcement("i-7f", malformed);
+      REQUIRE_FALSE(rejected);
       // The message may quote invalid UTF-8 and still has to fit into a JSON response.
-      CHECK(error_body(refused.error()).size() > 2);
+      CHECK(error_body(rejected.error()).size() > 2);
     }
   }
 
@@ -224,8 +225,8 @@
     CHECK(to_string(settings->replica_addresses()[1]) == "10.2.0.42:7720");
     CHECK(settings->link_bytes_per_s == 250000);
     CHECK(settings->zones == std::vector<std::string>{"z", "y"});
-    for (const char* absurd : {"", "0", "-2", "nan", "1e99", "fast", "2.0 "}) {
-      const std::string rate = "\"" + std::string(absurd) + "\"";
+    for (const char* implausible : {"", "0", "-2", "nan", "1e99", "fast", "2.0 "}) {
+      const std::string rate = "\"" + std::string(implausible) + "\"";
       const auto other = parse_node_settings(replaced(kSettings, "\"2.0\"", rate), "boot.conf");
       REQUIRE(other);
       CHECK(other->link_bytes_per_s == 0);
