--- a/src/standins/client_model.h
+++ b/src/standins/client_model.h
@@ -84,7 +84,7 @@
 
   void on_message(ByteView message, Instant now);
   void on_tick(Instant now);
-  /// Starts no new requests.
+  /// Starts no new requests; a broken observation is not registered again.
   void stop() { stopping_ = true; }
   [[nodiscard]] bool is_idle() const;
 
