--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -9,7 +9,8 @@
 
 constexpr std::size_t kMaxCachedResponses = 20000;
 constexpr std::uint32_t kMaxUnacknowledged = 8;
-/// Every so many notifications one is confirmable, so that dead feeds are found (RFC 7641 4.5).
+/// One notification out of this many is confirmable, to detect clients that are gone (RFC 7641,
+/// section 4.5).
 constexpr std::uint32_t kConfirmableInterval = 4;
 
 }  // namespace
@@ -31,11 +32,11 @@
   if (age >= config_.warm_up_time) {
     return config_.service_time;
   }
-  const double warm =
+  const double warm_share =
       static_cast<double>(age.count()) / static_cast<double>(config_.warm_up_time.count());
   const auto extra =
       static_cast<double>((config_.warm_up_service_time - config_.service_time).count());
-  return config_.service_time + Duration(static_cast<std::int64_t>(extra * (1 - warm)));
+  return config_.service_time + Duration(static_cast<std::int64_t>(extra * (1 - warm_share)));
 }
 
 void TargetModel::respond(const ProxyHeader& header, const Bytes& message) {
@@ -74,16 +75,17 @@
       job.cancelled = true;
     }
   }
-  for (auto feed = observations_.begin(); feed != observations_.end(); ++feed) {
-    const bool matches =
-        feed->first.flow == header.flow && feed->second.last_message_id == summary.message_id;
+  for (auto observation = observations_.begin(); observation != observations_.end();
+       ++observation) {
+    const bool matches = observation->first.flow == header.flow &&
+                         observation->second.last_message_id == summary.message_id;
     if (!matches) {
       continue;
     }
     if (summary.type == CoapType::kReset) {
-      observations_.erase(feed);
+      observations_.erase(observation);
     } else {
-      feed->second.unacknowledged = 0;
+      observation->second.unacknowledged = 0;
     }
     return;
   }
@@ -100,7 +102,8 @@
     return;
   }
   if (running_.size() >= config_.slots && queued_.size() >= config_.queue_limit) {
-    // A copy of a refused request is refused, too, also when there is room by then (RFC 7252 4.5).
+    // Caches the rejection: a retransmission must get the same response even if the queue has room
+    // by then (RFC 7252, section 4.5).
     cached_response(key) = encode_verdict({Execution::kNotRun, FailureReason::kOverload},
                                           summary.type, summary.message_id, summary.token);
     respond(header, cached_responses_[key]);
@@ -156,18 +159,18 @@
     }
   }
   std::vector<TokenKey> dead;
-  for (auto& [key, feed] : observations_) {
-    if (now < feed.next_at) {
+  for (auto& [key, observation] : observations_) {
+    if (now < observation.next_at) {
       continue;
     }
-    if (feed.unacknowledged > kMaxUnacknowledged) {
+    if (observation.unacknowledged > kMaxUnacknowledged) {
       dead.push_back(key);
       continue;
     }
-    const bool confirmable = feed.sequence % kConfirmableInterval == 0;
-    notify(feed, confirmable ? CoapType::kConfirmable : CoapType::kNonConfirmable,
+    const bool confirmable = observation.sequence % kConfirmableInterval == 0;
+    notify(observation, confirmable ? CoapType::kConfirmable : CoapType::kNonConfirmable,
            next_message_id_++, now);
-    feed.unacknowledged += confirmable ? 1 : 0;
+    observation.unacknowledged += confirmable ? 1 : 0;
   }
   for (const auto& key : dead) {
     observations_.erase(key);
@@ -227,16 +230,16 @@
   if (number == 0) {
     downloads_[flow] = id;
   }
-  const bool begun_here = downloads_[flow] == id;
+  const bool started_here = downloads_[flow] == id;
   const std::size_t start = std::min(std::size_t{number} * kDownloadBlockSize, content.size());
   const std::size_t size = std::min(kDownloadBlockSize, content.size() - start);
   CoapMessage reply;
   reply.type = summary.type == CoapType::kConfirmable ? CoapType::kAcknowledgement
                                                       : CoapType::kNonConfirmable;
-  reply.code = begun_here ? coap_code::kContent : coap_code::kEntityIncomplete;
+  reply.code = started_here ? coap_code::kContent : coap_code::kEntityIncomplete;
   reply.message_id = summary.message_id;
   reply.token = summary.token;
-  if (!begun_here) {
+  if (!started_here) {
     return encode_coap(reply);
   }
   reply.block2 = BlockOption{number, start + size < content.size(), kDownloadBlockExponent};
@@ -260,29 +263,30 @@
     respond(job.header, encode_coap(reply));
     return;
   }
-  Observation& feed = observations_[key];
-  feed.header = job.header;
-  feed.token = summary.token;
-  feed.id = id;
-  feed.unacknowledged = 0;
-  notify(feed, reply_type, summary.message_id, now);
+  Observation& observation = observations_[key];
+  observation.header = job.header;
+  observation.token = summary.token;
+  observation.id = id;
+  observation.unacknowledged = 0;
+  notify(observation, reply_type, summary.message_id, now);
 }
 
-void TargetModel::notify(Observation& feed, CoapType type, std::uint16_t message_id, Instant now) {
-  feed.next_at = now + config_.notification_interval;
-  feed.sequence = (feed.sequence + 1) & kObserveMask;
+void TargetModel::notify(Observation& observation, CoapType type, std::uint16_t message_id,
+                         Instant now) {
+  observation.next_at = now + config_.notification_interval;
+  observation.sequence = (observation.sequence + 1) & kObserveMask;
   CoapMessage message;
   message.type = type;
   message.code = coap_code::kContent;
   message.message_id = message_id;
-  message.token = feed.token;
-  message.observe = feed.sequence;
-  const std::string text = "feed " + feed.id + " from " + config_.name;
+  message.token = observation.token;
+  message.observe = observation.sequence;
+  const std::string text = "feed " + observation.id + " from " + config_.name;
   message.payload.assign(text.begin(), text.end());
   if (type != CoapType::kAcknowledgement) {
-    feed.last_message_id = message_id;
+    observation.last_message_id = message_id;
   }
-  respond(feed.header, encode_coap(message));
+  respond(observation.header, encode_coap(message));
 }
 
 TargetReport TargetModel::report(Instant now) {
