--- a/src/core/control/target_incarnations.h
+++ b/src/core/control/target_incarnations.h
@@ -1,7 +1,7 @@
 /// Order of target incarnations. A target may restart under the same id; its sequence numbers then
 /// start again, and the registration of the earlier incarnation is obsolete. Pure functions, used
 /// by log commands, by replicas that check announcements, and by the leader's monitor. All cases:
-/// docs/design/target-lives.md.
+/// docs/design/target-incarnations.md.
 #pragma once
 
 #include "model/steering.h"
