--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -31,7 +31,7 @@
 
 tl::expected<std::unique_ptr<SteeringTask>, std::string> SteeringTask::open(
     EventLoop& loop, SteeringTaskConfig config, const PacketFormat& format) {
-  auto socket = UdpSocket::open(loop, config.datagram_address);
+  auto socket = UdpSocket::open(loop, config.udp_address);
   if (!socket) {
     return tl::unexpected(socket.error());
   }
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -41,7 +41,7 @@
 struct SteeringTaskConfig {
   /// `member.address` identifies this process to the control replicas.
   Member self;
-  Endpoint datagram_address;
+  Endpoint udp_address;
   std::vector<Endpoint> control;
   std::string cluster;
   ClusterKeys keys;
--- a/tests/platform/test_platform.cc
+++ b/tests/platform/test_platform.cc
@@ -218,7 +218,7 @@
   TEST_CASE("node settings are parsed and an invalid field is named") {
     const auto settings = parse_node_settings(kSettings, "boot.conf");
     REQUIRE(settings);
-    CHECK(settings->datagram_address.port == 8172);
+    CHECK(settings->udp_address.port == 8172);
     CHECK(settings->control_address.port == 0);
     CHECK(settings->reflects_token);
     REQUIRE(settings->replica_addresses().size() == 2);
