--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""Runs the days in tests/days on one or more site files and prints one line for each.
+"""Runs the day files in tests/days (scenarios of the platform's bench) on one or more site files,
+and prints one line for each run.
 
 Usage: scripts/play_days.py --bench PATH [--why TEXT] [--days FOLDER] [--jobs N] SITE...
 With --vary N, also runs N randomly varied copies of each site.
--- a/scripts/recovery.py
+++ b/scripts/recovery.py
@@ -1,5 +1,6 @@
 #!/usr/bin/env python3
-"""Runs one day with several seeds and prints the recovery timeline after each loss of all machines.
+"""Runs one day (a scenario of the platform's bench) with several seeds and prints the recovery
+timeline after each loss of all machines.
 
 Usage: scripts/recovery.py --bench PATH --tree FOLDER [--seeds N] [--jobs N] SITE DAY
 
--- a/src/programs/balancer_main.cc
+++ b/src/programs/balancer_main.cc
@@ -87,24 +87,24 @@
     if (path == "/metrics") {
       std::vector<MetricSample> samples = to_samples(snapshot.counters);
       samples.push_back({"gorsevalve_revision",
-                         "Revision in force",
+                         "Applied revision",
                          static_cast<double>(snapshot.revision),
                          false,
                          {}});
       samples.push_back(
-          {"gorsevalve_flows", "Flows held", static_cast<double>(snapshot.flows), false, {}});
+          {"gorsevalve_flows", "Flow records", static_cast<double>(snapshot.flows), false, {}});
       samples.push_back({"gorsevalve_requests_held",
-                         "Requests held",
+                         "Request records",
                          static_cast<double>(snapshot.requests),
                          false,
                          {}});
       samples.push_back({"gorsevalve_messages_refused_total",
-                         "Messages that were not authentic",
+                         "Messages rejected as not authentic",
                          static_cast<double>(snapshot.messages_rejected),
                          true,
                          {}});
       samples.push_back({"gorsevalve_zones_evacuated",
-                         "Zones whose targets get no new work from here",
+                         "Evacuated zones, whose targets get no new work from this balancer",
                          static_cast<double>(snapshot.zones_evacuated),
                          false,
                          {}});
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -168,11 +168,11 @@
        static_cast<double>(rollout.revision), false},
       {"gorsevalve_control_members", "Balancer members", static_cast<double>(rollout.members),
        false},
-      {"gorsevalve_control_members_in_force", "Members that have the settings in force",
+      {"gorsevalve_control_members_in_force", "Members that have applied the settings",
        static_cast<double>(rollout.up_to_date), false},
       {"gorsevalve_control_zones_evacuated", "Zones that are evacuated by the committed state",
        static_cast<double>(node.state().fleet().steering.evacuated_zones.size()), false},
-      {"gorsevalve_control_messages_refused_total", "Messages that were not authentic",
+      {"gorsevalve_control_messages_refused_total", "Messages rejected as not authentic",
        static_cast<double>(control.messages_rejected()), true},
   });
 }
--- a/src/programs/explain.h
+++ b/src/programs/explain.h
@@ -20,7 +20,7 @@
 /// `lines` are JSON lines in any order. Other lines, and a prefix before the first brace, are
 /// ignored. `id` is a flow ("IP:port>IP:port", or its client "IP:port"), the number of a target, or
 /// a version. For a flow, lines about its targets are included, and state changes of the nodes that
-/// decided on it.
+/// logged it.
 std::vector<ExplainedLine> explain(const std::string& id, const std::vector<std::string>& lines);
 
 /// Formats each entry as one line of text.
--- a/src/sim/baseline_node.h
+++ b/src/sim/baseline_node.h
@@ -13,8 +13,8 @@
 
 class BaselineNode : public BalancerNode {
  public:
-  BaselineNode(const BalancerConfig& config, BalancerOutput& output, bool copies)
-      : self_(config.self), output_(output), replicates_(copies) {}
+  BaselineNode(const BalancerConfig& config, BalancerOutput& output, bool replicates)
+      : self_(config.self), output_(output), replicates_(replicates) {}
 
   void on_datagram(ByteView datagram, Instant now) override;
   void on_peer_message(const Endpoint& from, const PeerMessage& message, Instant now) override;
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -46,7 +46,7 @@
          config.notification_interval = seconds(5);
        },
        [](World&) {}, kPlannedLossless},
-      {"many_feeds_drain", "the same while targets drain and join, and balancers restart",
+      {"many_feeds_drain", "as many_feeds, while targets drain and join, and balancers restart",
        [](WorldConfig& config) {
          disable_loss(config);
          config.clients = {1500, 10, 20, 10};
@@ -97,7 +97,7 @@
          schedule(world, add_target, 1);
        },
        kPlannedLossless},
-      {"planned_lossy", "the same with packet loss",
+      {"planned_lossy", "as planned_together without new targets, with packet loss",
        [](WorldConfig& config) { config.network.loss = 0.01; },
        [](World& world) {
          schedule(world, planned_restart, 2);
@@ -273,7 +273,7 @@
          race_operators(world, 2, 2);
        },
        kPartitioned},
-      {"regions_cut_for_an_hour", "the same for an hour, with low load",
+      {"regions_cut_for_an_hour", "as regions_cut, for an hour with low load",
        [](WorldConfig& config) {
          config.zones = 5;
          config.balancers_per_zone = 1;
--- a/src/sim/sim_main.cc
+++ b/src/sim/sim_main.cc
@@ -202,7 +202,7 @@
                 violation.detail.c_str());
   }
   for (std::size_t i = 0; i < kFailureReasonCount; ++i) {
-    std::printf("given up, %s: %llu\n",
+    std::printf("failed requests, %s: %llu\n",
                 std::string(to_string(static_cast<FailureReason>(i))).c_str(),
                 static_cast<unsigned long long>(result.failures_by_reason[i]));
   }
--- a/src/sim/world_checks.cc
+++ b/src/sim/world_checks.cc
@@ -28,14 +28,14 @@
                                 id + " ran " + std::to_string(count) + " times");
     }
   }
-  for (const auto& [id, fate] : stats.updates) {
+  for (const auto& [id, outcome] : stats.updates) {
     const auto found = executions.find(id);
     const std::uint32_t count = found == executions.end() ? 0 : found->second;
-    if (fate == UpdateOutcome::kNotRun && count != 0) {
+    if (outcome == UpdateOutcome::kNotRun && count != 0) {
       checker_.report_violation(Invariant::kExecutedDespiteNotRun,
                                 id + " ran despite the verdict not run");
     }
-    if (fate == UpdateOutcome::kDone && count == 0) {
+    if (outcome == UpdateOutcome::kDone && count == 0) {
       checker_.report_violation(Invariant::kLostUpdate, id + " was acknowledged but did not run");
     }
   }
--- a/src/standins/target_model.cc
+++ b/src/standins/target_model.cc
@@ -158,13 +158,13 @@
       }
     }
   }
-  std::vector<TokenKey> dead;
+  std::vector<TokenKey> expired;
   for (auto& [key, observation] : observations_) {
     if (now < observation.next_at) {
       continue;
     }
     if (observation.unacknowledged > kMaxUnacknowledged) {
-      dead.push_back(key);
+      expired.push_back(key);
       continue;
     }
     const bool confirmable = observation.sequence % kConfirmableInterval == 0;
@@ -172,7 +172,7 @@
            next_message_id_++, now);
     observation.unacknowledged += confirmable ? 1 : 0;
   }
-  for (const auto& key : dead) {
+  for (const auto& key : expired) {
     observations_.erase(key);
   }
 }
--- a/tests/platform/soak/caller.py
+++ b/tests/platform/soak/caller.py
@@ -105,14 +105,14 @@
             self.write(ACK)
 
     def on_reset(self, packet, sender):
-        by_system = packet.is_balancer_reset()
-        if by_system and self.opened.done() and not self.ended.done():
+        by_balancer = packet.is_balancer_reset()
+        if by_balancer and self.opened.done() and not self.ended.done():
             world = self.client.world
             holder = world.holder_of(self.key)
             if holder is None or world.paths.is_undisturbed(world.zone_of(sender), holder.zone):
                 world.promises.on_client_reset(self.key, self.frontend, holder)
         if not self.ended.done():
-            self.ended.set_result("system" if by_system else "target")
+            self.ended.set_result("system" if by_balancer else "target")
         self.sender.stop()
         self.arrived.set()
 
--- a/tests/platform/soak/link_faults.py
+++ b/tests/platform/soak/link_faults.py
@@ -14,7 +14,7 @@
     def __init__(self, world):
         self.world = world
         self.random = world.random
-        # Held while a replica is being replaced or a zone is isolated.
+        # Held while a replica is wiped or replaced, or a zone is isolated.
         self.control_lock = asyncio.Lock()
 
     @contextlib.contextmanager
--- a/tests/platform/soak/machine.py
+++ b/tests/platform/soak/machine.py
@@ -147,12 +147,12 @@
     def reload_settings(self):
         """Rewrites the settings and sends SIGHUP."""
         self.write_settings()
-        # SIGHUP ends a process that has not yet installed its handlers.
+        # SIGHUP ends a process that was just started and does not ignore it yet.
         if self.is_running and now() - self.started_at > STARTUP_TIME:
             self.popen.send_signal(signal.SIGHUP)
 
     def fill_disk(self):
-        """Makes all further growth of files fail."""
+        """Makes writes fail that exceed the size of the largest existing file."""
         self.begin_disturbance()
         sizes = [path.stat().st_size for path in self.data_directory.rglob("*") if path.is_file()]
         self._limit_files(max(sizes, default=0))
--- a/tests/platform/soak/promises.py
+++ b/tests/platform/soak/promises.py
@@ -36,7 +36,6 @@
         self.violations.append(f"{rule}: {text}")
         print(f"VIOLATED {rule}: {text}", flush=True)
 
-    # Faults in progress.
     def begin_fault(self):
         self.active_faults += 1
         self.undisturbed_since = None
@@ -120,12 +119,13 @@
     # Observations of clients.
     def on_client_reset(self, flow, frontend, holder):
         """A balancer reset a flow that was open at a target."""
-        dropped = any(frontend not in routes for routes in self.sent_versions.values())
-        if holder is not None and holder.is_running and not dropped:
+        route_was_missing = any(frontend not in routes for routes in self.sent_versions.values())
+        if holder is not None and holder.is_running and not route_was_missing:
             self.report("FLOW", f"{flow} was reset while it was open at {holder.name}")
 
     def on_probe(self, machine, frontend, sent_at, outcome):
-        """A balancer opened or refused a flow; a version that may be applied must allow this."""
+        """A balancer opened or rejected a flow. At least one version that it may have applied must
+        allow this outcome."""
         self.counts["probes"] += 1
         is_undisturbed = self.disturbances.was_undisturbed(machine, sent_at)
         if outcome == "refused" and not is_undisturbed:
@@ -135,7 +135,7 @@
         allowed = self.allowed_from_version(frontend, min_version)
         self.counts["probes with a time limit"] += 1 if is_undisturbed and min_version > 0 else 0
         if (None if outcome == "refused" else outcome) not in allowed:
-            self.report("CONFIG", f"{machine} {'refused' if outcome == 'refused' else 'opened at ' + outcome} "
+            self.report("CONFIG", f"{machine} {'rejected' if outcome == 'refused' else 'opened at ' + outcome} "
                                   f"{frontend}, sent {now() - sent_at:.2f} s ago; versions from {min_version} "
                                   f"allow {allowed}")
 
@@ -147,5 +147,5 @@
         min_version = self.acknowledged_before(sent_at - APPLY_LIMIT)
         versions = [routes for version, routes in self.sent_versions.items() if version >= min_version]
         if versions and all(frontend in routes for routes in versions):
-            self.report("CONFIG", f"{frontend} was refused although all versions from {min_version} "
+            self.report("CONFIG", f"{frontend} was rejected although all versions from {min_version} "
                                   f"have a route for it")
--- a/tests/platform/soak/version_watch.py
+++ b/tests/platform/soak/version_watch.py
@@ -1,5 +1,5 @@
 """Reads the applied configuration version and the evacuated zones from the metrics of each
-balancer, and checks how long it lags behind the newest acknowledged version.
+balancer, and checks how long each one lags behind the newest acknowledged version.
 
 Stricter than the rule of the platform: an undisturbed balancer must keep up even while replicas are
 disturbed, because a change is acknowledged only by a working majority.
--- a/tests/platform/soak/world.py
+++ b/tests/platform/soak/world.py
@@ -75,7 +75,7 @@
         self.all_machines += self.balancers
         self.zones_by_ip.update({machine.ip: machine.zone for machine in self.balancers})
         self.links = {machine.ip: LinkShaper(float(self.link_rate)) for machine in self.balancers}
-        # Factor for polling intervals: this program has one thread for all balancers.
+        # Scales the polling intervals with the number of balancers: one thread polls all of them.
         self.interval_factor = balancers_per_zone / BALANCERS_PER_ZONE
         self.version_watches = [VersionWatch(self, machine) for machine in self.balancers]
 
--- a/tests/platform/soak/zone_paths.py
+++ b/tests/platform/soak/zone_paths.py
@@ -15,7 +15,7 @@
     # The longest time without a response for any client of the zone, in seconds.
     longest_outage: float = 0.0
     # Opening packets that balancers sent across the cut, by direction, and the time of the last one
-    # in seconds after the start.
+    # in seconds after the start of the cut.
     openings_out: int = 0
     openings_in: int = 0
     last_opening_after: float = 0.0
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -32,7 +32,7 @@
 
 
 class ProgramTest(unittest.TestCase):
-    """Starts one balancer without replicas for each test."""
+    """Runs one balancer whose control replicas are not running."""
 
     def setUp(self):
         directory = tempfile.TemporaryDirectory()
@@ -64,7 +64,6 @@
         return False
 
     def test_a_reload_signal_during_the_start_does_not_end_the_process(self):
-        # SIGHUP before the handlers were installed must not end the process.
         os.mkfifo(self.path)
         process = self.start()
         with open(self.path, "w", encoding="utf-8") as settings:
