--- a/src/sim/scenario_actions.cc
+++ b/src/sim/scenario_actions.cc
@@ -68,7 +68,7 @@
 }
 void pause_balancer(World& world) {
   SimBalancer& balancer = *world.balancers()[random_balancer(world)];
-  world.note("pause " + balancer.config().name);
+  world.note("freeze " + balancer.config().name);
   balancer.pause(world.random().between(seconds(1), seconds(14)));
 }
 void isolate_balancer(World& world) {
@@ -111,7 +111,7 @@
 }
 void pause_leader(World& world) {
   if (const auto leader = world.leader()) {
-    world.note("pause leader");
+    world.note("freeze leader");
     world.controls()[*leader]->pause(world.random().between(seconds(1), seconds(6)));
   }
 }
--- a/src/sim/sim_balancer.cc
+++ b/src/sim/sim_balancer.cc
@@ -134,7 +134,7 @@
 void SimBalancer::on_lease(Instant until) { node_->on_lease(until); }
 
 void SimBalancer::on_removed(Instant now) {
-  context().trace.note(now, config_.name + " was removed from the members");
+  context().trace.note(now, config_.name + " was expelled");
   past_counters_.push_back(node_->counters());
   const std::uint64_t incarnation = context().random.next();
   make_node(make_self(incarnation));
--- a/src/sim/sim_operator.cc
+++ b/src/sim/sim_operator.cc
@@ -95,11 +95,10 @@
     return;
   }
   context_.checker.on_outcome({result.outcome, submission_->base_revision});
-  context_.trace.note(
-      context_.events.now(),
-      name_ + " " + id +
-          (result.outcome.accepted ? " accepted as " : " rejected, conflicts with ") +
-          std::to_string(result.outcome.revision));
+  context_.trace.note(context_.events.now(),
+                      name_ + " " + id +
+                          (result.outcome.accepted ? " accepted as " : " lost against ") +
+                          std::to_string(result.outcome.revision));
   if (result.outcome.accepted) {
     accepted_.emplace(result.outcome.revision, context_.events.now());
     edits_.pop_front();
