--- a/src/codec/coap.cc
+++ b/src/codec/coap.cc
@@ -256,7 +256,7 @@
                              std::uint32_t value) {
   constexpr std::size_t kValueSize = 3;
   constexpr std::uint8_t kTokenLengthMask = 0x0F;
-  // Options before Observe (6) are If-Match (1), Uri-Host (3), ETag (4) and If-None-Match (5).
+  // Options are encoded in ascending order of their numbers; those before Observe are skipped.
   std::size_t position = kHeaderSize + (buffer[0] & kTokenLengthMask);
   std::uint16_t number = 0;
   while (position < size && buffer[position] != kPayloadMarker) {
--- a/src/codec/coap.h
+++ b/src/codec/coap.h
@@ -26,7 +26,7 @@
   kReset = 3,
 };
 
-/// Codes that the code refers to by name (RFC 7252 section 12.1).
+/// Method and response codes (RFC 7252 section 12.1, RFC 7959, RFC 8132).
 namespace coap_code {
 constexpr std::uint8_t kEmpty = 0x00;
 constexpr std::uint8_t kGet = 0x01;
--- a/src/codec/compression.cc
+++ b/src/codec/compression.cc
@@ -9,7 +9,7 @@
 
 /// Size of the field with the uncompressed size (little endian), in bytes.
 constexpr std::size_t kSizeField = 4;
-/// zlib's fastest level; settings are so repetitive that a higher one gains little.
+/// zlib's fastest level.
 constexpr int kZlibLevel = 1;
 /// Upper bound of uncompressed to compressed size (zlib reaches about 1032).
 constexpr std::size_t kMaxExpansionRatio = 1100;
--- a/src/codec/envelope.cc
+++ b/src/codec/envelope.cc
@@ -163,11 +163,12 @@
 }
 
 bool Envelope::has_valid_mac(ByteView sealed) {
-  const ByteView signed_part = sealed.first(sealed.size() - kMacSize);
+  const ByteView authenticated_part = sealed.first(sealed.size() - kMacSize);
   const ByteView mac = sealed.last(kMacSize);
-  return std::any_of(
-      authenticators_.begin(), authenticators_.end(),
-      [&](MessageAuthenticator& authenticator) { return authenticator.verify(signed_part, mac); });
+  return std::any_of(authenticators_.begin(), authenticators_.end(),
+                     [&](MessageAuthenticator& authenticator) {
+                       return authenticator.verify(authenticated_part, mac);
+                     });
 }
 
 tl::expected<OpenedMessage, EnvelopeError> Envelope::open(ByteView sealed) {
--- a/src/codec/envelope.h
+++ b/src/codec/envelope.h
@@ -83,7 +83,8 @@
 
   [[nodiscard]] tl::expected<OpenedMessage, EnvelopeError> open(ByteView sealed);
 
-  /// True when the datagram starts with the magic of an envelope; PROXY headers never do.
+  /// True when the datagram starts with the magic of an envelope and is large enough for one. PROXY
+  /// headers never start with it.
   [[nodiscard]] static bool has_envelope_magic(ByteView datagram);
 
  private:
--- a/src/codec/message_authentication.h
+++ b/src/codec/message_authentication.h
@@ -14,8 +14,8 @@
 
 using MessageMac = std::array<std::uint8_t, 16>;
 
-/// Authenticates messages with one key. Keeps an initialized context, since looking up the
-/// algorithm costs more than authenticating a message.
+/// Authenticates messages with one key. Keeps an initialized context, which avoids looking up the
+/// algorithm for each message.
 class MessageAuthenticator {
  public:
   explicit MessageAuthenticator(const std::string& key);
--- a/src/core/link/bulk_admission.cc
+++ b/src/core/link/bulk_admission.cc
@@ -7,17 +7,16 @@
 
 /// A flow without data for this long is removed; clients retransmit at least every 1.6 s.
 constexpr Duration kIdleTimeout = std::chrono::seconds(2);
-/// A flow that has reached the average size is expected to send this many more bytes:
-/// one window.
+/// Lower bound of the bytes that an open flow is still expected to send: one window of 16 packets.
 constexpr double kMinRemainingBytes = 16 * 1200;
 /// Weight of a new flow size in the moving average.
 constexpr double kAverageWeight = 0.05;
 /// Share of the link rate that bulk flows may use; the rest is for short requests, which are never
 /// rejected.
 constexpr double kBulkShare = 0.75;
-/// Open flows may take the client timeout divided by this: flow sizes vary, and many flows take
-/// twice the average time. A bound by the latency objective would also reject uploads that can
-/// still finish before the timeout.
+/// A new flow is rejected when the link would need more than the client timeout divided by this for
+/// all open flows. The margin covers flows that are larger than average. The latency objective as
+/// the bound would also reject uploads that can still finish before the timeout.
 constexpr int kTimeoutDivisor = 2;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
--- a/src/core/link/bulk_admission.h
+++ b/src/core/link/bulk_admission.h
@@ -27,12 +27,13 @@
 
   /// Decides on a new flow whose client times out after `timeout`. Returns false when sending all
   /// open flows and this one is expected to take longer than half of `timeout`, or when kMaxFlows
-  /// are open. Retransmissions of an admitted opening packet are admitted, too.
+  /// are open. Always returns true when no other flow is open, on a link of unknown rate, and for
+  /// retransmissions of an admitted opening packet.
   bool try_admit(const SteeredFlow& flow, Duration timeout, Instant now);
   /// Records a packet of an open flow that carries this many new (not retransmitted) bytes.
   void on_data(const SteeredFlow& flow, std::size_t bytes, Instant now);
-  /// Records that the client closed the flow or was notified that it has ended. `is_complete` is
-  /// true when the client closed it, which makes its size count for the average.
+  /// Records that the client closed or reset the flow, or was notified of its end. `is_complete` is
+  /// true only when the client closed it; only then does its size count for the average.
   void on_flow_end(const SteeredFlow& flow, bool is_complete);
   /// Removes idle flows; called about once a second.
   void on_tick(Instant now);
--- a/src/core/link/link_model.cc
+++ b/src/core/link/link_model.cc
@@ -8,13 +8,14 @@
 
 using std::chrono::milliseconds;
 
-/// Covers several packets on a slow link, and still follows a transfer of 160 ms.
+/// Half-life of the utilization estimate: long enough to average over several packets of a slow
+/// link, short enough to reflect a transfer of 160 ms.
 constexpr Duration kHalfLife = milliseconds(200);
 constexpr double kMicrosecondsPerSecond = 1e6;
 /// Steady-state decaying sum at 1 byte per second: kHalfLife in seconds divided by ln 2.
 constexpr double kDecayedSumPerRate = 0.2 / 0.6931471805599453;
-/// Probes and their replies are queued behind other data. A third of the probe timeout (60 ms) is
-/// tolerable.
+/// Send backlog above which the link is congested: a third of the minimum reply timeout of probes
+/// (60 ms), since probes and their replies are queued behind other data.
 constexpr Duration kCongestionThreshold = milliseconds(20);
 
 double seconds_between(Instant from, Instant to) {
--- a/src/core/link/link_model.h
+++ b/src/core/link/link_model.h
@@ -32,13 +32,13 @@
   [[nodiscard]] Duration send_backlog(Instant now) const { return out_.backlog(now, rate_); }
   /// Time at which the link will have sent everything that was passed to it.
   [[nodiscard]] Instant send_backlog_end() const { return out_.backlog_end(rate_); }
-  /// Recent share of the usable rate, 0 to 1.
+  /// Recent traffic divided by the usable rate; may exceed 1 after a burst.
   [[nodiscard]] double receive_utilization(Instant now) const {
     return in_.utilization(now, rate_);
   }
   [[nodiscard]] double send_utilization(Instant now) const { return out_.utilization(now, rate_); }
-  /// True while queueing on the link may delay replies, which makes a missing reply no evidence
-  /// against the peer.
+  /// True while queueing on the link may delay replies so long that a missing reply does not
+  /// indicate a failed peer.
   [[nodiscard]] bool is_congested(Instant now) const;
 
  private:
--- a/src/core/link/link_scheduler.cc
+++ b/src/core/link/link_scheduler.cc
@@ -189,7 +189,8 @@
   const bool is_late = queue.late_at && now >= *queue.late_at;
   queue.start_tag += is_late ? kLateFlowCost * slot.size : slot.size;
   queue.last_active_at = now;
-  // Opening packets and pure acknowledgements have the sequence number of the data that follows.
+  // Opening packets and pure acknowledgements have the sequence number of the data that follows,
+  // which must not be taken for a retransmission of them.
   if (slot.data_size == 0) {
     return;
   }
@@ -210,7 +211,7 @@
       free_slot(index);
       continue;
     }
-    // Virtual time advances with the service given, which keeps a continuous arrival of new flows
+    // Virtual time advances with each packet sent, which keeps a continuous arrival of new flows
     // from starving queued ones.
     virtual_time_ = std::max(virtual_time_, queue.start_tag) +
                     static_cast<double>(slot.size) / static_cast<double>(active_queues_.size() + 1);
--- a/src/core/link/link_scheduler.h
+++ b/src/core/link/link_scheduler.h
@@ -6,7 +6,7 @@
 /// 1996). The first queued packet of each flow has a start tag, and the lowest tag is sent first; a
 /// flow that becomes active starts at the current virtual time. Short requests thus overtake queued
 /// transfers, transfers share the link evenly, and no flow starves. Within a flow, packets are sent
-/// in sequence order, which keeps the acknowledgements of targets steady.
+/// in sequence order, so that targets can acknowledge each packet as it arrives.
 ///
 /// Deterministic, does no I/O and reads no clock. On a link of unknown rate nothing is queued.
 #pragma once
@@ -34,19 +34,19 @@
   std::uint64_t retransmissions_suppressed = 0;
   /// The queue or the flow table was full, or the datagram was too large.
   std::uint64_t dropped_queue_full = 0;
-  /// The client had timed out or ended the flow.
+  /// The client had timed out, or the flow had ended.
   std::uint64_t dropped_expired = 0;
 };
 
 /// Time limits of a packet, relative to its arrival.
 struct PacketDeadlines {
-  /// The client has given up on the packet after this time, and it is dropped.
+  /// The client times out after this time; the packet is then dropped.
   Duration timeout{0};
   /// The flow counts as late this long after its first queued packet; 0 for never.
   Duration late_after{0};
 };
 
-/// A datagram to send now; `bytes` are valid until the next call.
+/// A datagram to send now; `bytes` are valid until the next call of `enqueue` or `dequeue`.
 struct DequeuedDatagram {
   Endpoint to;
   ByteView bytes;
@@ -71,7 +71,8 @@
 
   /// True for a retransmission of a packet that is still queued, or was sent so recently that its
   /// acknowledgement may be in flight. Dropping it is safe: clients retransmit every 200 ms or
-  /// later until they get an acknowledgement, and a later retransmission is forwarded.
+  /// later until they get an acknowledgement, and a later retransmission is forwarded. Increments
+  /// `retransmissions_suppressed` when true.
   [[nodiscard]] bool is_redundant_retransmission(const ClientPacket& packet, Instant now);
 
   /// Queues a datagram of `size` bytes for a client's packet. Returns the buffer to fill
@@ -105,7 +106,7 @@
     std::uint32_t sequence = 0;
     std::uint32_t data_size = 0;
     Instant enqueued_at;
-    /// Time after which the client has given up on the packet.
+    /// Time at which the client times out; the packet is then dropped.
     Instant expires_at;
     /// Next packet of the same flow, or next free slot.
     std::uint32_t next = kNoSlot;
--- a/src/core/link/link_shaper.cc
+++ b/src/core/link/link_shaper.cc
@@ -5,7 +5,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Time after which clients give up on an opening packet.
+/// Time after which clients no longer wait for the reply to an opening packet.
 constexpr Duration kOpeningTimeout = std::chrono::milliseconds(1400);
 /// Client timeout for a flow whose frontend is no longer known.
 constexpr Duration kDefaultTimeout = std::chrono::seconds(8);
--- a/src/core/link/link_shaper.h
+++ b/src/core/link/link_shaper.h
@@ -25,7 +25,7 @@
   LinkShaper(const LinkShaper&) = delete;
   LinkShaper& operator=(const LinkShaper&) = delete;
 
-  /// Handles a packet received from a client; `frontend` may be nullptr.
+  /// Handles a packet received from a client; `frontend` is nullptr when it is no longer known.
   LinkDecision on_packet(const ClientPacket& packet, std::size_t size, const FrontendView* frontend,
                          Instant now);
   /// Records that the client was notified of the end of its flow by a datagram of `size`
@@ -33,7 +33,7 @@
   void on_reset(const SteeredFlow& flow, std::size_t size, Instant now);
   void on_tick(Instant now);
 
-  /// Time limits of the clients of a frontend for a packet that is queued now.
+  /// Time limits of a packet from a client of `frontend`; `opens` is true for an opening packet.
   [[nodiscard]] static PacketDeadlines packet_deadlines(const FrontendView* frontend, bool opens);
 
   [[nodiscard]] LinkScheduler& scheduler() { return scheduler_; }
--- a/src/core/routing/bounded_rendezvous.cc
+++ b/src/core/routing/bounded_rendezvous.cc
@@ -28,11 +28,11 @@
   };
   std::vector<std::uint32_t> result(candidates.size());
   std::vector<Remainder> remainders;
-  std::uint32_t given = 0;
+  std::uint32_t assigned = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const std::uint64_t scaled = std::uint64_t{candidates[i].weight} * slot_count;
     result[i] = static_cast<std::uint32_t>(scaled / total_weight);
-    given += result[i];
+    assigned += result[i];
     if (candidates[i].weight > 0) {
       remainders.push_back({scaled % total_weight, candidates[i].key, i});
     }
@@ -40,13 +40,13 @@
   std::sort(remainders.begin(), remainders.end(), [](const Remainder& a, const Remainder& b) {
     return a.fraction != b.fraction ? a.fraction > b.fraction : a.key < b.key;
   });
-  for (std::size_t i = 0; given < slot_count; ++i, ++given) {
+  for (std::size_t i = 0; assigned < slot_count; ++i, ++assigned) {
     ++result[remainders[i % remainders.size()].index];
   }
   return result;
 }
 
-/// A slot held by a candidate, ordered by score.
+/// Proposal of a slot to a candidate, ordered by score.
 struct Claim {
   std::uint64_t score = 0;
   std::uint32_t slot = 0;
@@ -86,7 +86,7 @@
   }
 
   /// Proposes to candidates whose score is below `bound`, best first, until one accepts. Returns
-  /// the claim that was displaced, with the score at which it was rejected.
+  /// the proposal that this displaces; its score is the bound for the next proposals of its slot.
   std::optional<Claim> propose(std::uint32_t slot, std::uint64_t bound) {
     while (true) {
       const std::uint32_t best = best_below(slot, bound);
--- a/src/core/routing/bounded_rendezvous.h
+++ b/src/core/routing/bounded_rendezvous.h
@@ -1,7 +1,7 @@
 /// Rendezvous hashing with bounded loads: assigns numbered slots to weighted candidates so that
-/// each candidate gets its exact share, within one slot. The result depends on the candidates only,
-/// not on earlier assignments, so every process that knows the same candidates computes the same
-/// table, and the table is neither sent nor stored. Sources: Thaler and Ravishankar, "Using
+/// each candidate gets its share, rounded to whole slots. The result depends on the candidates
+/// only, not on earlier assignments, so every process that knows the same candidates computes the
+/// same table, and the table is neither sent nor stored. Sources: Thaler and Ravishankar, "Using
 /// name-based mappings to increase hit rates" (1998); Mirrokni, Thorup and Zadimoghaddam,
 /// "Consistent hashing with bounded loads" (2018).
 #pragma once
--- a/src/model/fleet.h
+++ b/src/model/fleet.h
@@ -49,7 +49,7 @@
   Revision revision = 0;
   /// Revision of the last settings change.
   Revision settings_revision = 0;
-  /// Revision of the last membership change; the epoch of partition ownership.
+  /// Revision of the last membership change; identifies the current partition owners.
   Revision members_revision = 0;
   /// Number of membership changes so far.
   std::uint32_t members_epoch = 0;
--- a/src/model/flow.h
+++ b/src/model/flow.h
@@ -29,7 +29,7 @@
 /// 64-bit hash of a flow (XXH3), identical in all processes and versions.
 std::uint64_t flow_hash(const FlowKey& flow);
 
-/// Second, independent hash of a flow, for its alternative slot.
+/// Second, independent hash of a flow, for its alternative slot of the service.
 std::uint64_t flow_hash_alternative(const FlowKey& flow);
 
 /// Identifies one dispatched request across the fleet. The owner writes it into the datagram to the
--- a/src/model/steering.h
+++ b/src/model/steering.h
@@ -148,7 +148,7 @@
   TargetPhase phase = TargetPhase::kReady;
   /// Increases with each announcement of an incarnation.
   std::uint64_t sequence = 0;
-  /// Remaining warm-up time at the announcement; 0 for a warm target.
+  /// Remaining warm-up time at the announcement; 0 when the warm-up is complete.
   std::uint32_t warm_up_ms = 0;
 
   [[nodiscard]] TargetIncarnation incarnation() const { return {id, started_at_ms}; }
@@ -175,8 +175,8 @@
   }
 };
 
-/// Targets ordered by id. A tree, because an insertion into a sorted array would move the targets
-/// behind it.
+/// Targets ordered by id. A B-tree, because an insertion into a sorted array would move all later
+/// targets.
 using TargetMap = absl::btree_map<TargetId, RegisteredTarget>;
 
 /// Complete steering state. Frontends are ordered by address, targets by id, evacuated zones by
--- a/src/model/target_health.cc
+++ b/src/model/target_health.cc
@@ -5,12 +5,12 @@
 namespace gorsevalve {
 namespace {
 
-std::vector<FlowToken> tokens_where(const std::vector<TargetHealth>& figures,
+std::vector<FlowToken> tokens_where(const std::vector<TargetHealth>& entries,
                                     bool TargetHealth::*property) {
   std::vector<FlowToken> tokens;
-  for (const auto& figure : figures) {
-    if (figure.*property) {
-      tokens.push_back(figure.token);
+  for (const auto& entry : entries) {
+    if (entry.*property) {
+      tokens.push_back(entry.token);
     }
   }
   std::sort(tokens.begin(), tokens.end());
--- a/src/settings/table_reader.h
+++ b/src/settings/table_reader.h
@@ -23,7 +23,7 @@
   /// Reports every key that is not in `known`.
   void reject_unknown_keys(const std::vector<std::string_view>& known) const;
 
-  /// Required values. On error, they report it and return a default value.
+  /// Read required values. Report a missing or invalid value and return a default for it.
   [[nodiscard]] std::string non_empty_string(std::string_view key) const;
   [[nodiscard]] std::int64_t integer(std::string_view key, std::int64_t minimum,
                                      std::int64_t maximum) const;
@@ -38,7 +38,8 @@
   /// Readers for the elements of an array of tables; empty when the key is absent.
   [[nodiscard]] std::vector<TableReader> tables(std::string_view key) const;
 
-  /// Reports an error at a key, or at the table when the key is absent.
+  /// Reports an error at a key, or at the table when the key is absent. An error that was already
+  /// reported for the field is not repeated.
   void add_error(std::string_view key, const std::string& message) const;
 
   [[nodiscard]] const std::string& path() const { return path_; }
--- a/src/storage/disk.h
+++ b/src/storage/disk.h
@@ -1,4 +1,5 @@
-/// Interface to the file operations that durable state needs. Tests inject faults below it.
+/// Interface to the file operations that durable state needs. Tests use an implementation that
+/// injects faults.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +31,9 @@
 using StorageResult = tl::expected<T, StorageError>;
 
 /// Files of one data directory, addressed by file name. A write is durable only after a successful
-/// `sync` of the file, or when the operation is documented to sync. After a failed sync the content
-/// of the file is unknown; the process must stop and not retry.
+/// `sync` of the file, or when the operation is documented to sync. After a failed append or sync,
+/// the content past the last synced size is unknown; the file must be truncated to that size before
+/// the next append.
 class Disk {
  public:
   virtual ~Disk() = default;
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -29,9 +29,8 @@
   LogIndex committed = 0;
 };
 
-/// Version of the on-disk formats of a replica's directory. 2 added LogFrame::committed, 3
-/// HardState::leader, 4 the request classes of frontends, warm-up of pools and evacuated zones, 5
-/// the start times of targets.
+/// Version of the on-disk formats of a replica's directory. A directory of another version is
+/// rejected.
 constexpr std::uint32_t kDiskFormat = 5;
 
 /// Identity of the replica. Written once.
--- a/src/storage/secret_file.cc
+++ b/src/storage/secret_file.cc
@@ -15,7 +15,7 @@
     return tl::unexpected(path + ": cannot be read: " + std::strerror(errno));
   }
   if ((status.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
-    return tl::unexpected(path + ": file is accessible to other users (mode must be 0600)");
+    return tl::unexpected(path + ": file is accessible to other users; set its mode to 0600");
   }
   std::vector<SecretLine> lines;
   std::string text;
--- a/src/storage/secret_file.h
+++ b/src/storage/secret_file.h
@@ -17,8 +17,8 @@
   std::string text;
 };
 
-/// Returns the non-empty lines. The error names the file, which cannot be read, is accessible to
-/// other users, or contains no secret.
+/// Returns the non-empty lines. Fails when the file cannot be read, is accessible to other users,
+/// or contains no such line; the error names the file.
 tl::expected<std::vector<SecretLine>, std::string> read_secret_file(const std::string& path);
 
 }  // namespace gorsevalve
--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -268,11 +268,11 @@
       return true;
     }
     const PacketDeadlines deadlines = LinkShaper::packet_deadlines(frontend, packet.opens);
-    const auto room = scheduler.enqueue(packet, {1, 1}, size, deadlines, now_);
-    if (!room.empty()) {
+    const auto buffer = scheduler.enqueue(packet, {1, 1}, size, deadlines, now_);
+    if (!buffer.empty()) {
       const std::uint32_t number = ++last_packet_id_;
       callbacks_by_packet_[number] = on_delivered;
-      std::memcpy(room.data(), &number, sizeof(number));
+      std::memcpy(buffer.data(), &number, sizeof(number));
     }
     schedule_dequeue(balancer);
     return true;
@@ -377,9 +377,9 @@
     CHECK(shaped.short_requests_in_time >= 0.995 * shaped.short_requests);
   }
 
-  // The balancer does not know that its link is narrower than configured, so short requests may
-  // lose some performance.
-  TEST_CASE("over a link that is narrower than configured, at least as many uploads finish") {
+  // The balancer does not know that its link is slower than configured, so fewer short requests may
+  // be in time.
+  TEST_CASE("over a link that is slower than configured, at least as many uploads finish") {
     Load load;
     load.uploads_per_s = 1;
     load.rate = 0.4 * kRate;
--- a/tests/unit/test_bounded_rendezvous.cc
+++ b/tests/unit/test_bounded_rendezvous.cc
@@ -52,7 +52,7 @@
     }
   }
 
-  TEST_CASE("few slots move beyond those of the removed candidate") {
+  TEST_CASE("removing a candidate moves few slots of the other candidates") {
     auto candidates = equal_candidates(15);
     const auto before = assign_slots(candidates, kSlots, kSalt);
     candidates.back().weight = 0;
@@ -68,7 +68,7 @@
     CHECK(moved <= 3 * lost);
   }
 
-  TEST_CASE("without a candidate with a positive weight no slot is assigned") {
+  TEST_CASE("when no candidate has a positive weight, no slot is assigned") {
     const auto table = assign_slots({{1, 0}}, 4, kSalt);
     CHECK(table == std::vector<std::uint32_t>(4, kUnassigned));
     CHECK(assign_slots({}, 4, kSalt) == table);
--- a/tests/unit/test_envelope.cc
+++ b/tests/unit/test_envelope.cc
@@ -21,7 +21,7 @@
 }  // namespace
 
 TEST_SUITE("envelope") {
-  TEST_CASE("an opened message has its sender") {
+  TEST_CASE("opening a sealed message returns its sender and content") {
     Envelope sender = make_envelope("c", {kOldKey});
     Envelope receiver = make_envelope("c", {kOldKey});
     const auto opened = receiver.open(sender.seal(kMessage));
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -69,7 +69,7 @@
 }  // namespace
 
 TEST_SUITE("fuzz") {
-  TEST_CASE("datagrams from clients never reach a target of another service") {
+  TEST_CASE("mutated datagrams from clients never reach a target of another service") {
     BalancerFixture test;
     ProxyHeader header;
     header.flow = {kClient, kFirstService};
@@ -113,7 +113,8 @@
     CHECK(opened <= 1);
   }
 
-  TEST_CASE("message bodies, as if their authentication code were valid") {
+  TEST_CASE("mutated message bodies are decoded without failure") {
+    // The bodies bypass the authentication of the envelope, which would reject them.
     FleetUpdate update;
     update.is_snapshot = true;
     update.snapshot = make_test_fleet();
@@ -127,7 +128,7 @@
          [](const Bytes& bytes) { decode_archive<ReplicateRequest>(bytes); });
   }
 
-  TEST_CASE("log segments on disk") {
+  TEST_CASE("mutated log segments are read without failure") {
     SimDisk disk;
     LogStore store(disk);
     REQUIRE(store.open());
@@ -139,12 +140,12 @@
       REQUIRE(damaged.replace("log-1.seg", bytes));
       LogStore reader(damaged);
       const auto stored = reader.open();
-      // Either rejected, or a prefix of the written log.
+      // Either rejected, or read with at most the two written entries.
       CHECK((!stored || stored->entries.size() <= 2));
     });
   }
 
-  TEST_CASE("settings files, submissions and health reports") {
+  TEST_CASE("mutated settings files, submissions and health reports are parsed without failure") {
     const std::string text =
         "schema = 1\ndeployment = \"d\"\n[[service]]\nname = \"s\"\naddress = \"10.0.0.1:1\"\n"
         "[[service.target]]\nname = \"t\"\naddress = \"10.0.1.1:1\"\nzone = \"z\"\n";
--- a/tests/unit/test_link_scheduler.cc
+++ b/tests/unit/test_link_scheduler.cc
@@ -39,11 +39,11 @@
   void enqueue(const ClientPacket& packet, Instant now = kStart,
                const PacketDeadlines& deadlines = kDeadlines) {
     const std::size_t size = packet.data_size + 40;
-    const auto room = scheduler.enqueue(packet, kTarget, size, deadlines, now);
-    REQUIRE(room.size() == size);
+    const auto buffer = scheduler.enqueue(packet, kTarget, size, deadlines, now);
+    REQUIRE(buffer.size() == size);
     // The first two bytes identify the packet: client and position in the stream.
-    room[0] = static_cast<std::uint8_t>(packet.flow.client.address);
-    room[1] = static_cast<std::uint8_t>(packet.sequence / 1200);
+    buffer[0] = static_cast<std::uint8_t>(packet.flow.client.address);
+    buffer[1] = static_cast<std::uint8_t>(packet.sequence / 1200);
   }
 
   /// Sends everything; returns client and position of each packet in order, and sets `now` to the
@@ -99,7 +99,7 @@
     REQUIRE(link.scheduler.dequeue(now));
     link.enqueue(data_packet(9, 0, 100), now);
     const auto sent = link.drain(now);
-    // At most one packet of a transfer is sent before it.
+    // At most one packet of a transfer is sent before the short request.
     CHECK(sent[1] == std::pair{9, 0});
     int ahead = 0;
     for (const auto& [client_id, position] : sent) {
@@ -146,7 +146,8 @@
     CHECK(link.scheduler.counters().retransmissions_suppressed == 2);
   }
 
-  TEST_CASE("data after a packet without data is no retransmission of it") {
+  TEST_CASE(
+      "data with the sequence number of an earlier packet without data is not a retransmission") {
     BusyLink link;
     link.enqueue(data_packet(1, 2400, 0));
     Instant now = kStart;
@@ -291,12 +292,12 @@
       REQUIRE(admission.try_admit(flow_of(i), kTimeout, kStart));
     }
     CHECK_FALSE(admission.try_admit(flow_of(5000), kTimeout, kStart));
-    LinkModel wide(0);
-    BulkAdmission everything(wide);
+    LinkModel unknown_rate_link(0);
+    BulkAdmission unknown_rate_admission(unknown_rate_link);
     for (std::uint32_t i = 0; i < 5000; ++i) {
-      REQUIRE(everything.try_admit(flow_of(i), kTimeout, kStart));
+      REQUIRE(unknown_rate_admission.try_admit(flow_of(i), kTimeout, kStart));
     }
-    CHECK(everything.flows() == 0);
+    CHECK(unknown_rate_admission.flows() == 0);
   }
 }
 
