--- a/src/tasks/event_loop.cc
+++ b/src/tasks/event_loop.cc
@@ -53,7 +53,7 @@
   }
 };
 
-/// A queued action from another thread. `message` must stay the first member.
+/// An action queued by `post`. `message` must stay the first member.
 struct EventLoop::PostedAction {
   h2o_multithread_message_t message{};
   std::function<void()> action;
--- a/src/tasks/event_loop.h
+++ b/src/tasks/event_loop.h
@@ -40,7 +40,7 @@
   void post(std::function<void()> action);
 
   /// Keeps an object alive until the loop and its timers are destroyed. Required for objects that
-  /// h2o's lists of the loop refer to, such as timeouts and contexts.
+  /// h2o's internal lists refer to, such as timeouts and contexts.
   void retain(std::shared_ptr<void> object) { retained_.push_back(std::move(object)); }
   /// Number of timers, including fired ones that are not freed yet.
   [[nodiscard]] std::size_t timers() const { return timers_.size(); }
--- a/src/tasks/frame_network.cc
+++ b/src/tasks/frame_network.cc
@@ -25,11 +25,10 @@
 constexpr double kDescriptorShare = 0.35;
 /// A connection is closed if frames were sent and nothing was received for this long.
 constexpr Duration kReplyTimeout = std::chrono::milliseconds(1500);
-/// TCP_USER_TIMEOUT: limit of unacknowledged data.
+/// TCP_USER_TIMEOUT: time limit for the acknowledgement of sent data.
 constexpr unsigned kUserTimeoutMs = 2000;
 /// Minimum interval between log lines about dropped frames.
 constexpr Duration kDropLogInterval = std::chrono::seconds(1);
-/// Number of idle checks per idle timeout.
 constexpr int kIdleChecksPerTimeout = 4;
 
 void set_user_timeout(h2o_socket_t* socket) {
--- a/src/tasks/frame_network.h
+++ b/src/tasks/frame_network.h
@@ -1,7 +1,7 @@
 /// Length-prefixed authenticated messages over TCP between control replicas and balancers. A peer
 /// is identified by the address in its messages. Replies use the connection that last received a
 /// message from the peer; replicas are dialled if there is none. A receiver may call any method
-/// except the destructor, including one that closes its own connection.
+/// except the destructor, including one that closes the connection of the frame.
 #pragma once
 
 #include <deque>
@@ -80,7 +80,7 @@
   void redial(const Endpoint& to);
   Connection* add_connection(h2o_socket_t* socket);
   void on_connected(Connection& connection, const char* error);
-  /// Handles a failed connection attempt.
+  /// Closes a failed attempt. If it was the latest one, its frames are kept for another attempt.
   void on_connect_failed(Connection& connection);
   void on_read(Connection& connection, const char* error);
   void write_next(Connection& connection);
@@ -95,8 +95,7 @@
   void close_expired_attempts(const Endpoint& to, Instant now);
   /// Closes idle accepted connections and schedules the next check.
   void close_idle();
-  /// Makes an earlier attempt that succeeded the connection of the peer, in place of a later
-  /// attempt.
+  /// Makes a successful earlier attempt the connection of the peer, and closes the later attempt.
   void replace_later_attempt(Connection& connection);
   [[nodiscard]] bool read_frames(Connection& connection);
 
--- a/src/tasks/h2o.h
+++ b/src/tasks/h2o.h
@@ -1,4 +1,4 @@
-/// The h2o headers, with the settings and without the warnings that C++ needs.
+/// Includes the h2o headers with the settings that C++ needs, and suppresses their warnings.
 #pragma once
 
 #define H2O_USE_LIBUV 0  // NOLINT(readability-identifier-naming): h2o's name
--- a/src/tasks/http_server.h
+++ b/src/tasks/http_server.h
@@ -50,7 +50,7 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// Sends the response of a request. Call it once per request, on the thread of the loop. Does
+  /// Sends the response to a request. Call it once per request, on the thread of the loop. Does
   /// nothing if the client has disconnected.
   void respond(RequestNumber number, const HttpResponse& response);
 
--- a/src/tasks/listener.cc
+++ b/src/tasks/listener.cc
@@ -15,7 +15,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Used if the open-file limit is unknown: the usual soft limit on Linux.
+/// Used if the open-file limit is unknown or unlimited: the usual soft limit on Linux.
 constexpr rlim_t kDefaultDescriptorLimit = 1024;
 /// Minimum interval between log lines.
 constexpr Duration kPauseLogInterval = std::chrono::seconds(1);
--- a/src/tasks/pending_proposals.h
+++ b/src/tasks/pending_proposals.h
@@ -34,7 +34,7 @@
 
 class PendingProposals {
  public:
-  /// Content of an entry, for the log: a steering file, an evacuation command, or registrations.
+  /// Content of an entry, for log lines: a steering file, an evacuation command, or registrations.
   using Subject = std::variant<std::monostate, OperatorVersion, EvacuationCommand>;
 
   struct PendingProposal {
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -196,8 +196,9 @@
 }
 
 void SteeringTask::schedule_report() {
-  // Other balancers with flows to the target should probe it soon. The control client may be on the
-  // call stack with an unfinished reply, so the report is sent in a later iteration of the loop.
+  // The report makes other balancers with flows to the target probe it soon. The control client may
+  // be on the call stack with an unfinished reply, so the report is sent in a later iteration of
+  // the loop.
   if (report_scheduled_) {
     return;
   }
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -30,16 +30,17 @@
   [[nodiscard]] virtual std::optional<ClientPacket> parse(ByteView datagram) const = 0;
   /// Size in bytes of the packet to a target for a datagram of a client.
   [[nodiscard]] virtual std::size_t forwarded_size(std::size_t datagram_size) const = 0;
-  /// Writes the packet to the target, with its token, into `out` of that size.
+  /// Writes the packet to the target, with its token, into `out`, whose size is `forwarded_size`.
   virtual void write_forwarded(ByteView datagram, const RegisteredTarget& target,
                                std::span<std::uint8_t> out) const = 0;
-  /// Reset that notifies a client that its flow has ended, and its destination.
+  /// Reset packet that notifies a client that its flow has ended.
   [[nodiscard]] virtual Bytes make_reset(const FlowReset& reset) const = 0;
+  /// Address to which the reset packet is sent.
   [[nodiscard]] virtual Endpoint reset_destination(const FlowReset& reset) const = 0;
 };
 
 struct SteeringTaskConfig {
-  /// `member.address` identifies this process to the control replicas.
+  /// `self.address` identifies this process to the control replicas.
   Member self;
   Endpoint udp_address;
   std::vector<Endpoint> control;
