--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -105,16 +105,16 @@
 }
 
 BalancerStatus BalancerTask::status() const {
-  BalancerStatus snapshot;
-  snapshot.counters = balancer_->counters();
-  snapshot.revision = balancer_->revision();
-  snapshot.settled_revision = balancer_->settled_revision();
-  snapshot.digest = fleet_digest(control_.fleet());
-  snapshot.flows = balancer_->flow_count();
-  snapshot.requests = balancer_->request_count();
-  snapshot.messages_rejected = messages_rejected_;
-  snapshot.zones_evacuated = control_.fleet().steering.evacuated_zones.size();
-  return snapshot;
+  BalancerStatus result;
+  result.counters = balancer_->counters();
+  result.revision = balancer_->revision();
+  result.settled_revision = balancer_->settled_revision();
+  result.digest = fleet_digest(control_.fleet());
+  result.flows = balancer_->flow_count();
+  result.requests = balancer_->request_count();
+  result.messages_rejected = messages_rejected_;
+  result.zones_evacuated = control_.fleet().steering.evacuated_zones.size();
+  return result;
 }
 
 std::vector<Target> BalancerTask::polled_targets() const {
@@ -163,10 +163,10 @@
 
 void BalancerTask::on_fleet(const FleetState& fleet, Instant now) {
   if (disk_ != nullptr) {
-    const auto kept = disk_->replace(kFleetFile, encode_frame(encode_archive(fleet)));
-    if (!kept) {
+    const auto written = disk_->replace(kFleetFile, encode_frame(encode_archive(fleet)));
+    if (!written) {
       // The stored copy only speeds up the next start: the control replicas hold the state.
-      log_event(LogEvent::kFleetNotKept, {{"error", kept.error().message}});
+      log_event(LogEvent::kFleetNotKept, {{"error", written.error().message}});
     }
   }
   balancer_->on_fleet(fleet, now);
--- a/src/tasks/control_task_targets.cc
+++ b/src/tasks/control_task_targets.cc
@@ -9,7 +9,8 @@
 namespace {
 
 /// Requests of targets are buffered for this long after the start while there is no leader.
-/// Rejecting them makes all targets retry at other replicas, and the load delays the election.
+/// Rejecting them would make all targets retry at other replicas, and that load would delay the
+/// election.
 /// Shorter than the request timeout of a target (1 s).
 constexpr Duration kFirstLeaderTimeout = std::chrono::milliseconds(800);
 /// Limit of buffered requests; further ones are rejected.
--- a/src/tasks/frame_network.h
+++ b/src/tasks/frame_network.h
@@ -37,7 +37,7 @@
   using Receiver = std::function<std::optional<Endpoint>(ByteView frame)>;
 
   /// An accepted connection is closed if nothing was received for this long, because a peer may
-  /// vanish without closing it. Balancers send at least every 5 s, members every second.
+  /// vanish without closing it. Balancers send heartbeats at least every 5 s.
   static constexpr Duration kIdleTimeout = std::chrono::seconds(30);
 
   FrameNetwork(EventLoop& loop, Receiver receiver, Duration idle_timeout = kIdleTimeout);
--- a/src/tasks/log.cc
+++ b/src/tasks/log.cc
@@ -94,7 +94,7 @@
   return value;
 }
 
-/// Class of the line that this thread is writing; the appender does not receive it.
+/// Class of the line that this thread is writing; log4cxx does not pass it to the appender.
 thread_local LogClass current_log_class = LogClass::kState;
 
 }  // namespace
@@ -199,20 +199,20 @@
 void log_event(LogEvent event, const nlohmann::json& fields) {
   const LogEventInfo& info = info_of(event);
   const log4cxx::LoggerPtr logger = log4cxx::Logger::getRootLogger();
-  const log4cxx::LevelPtr native = to_level(info.level);
+  const log4cxx::LevelPtr log4cxx_level = to_level(info.level);
   std::uint64_t suppressed_before = 0;
-  if (!logger->isEnabledFor(native) ||
+  if (!logger->isEnabledFor(log4cxx_level) ||
       (info.log_class == LogClass::kRoutine && !rate_limit().allow(event, suppressed_before))) {
     return;
   }
   current_log_class = info.log_class;
   if (suppressed_before == 0) {
-    LOG4CXX_LOG(logger, native, make_line(info, fields));
+    LOG4CXX_LOG(logger, log4cxx_level, make_line(info, fields));
     return;
   }
   nlohmann::json with_count = fields;
   with_count["left_out_before"] = suppressed_before;
-  LOG4CXX_LOG(logger, native, make_line(info, with_count));
+  LOG4CXX_LOG(logger, log4cxx_level, make_line(info, with_count));
 }
 
 void flush_log() {
--- a/src/tasks/log_writer.h
+++ b/src/tasks/log_writer.h
@@ -1,5 +1,5 @@
-/// Bounded queue of log lines. It never blocks: if the reader is slow and the queue is full,
-/// routine lines are dropped first, and their number is reported later.
+/// Bounded queue of log lines. It never blocks: if the reader of the output is slow and the queue
+/// is full, routine lines are dropped first, and their number is reported later.
 #pragma once
 
 #include <array>
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -91,7 +91,7 @@
   SteeringTask(EventLoop& loop, SteeringTaskConfig config, const PacketFormat& format);
 
   void on_datagram(ByteView datagram, Instant now);
-  /// Forwards, resets or drops a packet; false if there is not enough state to decide.
+  /// Forwards or drops a packet, or resets its flow; false if there is not enough state to decide.
   bool decide(const ClientPacket& packet, ByteView datagram, Instant now);
   /// Rejects a flow because the machine's link has no capacity for it.
   void reject_for_full_link(const ClientPacket& packet);
--- a/src/tasks/target_poller.cc
+++ b/src/tasks/target_poller.cc
@@ -35,8 +35,8 @@
       TargetReport failed;
       failed.target = address;
       failed.healthy = false;
-      const bool answered = result && result->status == 200;
-      const auto report = answered ? parse_target_report(address, result->body) : std::nullopt;
+      const bool succeeded = result && result->status == 200;
+      const auto report = succeeded ? parse_target_report(address, result->body) : std::nullopt;
       sink_(report.value_or(failed));
     });
   }
--- a/tests/unit/test_event_loop.cc
+++ b/tests/unit/test_event_loop.cc
@@ -22,8 +22,8 @@
 }  // namespace
 
 TEST_SUITE("event_loop") {
-  TEST_CASE("a timer set by a socket between two timers does not free a timer in use") {
-    // h2o runs ready sockets between two timers, while it still refers to the earlier one.
+  TEST_CASE("a timer that a socket callback sets does not free a timer that h2o still uses") {
+    // h2o runs socket callbacks between two timers, while it still refers to the earlier one.
     EventLoop loop;
     std::array<int, 2> pair{};
     REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair.data()) == 0);
