--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -62,7 +62,7 @@
     case SteeringStatus::kNotLeader:
       return {421, "application/json", not_leader_body(reply.leader)};
     case SteeringStatus::kUnknown:
-      return {202, "application/json", error_body("the command is not committed yet; retry")};
+      return {202, "application/json", error_body("not decided yet; ask again")};
     case SteeringStatus::kUnknownZone:
       return {404, "application/json",
               to_text({{"error", unknown_zone_error(command.zone, reply.known_zones)},
@@ -80,8 +80,7 @@
     case ControlStatus::kNotLeader:
       return {421, "application/json", not_leader_body(result.leader)};
     case ControlStatus::kPending:
-      return {202, "application/json",
-              error_body("the submission is not committed yet; retry with the same id")};
+      return {202, "application/json", error_body("not decided yet; ask again with the same id")};
   }
   return {500, "application/json", error_body("internal error")};
 }
@@ -252,8 +251,7 @@
   const bool needs_submit_token =
       is_evacuation || (request.method == "POST" && request.path == "/v1/submissions");
   if (needs_submit_token ? !may_submit : !may_read && !is_open) {
-    server_->respond(number,
-                     {401, "application/json", error_body("a valid bearer token is required")});
+    server_->respond(number, {401, "application/json", error_body("a valid token is needed")});
   } else if (is_evacuation) {
     on_evacuation(number, request);
   } else if (needs_submit_token) {
