--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -10,7 +10,8 @@
 /// A request without a response for this long is stalled. Exceeds the queueing time of a healthy
 /// target and the recovery time of a lost packet.
 constexpr Duration kStallTimeout = std::chrono::milliseconds(400);
-/// Earlier repeats are duplicates or reordered packets: clients retransmit after at least 200 ms.
+/// Data that repeats earlier than this was duplicated or reordered by the network: clients
+/// retransmit after at least 200 ms.
 constexpr Duration kMinRetransmissionInterval = std::chrono::milliseconds(150);
 /// Retransmissions that raise a suspicion even if local congestion may explain them. Probe refusals
 /// remain evidence on a congested link.
--- a/src/core/steering/flow_placement.h
+++ b/src/core/steering/flow_placement.h
@@ -31,7 +31,7 @@
   const TargetScores& scores;
   const TargetReachability& reachability;
   const TargetRefusals& refusals;
-  /// Counts flows that it keeps from targets that are warming up.
+  /// Not const: counts the flows that it diverts from targets that are warming up.
   WarmUpBudget& warm_up;
   const ZonePaths& zone_paths;
 };
@@ -42,8 +42,8 @@
   FlowPlacement(std::uint64_t seed, const SteeringPolicy& policy) : seed_(seed), policy_(policy) {}
 
   /// Selects the target for a new flow, and `avoided` only if there is no other. Returns nullptr
-  /// without a target, or when all reachable ones are warming up and have no time slot for this
-  /// balancer.
+  /// if there is no target, or when all reachable ones are warming up and have no time slot for
+  /// this balancer.
   const RegisteredTarget* place(const PlacementInputs& inputs, const FrontendView& frontend,
                                 const ClientPacket& packet, TargetId avoided, Instant now);
   [[nodiscard]] const PlacementCounters& counters() const { return counters_; }
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -123,13 +123,13 @@
     entry.phase = FlowPhase::kClosing;
   });
   // Unanswered packets of the previous incarnation do not count against the new one.
-  const auto forget_expected = [target](std::deque<PendingReply>& expected) {
-    for (PendingReply& one : expected) {
+  const auto resolve_pending = [target](std::deque<PendingReply>& pending) {
+    for (PendingReply& one : pending) {
       one.is_resolved = one.is_resolved || one.target == target;
     }
   };
-  forget_expected(openings_);
-  forget_expected(requests_);
+  resolve_pending(openings_);
+  resolve_pending(requests_);
   reachability_.remove(target);
   refusals_.remove(target);
   warm_up_.remove(target);
@@ -199,7 +199,7 @@
   check_reply_timeouts(now);
   FlowEntry* entry = flows_.find(packet.flow);
   TargetId avoided = 0;
-  /// The target selected for the previous transmission, while it may still accept the flow.
+  // The target selected for the previous transmission, while it may still accept the flow.
   const RegisteredTarget* fallback = nullptr;
   if (entry != nullptr && entry->phase == FlowPhase::kOpening && packet.retransmissions > 0) {
     const RegisteredTarget* previous = view_.target_by_id(entry->target);
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -10,8 +10,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Without a reply or a retransmission by this time, the client was reset: clients retransmit after
-/// 200 ms.
+/// An opening packet without a reply or a retransmission by this time was refused: clients
+/// retransmit after 200 ms.
 constexpr Duration kRefusalTimeout = std::chrono::milliseconds(300);
 /// Minimum time between two rounds of probing neighbors.
 constexpr Duration kNeighborProbeInterval = std::chrono::seconds(1);
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -7,9 +7,10 @@
 /// Time without a reply after which the zone is checked: half of the client's retransmission
 /// timeout, so a result is available when the client retransmits.
 constexpr Duration kZoneSuspicionTimeout = std::chrono::milliseconds(100);
-/// Above this response time, half of the timeout, only a retransmission makes a request suspicious.
+/// A request to a target with a longer response time raises a suspicion only when it is
+/// retransmitted. Half of `kZoneSuspicionTimeout`.
 constexpr double kMaxFastAnswerUs = 50e3;
-/// Short compared with the timeout above.
+/// Interval of the check for missing replies; short compared with `kZoneSuspicionTimeout`.
 constexpr Duration kZoneCheckInterval = std::chrono::milliseconds(10);
 /// Maximum number of recently responsive targets from which the ones to probe are selected.
 constexpr std::size_t kMaxResponsiveTargets = 64;
@@ -97,9 +98,9 @@
   flows_reset_at_ = now;
   flows_.visit_open([&](const SteeredFlow& flow, FlowEntry& entry) {
     const FrontendView* frontend = view_.frontend(flow.frontend);
-    const bool is_resting = now - entry.last_seen >= kMinIdleBeforeReset;
+    const bool is_idle = now - entry.last_seen >= kMinIdleBeforeReset;
     const bool stays_open =
-        frontend == nullptr || !is_resting || has_non_idempotent_request(*frontend, entry, now);
+        frontend == nullptr || !is_idle || has_non_idempotent_request(*frontend, entry, now);
     if (stays_open || !zone_paths_.is_cut(entry.target)) {
       return;
     }
--- a/src/core/steering/response_times.h
+++ b/src/core/steering/response_times.h
@@ -1,6 +1,6 @@
 /// Estimates response times per pool, which show whether a target that refuses a connection may be
 /// full. A full target has a queue, so responses of its pool are slow. After a full outage all
-/// queues are full, and targets that are briefly full must not lose their load to the few others.
+/// queues are full, and avoiding each target that refuses would overload the few others.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -25,7 +25,7 @@
 struct FrontendView {
   Endpoint address;
   std::vector<PoolShare> shares;
-  /// Time after which clients time out.
+  /// How long clients wait for a reply.
   Duration timeout{0};
   /// Target response time for clients.
   Duration latency_objective{0};
--- a/src/core/steering/target_reachability.cc
+++ b/src/core/steering/target_reachability.cc
@@ -291,20 +291,20 @@
 
 std::vector<UnreachableTarget> TargetReachability::detect_unreachable(Instant now) {
   std::vector<UnreachableTarget> detected;
-  std::vector<TargetId> undecided;
+  std::vector<TargetId> inconclusive;
   for (const auto& [target, suspected] : suspicions_) {
     const auto reason = evaluate(target, suspected, now);
     if (reason) {
       detected.push_back({target, *reason, now - suspected.since, suspected.probes});
     } else if (is_inconclusive(suspected, now)) {
-      undecided.push_back(target);
+      inconclusive.push_back(target);
     }
   }
   for (const auto& one : detected) {
     suspicions_.erase(one.target);
     unreachable_[one.target] = {now + kProbeAgainAfter, 0};
   }
-  for (const TargetId target : undecided) {
+  for (const TargetId target : inconclusive) {
     drop_inconclusive(target, now);
   }
   return detected;
--- a/src/core/steering/target_refusals.h
+++ b/src/core/steering/target_refusals.h
@@ -52,8 +52,8 @@
   /// How long a refusal counts: until client retransmissions show whether the target is full or
   /// gone, and the reported target health covers targets that are gone.
   static constexpr Duration kRefusalLifetime = std::chrono::milliseconds(500);
-  /// Upper bound of targets that are probed at the same time; others wait for their next late
-  /// handshake.
+  /// Upper bound of targets that are probed at the same time; others wait for their next
+  /// overdue handshake.
   static constexpr std::size_t kMaxProbedTargets = 64;
 
  private:
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -115,14 +115,14 @@
   has_target_health_ = !reported_health.empty();
   absl::flat_hash_set<TargetId> unreachable_before;
   for (const TargetId id : std::exchange(targets_with_health_, {})) {
-    const auto held = scores_.find(id);
-    if (held == scores_.end()) {
+    const auto known = scores_.find(id);
+    if (known == scores_.end()) {
       continue;
     }
-    if (held->second.health.is_unreachable) {
+    if (known->second.health.is_unreachable) {
       unreachable_before.insert(id);
     }
-    held->second.health = {};
+    known->second.health = {};
   }
   std::vector<TargetId> newly_unreachable;
   for (const auto& reported : reported_health) {
@@ -214,10 +214,10 @@
   if (score == nullptr) {
     return zone_weight;
   }
-  const double pressure =
+  const double clamped_percent =
       std::clamp<double>(score->health.load_percent, kMinLoadPercent, kMaxLoadPercent);
   return zone_weight *
-         std::pow(TargetHealth::kMeanLoadPercent / pressure, policy_.pressure_exponent);
+         std::pow(TargetHealth::kMeanLoadPercent / clamped_percent, policy_.pressure_exponent);
 }
 
 void TargetScores::on_stalled_request(TargetId id) {
--- a/src/core/steering/warm_up_budget.cc
+++ b/src/core/steering/warm_up_budget.cc
@@ -85,8 +85,8 @@
   }
   const double round = round_s(budget);
   const double slot_position = static_cast<double>(rank_.index) / rank_.count + budget.offset;
-  const double first_turn = round * (slot_position - std::floor(slot_position));
-  const double since_first = seconds_between(budget.cold_since, now) - first_turn;
+  const double first_slot = round * (slot_position - std::floor(slot_position));
+  const double since_first = seconds_between(budget.cold_since, now) - first_slot;
   if (since_first < 0) {
     return false;
   }
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -1,8 +1,7 @@
 /// Limits new flows at targets that are warming up, so that all balancers together stay within the
 /// rate that the operator allows for such a target. Each balancer has a rank and uses its own time
-/// slots ("turns"). From the moment in which a target becomes cold, its time slots are spread
-/// evenly over all ranks, so a flow is placed without any coordination. It is deterministic, does
-/// no I/O and reads no clock.
+/// slots. From the start of a target's warm-up, its time slots are spread evenly over all ranks, so
+/// a flow is placed without any coordination. It is deterministic, does no I/O and reads no clock.
 ///
 /// Without the limit, when the targets of a zone restart together under peak load, each of a
 /// hundred balancers would see idle targets and send them new flows.
@@ -57,8 +56,8 @@
   std::uint64_t placed = 0;
   /// Flows for which a target that is warming up was skipped.
   std::uint64_t passed_over = 0;
-  /// Flows that were rejected because all remaining targets were warming up, outside of the time
-  /// slot.
+  /// Flows that were rejected because all remaining targets were warming up and it was not this
+  /// balancer's time slot.
   std::uint64_t refused = 0;
   /// Ranks that were rejected as invalid, or whose count dropped too far to be applied in full.
   std::uint64_t implausible_ranks = 0;
@@ -106,7 +105,7 @@
 
   /// Injected fault for a test that shows that its check can fail: each balancer uses all time
   /// slots.
-  void set_uses_all_slots(bool takes_all) { uses_all_slots_ = takes_all; }
+  void set_uses_all_slots(bool uses_all) { uses_all_slots_ = uses_all; }
 
  private:
   struct Budget {
--- a/src/core/steering/zone_path_check.h
+++ b/src/core/steering/zone_path_check.h
@@ -27,7 +27,7 @@
     std::vector<TargetId> references;
   };
 
-  /// `samples` are targets of the zone, the suspected one first. `sent_at` is the send time of the
+  /// `sampled` are targets of the zone, the suspected one first. `sent_at` is the send time of the
   /// unanswered packet.
   ZonePathCheck(std::vector<TargetId> sampled, std::vector<TargetId> references, Instant sent_at,
                 Instant now);
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -170,7 +170,7 @@
     }
     ++active_checks_;
   } else {
-    // Selecting targets iterates over all of them, so it is not repeated for each late request.
+    // Selecting targets iterates over all of them, so it is not repeated for each overdue request.
     zone.next_check_at = now + kInitialInconclusiveBackoff;
   }
 }
@@ -178,11 +178,11 @@
 void ZonePaths::end_check(Zone& zone, bool is_answered, Instant now) {
   zone.check.reset();
   --active_checks_;
-  const Duration first_pause = is_answered ? kInitialCheckBackoff : kInitialInconclusiveBackoff;
-  const Duration longest = is_answered ? kMaxCheckBackoff : kMaxInconclusiveBackoff;
-  const bool is_forgotten = now - zone.next_check_at > kBackoffResetTime;
-  const Duration doubled = std::min(zone.check_backoff * 2, longest);
-  zone.check_backoff = is_forgotten ? first_pause : std::max(doubled, first_pause);
+  const Duration initial_backoff = is_answered ? kInitialCheckBackoff : kInitialInconclusiveBackoff;
+  const Duration max_backoff = is_answered ? kMaxCheckBackoff : kMaxInconclusiveBackoff;
+  const bool is_backoff_expired = now - zone.next_check_at > kBackoffResetTime;
+  const Duration doubled = std::min(zone.check_backoff * 2, max_backoff);
+  zone.check_backoff = is_backoff_expired ? initial_backoff : std::max(doubled, initial_backoff);
   zone.next_check_at = now + zone.check_backoff;
 }
 
@@ -314,9 +314,9 @@
     return;
   }
   Zone& zone = zones_[found->second.zone];
-  const bool is_of_look = found->second.attempt && zone.check;
+  const bool is_check_probe = found->second.attempt && zone.check;
   sent_.erase(found);
-  if (is_of_look) {
+  if (is_check_probe) {
     end_check(zone, false, now);
   }
 }
@@ -327,13 +327,13 @@
   // A target that was removed during the check is silent for another reason.
   const bool are_known = std::all_of(path_check.samples().begin(), path_check.samples().end(),
                                      [&](TargetId target) { return by_target_.contains(target); });
-  const bool may_conclude = !is_link_congested && are_known;
-  if (may_conclude && path_check.is_silence_proven(now)) {
+  const bool may_evaluate = !is_link_congested && are_known;
+  if (may_evaluate && path_check.is_silence_proven(now)) {
     out.push_back({zone.name, true, now - path_check.sent_at(),
                    static_cast<std::uint32_t>(path_check.samples().size()), path_check.probes(),
                    path_check.refusals(), path_check.samples().front()});
     begin_cut(zone, now);
-  } else if (!may_conclude || path_check.is_inconclusive(now)) {
+  } else if (!may_evaluate || path_check.is_inconclusive(now)) {
     end_check(zone, false, now);
   }
 }
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -241,10 +241,10 @@
     const SimTarget& target = targets_[flow.target];
     const bool is_dead = target.state == TargetState::kDead || target.state == TargetState::kGone;
     const bool was_dead = is_dead && *flow.sent_at > target.changed_at;
-    const bool could_tell = *flow.sent_at > isolated_until_[flow.balancer] &&
-                            *flow.sent_at > congested_until_[flow.balancer] &&
-                            *flow.sent_at > stalled_until_[flow.balancer];
-    if (was_dead && could_tell) {
+    const bool could_detect = *flow.sent_at > isolated_until_[flow.balancer] &&
+                              *flow.sent_at > congested_until_[flow.balancer] &&
+                              *flow.sent_at > stalled_until_[flow.balancer];
+    if (was_dead && could_detect) {
       violation_ = "no reset was sent to a client of target " + std::to_string(flow.target) +
                    ", which is dead";
     }
@@ -295,8 +295,8 @@
     for (const auto& probe : balancers_[i].take_probes(now_)) {
       const auto id = static_cast<TargetId>(probe.address.port - 8000);
       const SimTarget& target = targets_[id];
-      const bool is_heard = !target.cut_from.contains(i) && !is_isolated(i);
-      const bool is_answered = is_heard && target.state != TargetState::kDead;
+      const bool is_delivered = !target.cut_from.contains(i) && !is_isolated(i);
+      const bool is_answered = is_delivered && target.state != TargetState::kDead;
       if (is_answered && !is_lost() && !is_lost() && !is_dropped(i)) {
         const Duration round_trip = milliseconds(1 + random_() % 3);
         const ProbeAnswer answer = refuses(target) ? ProbeAnswer::kRefused : ProbeAnswer::kAccepted;
@@ -337,7 +337,7 @@
     const bool is_settled = now_ - target.changed_at > kSettled;
     if (is_settled && lives(target) && !target.cut_from.contains(i) && is_isolated(i)) {
       violation_ = "balancer " + std::to_string(i) +
-                   " is cut off itself and reports as unreachable the live target " +
+                   " is cut off itself but reports a live target as unreachable: target " +
                    std::to_string(detected.target);
     }
     if (is_settled && answers(detected.target, i)) {
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -165,8 +165,8 @@
   static std::size_t zone_of_balancer(std::size_t i) { return i / kBalancersPerZone; }
 
   [[nodiscard]] TargetState state_of(TargetId target) const {
-    const bool is_in_trouble = (target / kZones) % 3 == 0 && now_ >= failure_starts_at_;
-    return is_in_trouble && now_ < failure_ends_at_ ? failure_ : TargetState::kLives;
+    const bool has_failed = (target / kZones) % 3 == 0 && now_ >= failure_starts_at_;
+    return has_failed && now_ < failure_ends_at_ ? failure_ : TargetState::kLives;
   }
 
   [[nodiscard]] bool is_path_refused(std::size_t balancer, TargetId target) const {
@@ -246,14 +246,14 @@
     if (client.attempts > kMaxAttempts) {
       return;
     }
-    const bool gives_up = now_ - client.attempt_started_at >= kConnectTimeout;
+    const bool is_timed_out = now_ - client.attempt_started_at >= kConnectTimeout;
     const bool retries = client.retry_at && now_ >= *client.retry_at;
     const bool retransmits =
         !client.retry_at && client.retransmissions < kRetransmissionTimes.size() &&
         now_ - client.attempt_started_at >= kRetransmissionTimes[client.retransmissions];
     if (client.established_at && now_ >= *client.established_at) {
       finish(client);
-    } else if (retries || gives_up) {
+    } else if (retries || is_timed_out) {
       start_attempt(client);
     } else if (retransmits) {
       ++client.retransmissions;
@@ -307,8 +307,8 @@
         this->probe(i);
       });
     }
-    for (const auto& concluded : balancers_[i].evaluate_reachability(now_)) {
-      outcome_.flows_ended += balancers_[i].reset_flows_to(concluded.target).size();
+    for (const auto& detected : balancers_[i].evaluate_reachability(now_)) {
+      outcome_.flows_ended += balancers_[i].reset_flows_to(detected.target).size();
     }
   }
 
@@ -357,10 +357,10 @@
     }
   }
 
-  void send_target_health(const std::vector<TargetHealth>& figures) {
+  void send_target_health(const std::vector<TargetHealth>& health) {
     for (std::size_t i = 0; i < balancers_.size(); ++i) {
       later(one_way(0, zone_of_balancer(i)),
-            [this, i, figures] { balancers_[i].set_target_health(figures, now_); });
+            [this, i, health] { balancers_[i].set_target_health(health, now_); });
     }
   }
 
@@ -421,36 +421,38 @@
 
 TEST_SUITE("refusal_workload") {
   TEST_CASE("after a third of all targets end at once, client refusals stop quickly") {
-    const Outcome before = run_seeds(without_refusal_probes(), TargetState::kGone, seconds(4));
-    const Outcome after = run_seeds({}, TargetState::kGone, seconds(4));
-    print("without probes of refusals", before);
-    print("with them", after);
-    CHECK(after.refused_late == 0);
-    CHECK(after.placed_at_gone * 3 <= before.placed_at_gone);
-    CHECK(after.refused * 3 <= before.refused);
+    const Outcome without_probes =
+        run_seeds(without_refusal_probes(), TargetState::kGone, seconds(4));
+    const Outcome with_probes = run_seeds({}, TargetState::kGone, seconds(4));
+    print("without probes of refusals", without_probes);
+    print("with them", with_probes);
+    CHECK(with_probes.refused_late == 0);
+    CHECK(with_probes.placed_at_gone * 3 <= without_probes.placed_at_gone);
+    CHECK(with_probes.refused * 3 <= without_probes.refused);
   }
 
   TEST_CASE("if a third of all targets are full for a second, no clients are worse off") {
-    const Outcome before = run_seeds(without_refusal_probes(), TargetState::kFull, seconds(1));
-    const Outcome after = run_seeds({}, TargetState::kFull, seconds(1));
-    print("without probes of refusals", before);
-    print("with them", after);
-    CHECK(after.refused == 0);
-    CHECK(after.slow <= before.slow);
+    const Outcome without_probes =
+        run_seeds(without_refusal_probes(), TargetState::kFull, seconds(1));
+    const Outcome with_probes = run_seeds({}, TargetState::kFull, seconds(1));
+    print("without probes of refusals", without_probes);
+    print("with them", with_probes);
+    CHECK(with_probes.refused == 0);
+    CHECK(with_probes.slow <= without_probes.slow);
   }
 
   TEST_CASE("refusals on the path to a zone do not divert flows of other zones") {
-    Workload before(3, without_refusal_probes());
-    Workload after(3, {});
-    for (Workload* workload : {&before, &after}) {
+    Workload without_probes(3, without_refusal_probes());
+    Workload with_probes(3, {});
+    for (Workload* workload : {&without_probes, &with_probes}) {
       workload->cut_with_refusals(0, 1);
       workload->run(seconds(4));
       workload->forget_placed();
       workload->run(seconds(6));
     }
     // Target health from unanswered opening packets (SYN) reaches all zones in both cases.
-    CHECK(after.take_placed(1, 1) * 20 >= before.take_placed(1, 1) * 19);
-    CHECK(after.take_placed(2, 1) * 20 >= before.take_placed(2, 1) * 19);
+    CHECK(with_probes.take_placed(1, 1) * 20 >= without_probes.take_placed(1, 1) * 19);
+    CHECK(with_probes.take_placed(2, 1) * 20 >= without_probes.take_placed(2, 1) * 19);
   }
 
   TEST_CASE("an injected fault that applies refusal reports of another zone is detected") {
@@ -458,14 +460,14 @@
     // them.
     Workload faulty(3, {});
     faulty.apply_reports_to_all_zones();
-    Workload sound(3, {});
-    for (Workload* workload : {&faulty, &sound}) {
+    Workload fault_free(3, {});
+    for (Workload* workload : {&faulty, &fault_free}) {
       workload->cut_with_refusals(0, 1);
       workload->run(seconds(4));
       workload->forget_placed();
       workload->run(seconds(6));
     }
-    CHECK(faulty.take_placed(2, 1) * 20 < sound.take_placed(2, 1) * 19);
+    CHECK(faulty.take_placed(2, 1) * 20 < fault_free.take_placed(2, 1) * 19);
   }
 }
 
--- a/tests/sim/test_steering_workload.cc
+++ b/tests/sim/test_steering_workload.cc
@@ -120,8 +120,8 @@
   }
 
   const RegisteredTarget& random_target() {
-    const auto place = static_cast<std::ptrdiff_t>(random_() % state_.targets.size());
-    return std::next(state_.targets.begin(), place)->second;
+    const auto index = static_cast<std::ptrdiff_t>(random_() % state_.targets.size());
+    return std::next(state_.targets.begin(), index)->second;
   }
 
   void change_target() {
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -1,4 +1,4 @@
-/// Seeded workload over 80 balancers: under peak load a zone of 40 targets restarts cold, while
+/// Seeded workload over 80 balancers: under peak load the 40 targets of a zone restart, while
 /// some balancers have just started, ranks arrive late or never, and the control replicas may elect
 /// a new leader.
 ///
@@ -152,9 +152,9 @@
     if (balancers_[i].never_receives_rank || pick(5) == 0) {
       return;
     }
-    const BalancerRank place = leader_.rank_of(balancers_[i].address, now_);
+    const BalancerRank rank = leader_.rank_of(balancers_[i].address, now_);
     at(now_ + milliseconds(pick(2000)),
-       [this, i, place] { balancers_[i].steering->set_balancer_rank(place, now_); });
+       [this, i, rank] { balancers_[i].steering->set_balancer_rank(rank, now_); });
   }
 
   void report() {
@@ -211,8 +211,8 @@
     }
   }
 
-  void repeat(std::uint32_t i, ClientPacket packet, std::uint32_t copies) {
-    packet.retransmissions = copies;
+  void repeat(std::uint32_t i, ClientPacket packet, std::uint32_t retransmission_count) {
+    packet.retransmissions = retransmission_count;
     open(i, packet, false);
   }
 
--- a/tests/sim/test_zone_path_workload.cc
+++ b/tests/sim/test_zone_path_workload.cc
@@ -29,8 +29,8 @@
 constexpr std::size_t kZones = 3;
 constexpr TargetId kTargetsOfZone = 6;
 constexpr std::uint32_t kFlowsOfZone = 40;
-/// Limit for the detection of a cut: 60 ms until a request is sent, 100 ms until its reply is late,
-/// 110 ms of probes, and delays by packet loss and by the backoff after an answered check.
+/// Limit for the detection of a cut: 60 ms until a request is sent, 100 ms until its reply is
+/// overdue, 110 ms of probes, and delays by packet loss and by the backoff after an answered check.
 constexpr Duration kMaxDetectionTime = milliseconds(1000);
 /// Limit for the detection of a recovery: two recovery rounds and a tick.
 constexpr Duration kMaxRecoveryTime = milliseconds(1200);
@@ -243,9 +243,9 @@
     const bool arrives = data > 0 && is_open(balancer, zone_of(flow.target)) &&
                          !is_dark(flow.target) && !is_lost(balancer);
     if (arrives && !flow.answer_at) {
-      const bool is_there = zone_of(flow.target) == zone_;
-      const bool is_slow = is_active(Scenario::kSlowZone) && is_there;
-      const bool is_busy = is_active(Scenario::kBusyZone) && is_there;
+      const bool is_in_zone = zone_of(flow.target) == zone_;
+      const bool is_slow = is_active(Scenario::kSlowZone) && is_in_zone;
+      const bool is_busy = is_active(Scenario::kBusyZone) && is_in_zone;
       const std::uint64_t work = 20 + random_() % 60;
       flow.answer_at = now_ + milliseconds(is_slow ? 900 + work : is_busy ? work * 8 : work);
     }
@@ -273,8 +273,8 @@
     for (const auto& probe : balancers_[i].take_probes(now_)) {
       const auto id = static_cast<TargetId>(probe.address.port - 8000);
       const bool is_refused = is_active(Scenario::kRefusingCut) && !is_reachable(i, id);
-      const bool is_heard = is_reachable(i, id) && !is_dark(id) && !is_lost(i) && !is_lost(i);
-      if (is_refused || is_heard) {
+      const bool is_delivered = is_reachable(i, id) && !is_dark(id) && !is_lost(i) && !is_lost(i);
+      if (is_refused || is_delivered) {
         const bool is_busy = is_active(Scenario::kBusyZone) && zone_of(id) == zone_;
         answers_.push_back({i, probe.number,
                             is_refused ? ProbeAnswer::kRefused : ProbeAnswer::kAccepted,
@@ -322,8 +322,8 @@
   }
 
   void check_reset(const ClientFlow& flow) {
-    const bool just_back = now_ >= kFailureEnd && now_ < kFailureEnd + kMaxRecoveryTime;
-    if (is_reachable(flow.balancer, flow.target) && !just_back) {
+    const bool is_recovering = now_ >= kFailureEnd && now_ < kFailureEnd + kMaxRecoveryTime;
+    if (is_reachable(flow.balancer, flow.target) && !is_recovering) {
       violation_ = "a flow of target " + std::to_string(flow.target) +
                    " was reset although the target is reachable";
     }
@@ -337,8 +337,8 @@
       ++flows_ended;
       check_reset(flow);
       // Only requests that the balancer has seen; a request may begin at the same moment.
-      const bool is_under_way = flow.sent_at && *flow.sent_at < now_;
-      if (flow.flow.frontend == kNonIdempotentFrontend && is_under_way) {
+      const bool is_in_flight = flow.sent_at && *flow.sent_at < now_;
+      if (flow.flow.frontend == kNonIdempotentFrontend && is_in_flight) {
         violation_ = "a non-idempotent request in flight was interrupted";
       }
       open(flow);
@@ -360,8 +360,8 @@
     for (std::size_t i = 0; i < kZones && (is_late || is_over); ++i) {
       for (std::size_t zone = 0; zone < kZones; ++zone) {
         const bool is_cut = balancers_[i].zone_paths().is_cut(zone_name(zone));
-        const bool goes_there = is_open(i, zone);
-        if (is_late && !goes_there && !is_cut) {
+        const bool is_path_open = is_open(i, zone);
+        if (is_late && !is_path_open && !is_cut) {
           violation_ = "balancer " + std::to_string(i) + " did not detect the cut path to zone " +
                        zone_name(zone);
         }
--- a/tests/unit/test_allocation.cc
+++ b/tests/unit/test_allocation.cc
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Counts and discards what it is given.
+/// Discards all messages; counts those to clients and keeps the last header sent to a target.
 class DiscardingOutput : public BalancerOutput {
  public:
   void send_to_client(const FlowKey& /*flow*/, ByteView /*message*/) override { ++answers; }
@@ -44,9 +44,10 @@
       balancer.on_datagram(datagram, now);
       ProxyHeader header = output.last_header;
       header.target = output.last_target;
-      const std::size_t head = encode_proxy_header(header, buffer.data());
-      std::copy(answer.begin(), answer.end(), buffer.begin() + static_cast<std::ptrdiff_t>(head));
-      balancer.on_datagram(ByteView(buffer.data(), head + answer.size()), now);
+      const std::size_t header_size = encode_proxy_header(header, buffer.data());
+      std::copy(answer.begin(), answer.end(),
+                buffer.begin() + static_cast<std::ptrdiff_t>(header_size));
+      balancer.on_datagram(ByteView(buffer.data(), header_size + answer.size()), now);
     };
     constexpr std::uint64_t kWarmUp = 5000;
     constexpr std::uint64_t kMeasured = 1000;
--- a/tests/unit/test_flow_placement.cc
+++ b/tests/unit/test_flow_placement.cc
@@ -36,9 +36,9 @@
   return state;
 }
 
-ClientPacket opening(std::uint32_t caller) {
+ClientPacket opening(std::uint32_t client) {
   ClientPacket packet;
-  packet.flow = {{0x64400000U + caller, 4000}, kFrontend};
+  packet.flow = {{0x64400000U + client, 4000}, kFrontend};
   packet.opens = true;
   return packet;
 }
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -452,7 +452,7 @@
   }
 
   TEST_CASE("an unanswered request is reported, unless another balancer may handle it") {
-    // Balancers that just started must not blame targets for responses to buffered packets.
+    // The request of flow 1, in the first second after the start, does not count as unanswered.
     for (const bool stops : {false, true}) {
       SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
       test.steering.on_packet(established(1, 101, 1, 500), kStart + milliseconds(500));
@@ -745,7 +745,7 @@
     }
   }
 
-  TEST_CASE("a retransmitted opening packet leaves the first target once its zone is evacuated") {
+  TEST_CASE("a retransmitted opening packet goes to another zone once the first one is evacuated") {
     EvacuatedState test;
     SteeringBalancer balancer(test.state);
     for (std::uint16_t port = 1; port < 100; ++port) {
@@ -843,16 +843,16 @@
       "a target unreachable for another balancer is probed only by balancers with flows there") {
     FailingTarget test;
     SteeringBalancer without_flows(test.state);
-    const std::vector<TargetHealth> figures = {{test.token(test.failing), 100, true, true}};
-    without_flows.steering.set_target_health(figures, test.now);
+    const std::vector<TargetHealth> health = {{test.token(test.failing), 100, true, true}};
+    without_flows.steering.set_target_health(health, test.now);
     CHECK_FALSE(without_flows.steering.is_probing());
-    test.steering().set_target_health(figures, test.now);
+    test.steering().set_target_health(health, test.now);
     CHECK(test.steering().is_probing());
     // The target is reachable from here, so the report is not adopted.
     CHECK(test.run(milliseconds(300), {test.healthy, test.failing}).empty());
     // An unchanged report does not trigger probes.
     test.now += seconds(2);
-    test.steering().set_target_health(figures, test.now);
+    test.steering().set_target_health(health, test.now);
     CHECK_FALSE(test.steering().is_probing());
   }
 
@@ -916,7 +916,7 @@
     test.send_request(1, test.failing, milliseconds(200));
     test.send_request(1, test.failing, milliseconds(400));
     CHECK_FALSE(test.steering().is_probing());
-    // A refusal would be detected now.
+    // From the third retransmission on refusals count, but silence does not.
     test.send_request(1, test.failing, milliseconds(800));
     CHECK(test.steering().is_probing());
     CHECK(test.run(seconds(2), {test.healthy}).empty());
--- a/tests/unit/test_steering_policy.cc
+++ b/tests/unit/test_steering_policy.cc
@@ -28,11 +28,11 @@
 
   TEST_CASE("every field has its own name, and its default lies within its bounds") {
     std::set<std::string_view> names;
-    const SteeringPolicy usual;
+    const SteeringPolicy defaults;
     for (const auto& field : policy_fields()) {
       CHECK(names.insert(field.name).second);
-      CHECK(usual.*(field.value) >= field.min_value);
-      CHECK(usual.*(field.value) <= field.max_value);
+      CHECK(defaults.*(field.value) >= field.min_value);
+      CHECK(defaults.*(field.value) <= field.max_value);
     }
     CHECK(names.size() * sizeof(double) == sizeof(SteeringPolicy));
   }
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -1,6 +1,7 @@
-/// Calls FlowSteering at random for the sanitizers: snapshots and deltas with moving, ending,
-/// restarting and address-sharing targets, packets, buffered packets, target health, probes, and
-/// congestion. Checks only that a decision names a target exactly when it forwards.
+/// Makes random calls to FlowSteering, mainly for runs with sanitizers: snapshots and deltas with
+/// moving, ending, restarting and address-sharing targets, packets, buffered packets, target
+/// health, probes, and congestion. Checks only that a decision names a target exactly when it
+/// forwards.
 #include <doctest/doctest.h>
 
 #include <random>
@@ -115,13 +116,13 @@
   }
 
   void send_figures() {
-    std::vector<TargetHealth> figures;
+    std::vector<TargetHealth> health;
     for (std::uint64_t count = random_below(6); count > 0; --count) {
       const auto token = static_cast<FlowToken>(100 + random_below(kTargets + 2));
-      figures.push_back({token, static_cast<std::uint8_t>(random_below(200)), random_below(2) == 0,
-                         random_below(2) == 0});
+      health.push_back({token, static_cast<std::uint8_t>(random_below(200)), random_below(2) == 0,
+                        random_below(2) == 0});
     }
-    steering_.set_target_health(figures, now_);
+    steering_.set_target_health(health, now_);
   }
 
   void step_probes() {
@@ -143,8 +144,8 @@
 
   void send_packet() {
     ClientPacket packet;
-    const auto caller = static_cast<std::uint32_t>(random_below(400));
-    packet.flow = {{0x64400000 + caller, 4000},
+    const auto client = static_cast<std::uint32_t>(random_below(400));
+    packet.flow = {{0x64400000 + client, 4000},
                    {0xC6120001 + static_cast<std::uint32_t>(random_below(kFrontends)), 443}};
     packet.opens = random_below(4) == 0;
     packet.retransmissions = packet.opens ? static_cast<std::uint32_t>(random_below(3)) : 0;
--- a/tests/unit/test_target_refusals.cc
+++ b/tests/unit/test_target_refusals.cc
@@ -24,7 +24,7 @@
 }  // namespace
 
 TEST_SUITE("target_refusals") {
-  TEST_CASE("a late handshake causes one probe, and a refusal diverts new flows at once") {
+  TEST_CASE("an overdue handshake causes one probe, and a refusal diverts new flows at once") {
     TargetRefusals refusals;
     refusals.on_overdue(kTarget, kStart);
     refusals.on_overdue(kTarget, kStart);
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -299,12 +299,12 @@
     budget.set_rank({0, 1}, kStart);
     budget.add(cold_target(5, seconds(20)), kStart);
     const std::uint64_t before = allocation_count();
-    std::uint32_t free = 0;
+    std::uint32_t unrestricted = 0;
     for (TargetId id = 100; id < 1100; ++id) {
-      free += budget.admission(id, kStart) == WarmUpAdmission::kUnrestricted ? 1 : 0;
+      unrestricted += budget.admission(id, kStart) == WarmUpAdmission::kUnrestricted ? 1 : 0;
       budget.on_placed(id, kStart);
     }
-    CHECK(free == 1000);
+    CHECK(unrestricted == 1000);
     CHECK(allocation_count() == before);
   }
 
