--- a/src/core/steering/flow_warm_up.cc
+++ b/src/core/steering/flow_warm_up.cc
@@ -1,4 +1,4 @@
-/// FlowSteering's reporting of targets that are warming up to the warm-up budget.
+/// FlowSteering's updates of the warm-up budget when targets or settings change.
 #include <algorithm>
 #include <utility>
 
--- a/src/core/steering/target_reachability.cc
+++ b/src/core/steering/target_reachability.cc
@@ -28,8 +28,8 @@
 /// inconclusive.
 constexpr Duration kInconclusiveTimeout = milliseconds(400);
 /// A suspicion that saw congestion is dropped as inconclusive after this time, to make room for
-/// others. While the link stays busy, the next client retransmission, at 0.6, 1.4 or 3 s, renews
-/// it.
+/// others. While the link stays congested, the next client retransmission, at 0.6, 1.4 or 3 s,
+/// renews it.
 constexpr Duration kMaxSuspicionTime = seconds(1);
 /// A target that answered is not suspected again for this time: clients also retransmit to targets
 /// with long queues, and each probe costs the target resources.
@@ -220,7 +220,7 @@
 
 void TargetReachability::on_reference_answer(const SentProbe& probe, Instant now) {
   const auto found = suspicions_.find(probe.reference_for);
-  // Reference probes sent before the link was free do not cover the time that counts.
+  // Reference probes sent during congestion do not cover the time that counts.
   const bool counts = found != suspicions_.end() && probe.at >= found->second.probing_since;
   if (counts && !found->second.reference_rtt) {
     found->second.reference_rtt = now - probe.at;
--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -8,8 +8,8 @@
 /// reference target, sent between them, was answered. A slow balancer, or one that is cut off
 /// itself, therefore reports no target. While the local link is congested, silence proves nothing,
 /// because probes and answers may have been lost on it. Only refusals count then, and a suspicion
-/// that saw congestion is probed again once the link is free. Each balancer decides by its own path
-/// to the target; reports of other balancers only start probes.
+/// that saw congestion is probed again once the congestion ends. Each balancer decides by its own
+/// path to the target; reports of other balancers only start probes.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -90,8 +90,8 @@
   void on_replaced(TargetId target) { replaced_.insert(target); }
   /// A client received data or an acknowledgement from the target, so it is alive and reachable.
   void on_progress(TargetId target, Instant now);
-  /// Reports whether the local link is so busy that answers may be late or lost. Call it before
-  /// each step; by default the link is free.
+  /// Sets whether the local link is so congested that answers may be delayed or lost. Call it
+  /// before each step; by default the link is not congested.
   void set_link_congested(bool is_congested, Instant now);
   void on_answer(std::uint64_t probe, ProbeAnswer answer, Instant now);
   /// A probe could not be sent; it proves nothing.
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -91,7 +91,7 @@
   /// any time. The slot stands for a whole round, so the target gets its share of flows if the
   /// budget allows it. 1 for a target without a budget.
   [[nodiscard]] double slot_weight(TargetId id) const;
-  /// The first packet of a flow, or a retransmission that went to another target before, goes to
+  /// Records that a new flow, or a retransmission that first went to another target, was placed at
   /// the target.
   void on_placed(TargetId id, Instant now);
   void on_passed_over() { ++counters_.passed_over; }
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -1,8 +1,8 @@
-/// Seeded workload over several balancers and targets that die, restart at their address, freeze,
-/// lose the path to some balancers, or respond slowly, while packets and probes are lost and
-/// balancers are paused. In a second variant the links of balancers become congested, which delays
-/// or drops all that they send, and some targets refuse probes, either because they are full and
-/// still serve their flows or because they are gone.
+/// Seeded workload over several balancers and targets that die, restart at their address, lose the
+/// path to some balancers, or respond slowly, while packets and probes are lost and balancers are
+/// paused. In a second variant the links of balancers become congested, which delays or drops all
+/// that they send, and some targets refuse probes, either because they are full and still serve
+/// their flows or because they are gone.
 ///
 /// Checks after each detection that a balancer never reports a live target as unreachable that it
 /// has been able to reach for a while, and that clients with open flows at a dead target are reset
--- a/tests/sim/test_warm_up_workload.cc
+++ b/tests/sim/test_warm_up_workload.cc
@@ -2,9 +2,9 @@
 /// some balancers have just started, ranks arrive late or never, and the control replicas may elect
 /// a new leader.
 ///
-/// Checks that no cold target takes more opening packets (SYN) in any second than its limit, that
-/// no flow is rejected while warm targets remain, that the allowed rate is used, and that no burst
-/// follows the warm-up.
+/// Checks that no target that is warming up takes more opening packets (SYN) in any second than its
+/// limit, that no flow is rejected while warm targets remain, that the allowed rate is used, and
+/// that no burst follows the warm-up.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -32,20 +32,21 @@
 constexpr std::uint32_t kBalancers = 80;
 constexpr TargetId kTargets = 120;
 constexpr TargetId kZoneTargets = 40;
-/// Limit of flows within any second at a cold target: this multiple of the rate plus `kSlack`.
+/// Limit of flows within any second at a target that is warming up: this multiple of the rate plus
+/// `kSlack`.
 constexpr double kOverrun = 1.5;
 constexpr double kSlack = 5;
 constexpr double kBusyFlowsPerS = 1000;
 
 struct Measurements {
-  /// Flows placed at cold targets as a fraction of the allowed rate.
+  /// Flows placed during the warm-up as a fraction of the allowed rate.
   double used_of_rate = 0;
   /// The same, with the allowed rate capped at the flow rate of a warm target.
   double used_of_share = 0;
-  /// Largest fraction of its limit that a cold target took in any second.
+  /// Largest fraction of its limit that a target took in any second.
   double max_fraction_of_bound = 0;
   /// Maximum of flows at a target within a second, in the two seconds after the warm-up, for
-  /// targets that were cold and for all others.
+  /// targets that were warming up and for all others.
   std::size_t most_after = 0;
   std::size_t most_of_others = 0;
   std::size_t refused = 0;
@@ -269,8 +270,8 @@
       measured_.max_fraction_of_bound =
           std::max(measured_.max_fraction_of_bound, static_cast<double>(most) / bound);
       if (static_cast<double>(most) > bound) {
-        violation_ = "a cold target took " + std::to_string(most) + " flows in a second, rate " +
-                     std::to_string(rate_);
+        violation_ = "a target that is warming up took " + std::to_string(most) +
+                     " flows in a second, rate " + std::to_string(rate_);
       }
     }
     if (measured_.refused > 0) {
@@ -314,7 +315,7 @@
 }  // namespace
 
 TEST_SUITE("warm_up_workload") {
-  TEST_CASE("cold targets stay within their limits, and no flow is rejected") {
+  TEST_CASE("targets that are warming up stay within their limits, and no flow is rejected") {
     constexpr std::uint64_t kSeeds = 60;
     double used = 0;
     double used_of_share = 0;
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -871,7 +871,7 @@
     CHECK(detected[0].reason == UnreachableReason::kReplaced);
   }
 
-  TEST_CASE("a flow that moves from another balancer does not clear its target") {
+  TEST_CASE("a flow that moves from another balancer does not clear the suspicion of its target") {
     // Flows that move between balancers must not delay the detection of a failed target.
     FailingTarget test;
     test.send_request(1, test.failing);
--- a/tests/unit/test_target_reachability.cc
+++ b/tests/unit/test_target_reachability.cc
@@ -218,7 +218,7 @@
     CHECK(targets.probes.size() == TargetReachability::kMaxSuspicions);
   }
 
-  TEST_CASE("silence on a congested link proves nothing and is probed again on a free link") {
+  TEST_CASE("silence on a congested link proves nothing; probes restart when the congestion ends") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.set_link_congested(true, targets.now);
@@ -231,7 +231,7 @@
     REQUIRE(detected.size() == 1);
     CHECK(detected[0].reason == UnreachableReason::kSilent);
     CHECK(detected[0].probes == 3);
-    // As fast as for a suspicion that starts when the link is free.
+    // As fast as for a suspicion that starts on an uncongested link.
     CHECK(kStart + detected[0].detection_time <= free_at + milliseconds(150));
   }
 
@@ -332,7 +332,7 @@
     CHECK(targets.probes[kSuspected] == 3);
   }
 
-  TEST_CASE("a link that alternates between free and congested causes few probes") {
+  TEST_CASE("a link that alternates between congested and not causes few probes") {
     ProbedTargets targets;
     targets.behaviour = {{kSuspected, Behaviour::kSilent}, {kReference, Behaviour::kAccepts}};
     targets.reachability.suspect(kSuspected, {kReference}, targets.now);
@@ -341,7 +341,7 @@
       CHECK(targets.run(milliseconds(30)).empty());
     }
     CHECK_FALSE(targets.reachability.is_probing());
-    // One probe per step for a second, plus those sent before the link is busy again.
+    // One probe per step for a second, plus those sent before the link is congested again.
     CHECK(targets.probes[kSuspected] <= 45);
   }
 
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -24,7 +24,8 @@
   return {kCold, 1007, flows_per_s, kStart + warm_up};
 }
 
-/// Times of the flows that a balancer places at the cold target, with one new flow every 10 ms.
+/// Times of the flows that a balancer places at a target that is warming up, with one new flow
+/// every 10 ms.
 std::vector<Instant> placed(WarmUpBudget& budget, Instant from, Instant to) {
   std::vector<Instant> result;
   for (Instant now = from; now < to; now += milliseconds(10)) {
@@ -127,7 +128,7 @@
     CHECK(placed(budget, kStart + seconds(10), kStart + seconds(11)).size() <= 2);
   }
 
-  TEST_CASE("without a recent rank a balancer places no flow at a cold target") {
+  TEST_CASE("without a recent rank a balancer places no flow at a target that is warming up") {
     WarmUpBudget budget;
     budget.add(cold_target(100, seconds(100)), kStart);
     CHECK(placed(budget, kStart, kStart + seconds(5)).empty());
@@ -189,7 +190,8 @@
     CHECK(budget.is_empty());
   }
 
-  TEST_CASE("a cold target gets flows in its time slots, and warm targets get the rest") {
+  TEST_CASE(
+      "a target that is warming up gets flows in its time slots, and warm targets get the rest") {
     Fixture test(pool_of({target(1, 0), target(2, 0)}, 5000));
     test.steering.set_balancer_rank({0, 2}, test.now);
     test.steering.apply(upsert(target(3, 4000)), test.now);
@@ -207,14 +209,14 @@
     CHECK(flows[3] > 100);
   }
 
-  TEST_CASE("without a rate limit a cold target is not restricted") {
+  TEST_CASE("without a rate limit a target that is warming up is not restricted") {
     Fixture test(pool_of({target(1, 0)}, 0));
     test.steering.apply(upsert(target(2, 4000)), test.now);
     CHECK(test.steering.warm_up().is_empty());
     CHECK(test.open_for(seconds(1))[2] > 20);
   }
 
-  TEST_CASE("if all targets are cold, flows beyond the budget are rejected at once") {
+  TEST_CASE("if all targets are warming up, flows beyond the budget are rejected at once") {
     Fixture test(pool_of({}, 10000));
     test.steering.set_balancer_rank({0, 1}, test.now);
     test.steering.apply(upsert(target(1, 4000)), test.now);
@@ -229,7 +231,7 @@
     CHECK(flows[0] == 0);
   }
 
-  TEST_CASE("other pools of a frontend get the flows that a cold pool may not take") {
+  TEST_CASE("other pools of a frontend get the flows that a pool that is warming up may not take") {
     SteeringState state = pool_of({}, 1000);
     state.settings.pools.push_back({"beta", 9});
     state.settings.frontends[0].pools = {{"alpha", 9}, {"beta", 1}};
@@ -280,7 +282,7 @@
     CHECK(test.steering.warm_up().admission(2, test.now) == WarmUpAdmission::kOtherSlot);
   }
 
-  TEST_CASE("new settings change or remove the rate limit of cold targets") {
+  TEST_CASE("new settings change or remove the rate limit of targets that are warming up") {
     const SteeringState state = pool_of({target(1, 0)}, 1000);
     Fixture test(state);
     test.steering.apply(upsert(target(2, 60000)), test.now);
