--- a/src/core/steering/zone_path_check.cc
+++ b/src/core/steering/zone_path_check.cc
@@ -65,11 +65,11 @@
   ++rounds_;
   probed_at_ = now;
   const bool is_first = rounds_ == 1;
-  ProbeRound step{first_of(samples_, is_first ? kFirstRoundSamples : kMaxSamples),
-                  first_of(references_, is_first ? kFirstRoundReferences : kReferences)};
-  probes_ += static_cast<std::uint32_t>(step.samples.size());
-  reference_probes_ += static_cast<std::uint32_t>(step.references.size());
-  return step;
+  ProbeRound round{first_of(samples_, is_first ? kFirstRoundSamples : kMaxSamples),
+                   first_of(references_, is_first ? kFirstRoundReferences : kReferences)};
+  probes_ += static_cast<std::uint32_t>(round.samples.size());
+  reference_probes_ += static_cast<std::uint32_t>(round.references.size());
+  return round;
 }
 
 bool ZonePathCheck::may_continue() const {
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -210,12 +210,12 @@
 
 void ZonePaths::step_check(std::size_t index, Instant now, std::vector<ProbeRequest>& out) {
   ZonePathCheck& path_check = *zones_[index].check;
-  const ZonePathCheck::ProbeRound step = path_check.next_round(now);
-  for (const TargetId sampled_target : step.samples) {
+  const ZonePathCheck::ProbeRound round = path_check.next_round(now);
+  for (const TargetId sampled_target : round.samples) {
     send({index, sampled_target, false, now, path_check.attempt()}, out);
   }
   // Reference targets come last, because a short queue drops the end of a burst.
-  for (const TargetId reference : step.references) {
+  for (const TargetId reference : round.references) {
     send({index, reference, true, now, path_check.attempt()}, out);
   }
 }
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -424,8 +424,8 @@
     const Outcome without_probes =
         run_seeds(without_refusal_probes(), TargetState::kGone, seconds(4));
     const Outcome with_probes = run_seeds({}, TargetState::kGone, seconds(4));
-    print("without probes of refusals", without_probes);
-    print("with them", with_probes);
+    print("without refusal probes", without_probes);
+    print("with refusal probes", with_probes);
     CHECK(with_probes.refused_late == 0);
     CHECK(with_probes.placed_at_gone * 3 <= without_probes.placed_at_gone);
     CHECK(with_probes.refused * 3 <= without_probes.refused);
@@ -435,8 +435,8 @@
     const Outcome without_probes =
         run_seeds(without_refusal_probes(), TargetState::kFull, seconds(1));
     const Outcome with_probes = run_seeds({}, TargetState::kFull, seconds(1));
-    print("without probes of refusals", without_probes);
-    print("with them", with_probes);
+    print("without refusal probes", without_probes);
+    print("with refusal probes", with_probes);
     CHECK(with_probes.refused == 0);
     CHECK(with_probes.slow <= without_probes.slow);
   }
--- a/tests/unit/test_allocation.cc
+++ b/tests/unit/test_allocation.cc
@@ -38,16 +38,16 @@
     const CoapMessage request = make_request(coap_code::kGet, 1, 1);
     const Bytes datagram =
         encode_proxy_datagram({{kClient, kFirstService}, {}, {}, {}}, encode_coap(request));
-    const Bytes answer = encode_coap(make_response(request, "answer"));
+    const Bytes response = encode_coap(make_response(request, "answer"));
     std::array<std::uint8_t, 256> buffer{};
     const auto exchange = [&] {
       balancer.on_datagram(datagram, now);
       ProxyHeader header = output.last_header;
       header.target = output.last_target;
       const std::size_t header_size = encode_proxy_header(header, buffer.data());
-      std::copy(answer.begin(), answer.end(),
+      std::copy(response.begin(), response.end(),
                 buffer.begin() + static_cast<std::ptrdiff_t>(header_size));
-      balancer.on_datagram(ByteView(buffer.data(), header_size + answer.size()), now);
+      balancer.on_datagram(ByteView(buffer.data(), header_size + response.size()), now);
     };
     constexpr std::uint64_t kWarmUp = 5000;
     constexpr std::uint64_t kMeasured = 1000;
