--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -63,9 +63,9 @@
       return;
     case PartitionRole::kAcquiring: {
       const Acquisition& acquisition = *partition.acquisition;
-      const bool source_decides = acquisition.has_source() && acquisition.next_chunk == 0 &&
-                                  acquisition.sources[acquisition.source].was_owner;
-      if (source_decides && !header.relay) {
+      const bool source_serves = acquisition.has_source() && acquisition.next_chunk == 0 &&
+                                 acquisition.sources[acquisition.source].was_owner;
+      if (source_serves && !header.relay) {
         relay(partition, header, payload);
       } else {
         handover_.buffer_datagram(partition, header, payload);
@@ -93,14 +93,14 @@
     return;
   }
   ProxyHeader relayed = header;
-  RelayInfo mark = header.relay.value_or(RelayInfo{});
-  if (mark.hops >= kMaxRelayHops) {
+  RelayInfo relay_info = header.relay.value_or(RelayInfo{});
+  if (relay_info.hops >= kMaxRelayHops) {
     ++counters_.datagrams_hop_limit;
     return;
   }
-  ++mark.hops;
-  mark.members_revision = state_.view()->members_revision();
-  relayed.relay = mark;
+  ++relay_info.hops;
+  relay_info.members_revision = state_.view()->members_revision();
+  relayed.relay = relay_info;
   ++counters_.datagrams_relayed;
   state_.output().relay(*peer, relayed, payload);
 }
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -1,5 +1,6 @@
 /// The balancer's client of the control replicas: sends heartbeats, keeps the lease, and applies
-/// fleet updates. Deterministic; does no I/O and reads no clock.
+/// fleet updates. A replica is current if it has applied everything that an active leader has
+/// committed. Deterministic; does no I/O and reads no clock.
 #pragma once
 
 #include <cstdint>
@@ -61,7 +62,7 @@
   virtual std::vector<TargetObservation> take_observations() { return {}; }
   /// Target health aggregated over all balancers; replaces what was reported before.
   virtual void on_target_health(const std::vector<TargetHealth>& /*health*/) {}
-  /// Balancers have recently been refused by these targets.
+  /// These targets recently refused probes of balancers.
   virtual void on_refusing(const RefusingTargets& /*refusing*/, Instant /*now*/) {}
   /// Rank of this balancer among all; reported with each reply. A count of 0 means unknown.
   virtual void on_rank(const BalancerRank& /*rank*/, Instant /*now*/) {}
@@ -153,8 +154,8 @@
   /// Applies deltas that include membership changes: each resulting membership is applied
   /// separately.
   void apply_member_deltas(const Endpoint& from, const FleetUpdate& update, Instant now);
-  /// `digest` belongs to `next`; it is passed on because computing it is expensive for a large
-  /// fleet.
+  /// `digest` must be that of `next`; it is a parameter because computing it is expensive for a
+  /// large fleet.
   void adopt(FleetState next, const FleetDigest& digest, Instant now);
   void on_adopted(Instant now);
   void check_confirmed(Instant now);
@@ -184,7 +185,7 @@
   FleetState fleet_;
   FleetDigest digest_;
   StateFreshness freshness_;
-  /// Highest revision that was applied. Older snapshots are refused.
+  /// Highest revision that was applied. Older snapshots are rejected.
   Revision revision_floor_ = 0;
   /// Starts at the incarnation, so that replies to an earlier process at this address do not match.
   std::uint64_t sequence_;
--- a/src/core/balancer/fleet_view.h
+++ b/src/core/balancer/fleet_view.h
@@ -28,7 +28,7 @@
   std::vector<std::uint32_t> slots;
   /// Index into Service::targets by address.
   absl::flat_hash_map<Endpoint, std::uint32_t> targets;
-  /// Hashes of the paths in the path rules.
+  /// Hashes of the paths that the settings declare as idempotent and as non-idempotent.
   std::vector<std::uint64_t> repeatable_paths;
   std::vector<std::uint64_t> once_only_paths;
 };
--- a/src/core/balancer/partition.h
+++ b/src/core/balancer/partition.h
@@ -112,8 +112,8 @@
   /// True when the copy has all records of the owner with incarnation `last_owner`. A copy from an
   /// earlier owner, or from before a fencing revision, lacks later changes that were replicated to
   /// another backup.
-  [[nodiscard]] bool is_complete(Revision sealed_revision, std::uint64_t last_owner) const {
-    return complete && revision >= sealed_revision && owner == last_owner;
+  [[nodiscard]] bool is_complete(Revision fencing_revision, std::uint64_t last_owner) const {
+    return complete && revision >= fencing_revision && owner == last_owner;
   }
 };
 
@@ -132,7 +132,7 @@
   /// As owner: revision since which owner and backup are unchanged, and the backup.
   Revision owner_revision = 0;
   std::optional<Endpoint> backup;
-  /// Non-idempotent requests are refused before this time, since records may be missing.
+  /// Non-idempotent requests are rejected before this time, since records may be missing.
   Instant incomplete_until;
   UnconfirmedChanges unconfirmed;
   bool copy_pending = false;
--- a/src/core/balancer/peer_messages.h
+++ b/src/core/balancer/peer_messages.h
@@ -81,7 +81,8 @@
   std::uint32_t chunk = 0;
   bool last = false;
   SourceState source_state = SourceState::kNone;
-  /// Remaining time during which the state may lack records although its source has lost none.
+  /// Remaining time during which the state may lack records because of an earlier incomplete
+  /// takeover.
   std::uint32_t incomplete_for_ms = 0;
   StateBatch state;
 
--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -84,7 +84,7 @@
   std::uint32_t version = 0;
   /// Number of times it was sent to another target after a refusal.
   std::uint8_t retries = 0;
-  /// Continuation of a block-wise transfer (RFC 7959): never refused because of overload.
+  /// Continuation of a block-wise transfer (RFC 7959): never rejected because of overload.
   bool continuation = false;
   Endpoint target;
   /// When to process the record again: to resend it, give up, or delete it. Local to the process.
--- a/src/core/balancer/replica_selector.cc
+++ b/src/core/balancer/replica_selector.cc
@@ -68,13 +68,13 @@
 }
 
 Endpoint ReplicaSelector::preferred() const {
-  const auto is_near = [this](const Endpoint& replica) {
+  const auto is_in_own_zone = [this](const Endpoint& replica) {
     const auto found = zones_.find(replica);
     return !zone_.empty() && found != zones_.end() && found->second == zone_;
   };
   const auto score = [&](const Endpoint& replica) {
     const std::uint64_t key = packed(self_) ^ (packed(replica) << 16U);
-    return std::pair(is_near(replica), rendezvous_score(key, 0, kPreferredReplicaSalt));
+    return std::pair(is_in_own_zone(replica), rendezvous_score(key, 0, kPreferredReplicaSalt));
   };
   const auto best =
       std::max_element(known().begin(), known().end(),
--- a/src/core/balancer/replication.cc
+++ b/src/core/balancer/replication.cc
@@ -198,11 +198,11 @@
 void BackupStore::on_request(const Endpoint& from, const ReplicateRequest& request, Instant now) {
   Partition& partition = state_.partitions().at(request.partition);
   ReplicateReply reply{request.members_revision, request.partition, request.batch, false};
-  const bool sealed =
+  const bool fenced =
       request.members_revision < partition.fenced_revision && !state_.faults().ignore_seal;
   const bool outdated =
       partition.copy != nullptr && request.members_revision < partition.copy->revision;
-  if (!sealed && !outdated) {
+  if (!fenced && !outdated) {
     if (partition.copy == nullptr) {
       partition.copy = std::make_unique<StateCopy>();
     }
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -8,8 +8,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Factor by which the load of the second choice is multiplied before it is compared with the first
-/// choice. Flows on their first choice need no replication.
+/// Factor by which the load of the second choice is multiplied before it is compared with that of
+/// the first choice. Equal loads select the first choice, whose flows need no replication.
 constexpr double kSecondChoiceGain = 1.0;
 
 Duration request_timeout(const ServiceView* service) {
@@ -96,7 +96,7 @@
 void RequestActions::give_up(Partition& partition, RequestRecord& record, Execution execution,
                              FailureReason reason, Instant now) {
   if (record.is_outstanding()) {
-    // Tell the target that nobody waits for the response any more (RFC 7252 section 4.2: Reset).
+    // Notifies the target that the response is no longer needed (RFC 7252 section 4.2: Reset).
     send_to_target(record, encode_empty_message(CoapType::kReset, record.message_id), now);
     release_outstanding(record);
   }
@@ -111,12 +111,13 @@
   auto& counters = state_.counters();
   ++(execution == Execution::kNotRun ? counters.verdicts_not_run : counters.verdicts_may_have_run);
   ++counters.given_up[static_cast<std::size_t>(reason)];
-  const bool once_only = record.kind == RequestKind::kNonIdempotent;
-  if (once_only) {
+  const bool is_non_idempotent = record.kind == RequestKind::kNonIdempotent;
+  if (is_non_idempotent) {
     replicator_.mark_changed(partition, record);
   }
-  state_.set_deadline(partition.id, record,
-                      now + (once_only ? timing::kExchangeLifetime : timing::kGivenUpLifetime));
+  state_.set_deadline(
+      partition.id, record,
+      now + (is_non_idempotent ? timing::kExchangeLifetime : timing::kGivenUpLifetime));
   repeat_verdict(record);
 }
 
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -50,7 +50,7 @@
 }
 
 void DuplicateFilter::respond_to_duplicate(RequestContext& context, RequestRecord& record) {
-  const bool once_only = record.kind == RequestKind::kNonIdempotent;
+  const bool is_non_idempotent = record.kind == RequestKind::kNonIdempotent;
   switch (record.state) {
     case RequestState::kRecording:
     case RequestState::kQueued:
@@ -59,13 +59,13 @@
       actions_.repeat_verdict(record);
       return;
     case RequestState::kAnswered:
-      if (once_only) {
+      if (is_non_idempotent) {
         state_.output().send_to_client(record.flow, record.response);
         return;
       }
       break;
     case RequestState::kDispatched:
-      if (once_only) {
+      if (is_non_idempotent) {
         return;
       }
       break;
@@ -186,15 +186,16 @@
     return FilterStatus::kContinue;
   }
   RequestRecord& record = actions_.make_record(context, RequestState::kQueued);
-  const QueuePriority own_class = queue_priority(context.kind);
+  const QueuePriority own_priority = queue_priority(context.kind);
   const bool full = target.queued_count() >= context.service.service->queue_limit;
-  if (full && !context.continuation && !evict_lower_priority(target, own_class, context.now)) {
+  if (full && !context.continuation && !evict_lower_priority(target, own_priority, context.now)) {
     actions_.give_up(context.partition, record, Execution::kNotRun, FailureReason::kOverload,
                      context.now);
     return FilterStatus::kStop;
   }
   state_.set_deadline(context.partition.id, record, record.give_up_at);
-  target.queues[static_cast<std::size_t>(own_class)].push_back({context.partition.id, record.id});
+  target.queues[static_cast<std::size_t>(own_priority)].push_back(
+      {context.partition.id, record.id});
   return FilterStatus::kStop;
 }
 
--- a/src/core/balancer/request_filters.h
+++ b/src/core/balancer/request_filters.h
@@ -33,7 +33,7 @@
   RequestActions& actions_;
 };
 
-/// Refuses non-idempotent requests when another owner may exist or records may be missing.
+/// Rejects non-idempotent requests when another owner may exist or records may be missing.
 class LeaseFilter : public RequestFilter {
  public:
   LeaseFilter(BalancerState& state, RequestActions& actions) : state_(state), actions_(actions) {}
@@ -69,7 +69,7 @@
   RequestActions& actions_;
 };
 
-/// Admits a request to its target, queues it, or refuses it when the queue is full.
+/// Admits a request to its target, queues it, or rejects it when the queue is full.
 class AdmissionFilter : public RequestFilter {
  public:
   AdmissionFilter(BalancerState& state, RequestActions& actions)
@@ -77,7 +77,7 @@
   FilterStatus on_request(RequestContext& context) override;
 
  private:
-  /// Frees a place in a full queue by refusing a request of a lower priority. Returns false when
+  /// Makes room in a full queue by rejecting a request of a lower priority. Returns false when
   /// there is none.
   bool evict_lower_priority(TargetState& target, QueuePriority priority, Instant now);
   BalancerState& state_;
--- a/src/core/balancer/timing.h
+++ b/src/core/balancer/timing.h
@@ -28,7 +28,7 @@
 /// Interval between two TakeoverRequests, and the timeout of a source that does not reply.
 constexpr Duration kTakeoverRetry = milliseconds(40);
 constexpr Duration kTakeoverSourceTimeout = milliseconds(1000);
-/// Maximum time for which a new owner without a lease leaves the state with the previous owner.
+/// Maximum time for which a new owner waits for a lease before it requests the state.
 constexpr Duration kLeaseWait = milliseconds(1000);
 /// An owner whose successor does not request the state stops serving the partition after this time.
 constexpr Duration kUnclaimedTimeout = seconds(5);
@@ -43,8 +43,9 @@
 constexpr Duration kExchangeLifetime = seconds(247);
 /// Maximum lease of a balancer; asserted in core/control/timing.h.
 constexpr Duration kLease = seconds(10);
-/// After a takeover that may lack records, non-idempotent requests are refused for this long. By
-/// then clients no longer retransmit requests that the failed owner ran, and its lease has ended.
+/// After a takeover that may lack records, non-idempotent requests are rejected for this long. By
+/// then clients no longer retransmit requests that the failed owner dispatched, and its lease has
+/// expired.
 constexpr Duration kIncompleteTakeover = seconds(60);
 static_assert(kIncompleteTakeover > kMaxTransmitSpan && kIncompleteTakeover > kLease);
 
--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxPendingReports = 16;
 constexpr Duration kNodeExpiry = std::chrono::seconds(60);
-/// A balancer that waits for an up-to-date replica repeats its heartbeat within this time.
+/// Lifetime of a WaitingNode. A balancer that still waits repeats its heartbeat earlier.
 constexpr Duration kWaitingExpiry = std::chrono::seconds(2);
 /// A follower without an acknowledged report for this long rejects announcements and does not serve
 /// members, because the leader may time out its targets and members. Equals three report intervals.
@@ -194,8 +194,9 @@
   }
 }
 
-std::optional<TargetHealthUpdate> ControlNode::health_update_since(std::uint64_t edition) const {
-  return edition == target_health_.version ? std::nullopt : std::optional(target_health_);
+std::optional<TargetHealthUpdate> ControlNode::health_update_since(
+    std::uint64_t known_version) const {
+  return known_version == target_health_.version ? std::nullopt : std::optional(target_health_);
 }
 
 void ControlNode::handle(const Endpoint& /*from*/, const ReportReply& reply, Instant now) {
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -147,7 +147,7 @@
   void handle(const Endpoint& from, const ReportReply& reply, Instant now);
   std::optional<Proposal> propose_entry(EntryType type, Bytes payload, Instant now);
   [[nodiscard]] HeartbeatReply reply_to(const NodeHeartbeat& heartbeat, Instant now) const;
-  /// Sends a new reply to balancers that received one while this replica was not up to date.
+  /// Sends a new reply to balancers that received one while this replica was not current.
   void notify_waiting_nodes(Instant now);
   void report_to_leader(Instant now);
   void run_leader_tasks(Instant now);
@@ -167,7 +167,8 @@
   /// Stores target health; sends it immediately if the set of unhealthy or unreachable targets
   /// changed.
   void apply_target_health(TargetHealthUpdate new_health);
-  [[nodiscard]] std::optional<TargetHealthUpdate> health_update_since(std::uint64_t edition) const;
+  [[nodiscard]] std::optional<TargetHealthUpdate> health_update_since(
+      std::uint64_t known_version) const;
   [[nodiscard]] Duration remaining_lease(Instant now) const;
   /// Returns true if this replica is the leader, or if a leader recently acknowledged its reports.
   /// Receiving messages from the leader does not prove that the leader receives those of this
@@ -200,7 +201,7 @@
   /// Registrations that followers forwarded since the last tick.
   RegistrationCommand forwarded_;
   bool was_leader_ = false;
-  /// Balancer whose last reply said that this replica is not up to date.
+  /// Balancer whose last reply reported this replica as not current.
   struct WaitingNode {
     NodeHeartbeat heartbeat;
     Instant at;
--- a/src/core/control/evacuation.cc
+++ b/src/core/control/evacuation.cc
@@ -6,8 +6,8 @@
 
 namespace gorsevalve {
 
-std::string_view to_string(EvacuationAction order) {
-  return order == EvacuationAction::kEvacuate ? "evacuate" : "restore";
+std::string_view to_string(EvacuationAction evacuation_action) {
+  return evacuation_action == EvacuationAction::kEvacuate ? "evacuate" : "restore";
 }
 
 const EvacuatedZone* find_evacuation(const SteeringState& state, std::string_view zone) {
--- a/src/core/control/evacuation.h
+++ b/src/core/control/evacuation.h
@@ -19,7 +19,7 @@
 };
 
 /// Name of an action in logs.
-std::string_view to_string(EvacuationAction order);
+std::string_view to_string(EvacuationAction evacuation_action);
 
 struct EvacuationCommand {
   std::string zone;
--- a/src/core/control/fleet_digest.cc
+++ b/src/core/control/fleet_digest.cc
@@ -19,7 +19,7 @@
   return XXH3_64bits_withSeed(bytes.data(), bytes.size(), static_cast<std::uint64_t>(kind));
 }
 
-/// Fields of the fleet state outside of the element sum, and that sum.
+/// Scalar fields of the fleet state, and the sum of the element digests.
 struct ScalarFields {
   Revision revision = 0;
   Revision settings_revision = 0;
--- a/src/core/control/fleet_digest.h
+++ b/src/core/control/fleet_digest.h
@@ -1,6 +1,6 @@
 /// Incremental digest of the fleet state: equal states give equal digests in every process. The
 /// digest sums element digests, so the cost of an update depends on the size of the change and not
-/// of the state.
+/// on the size of the state.
 #pragma once
 
 #include "core/control/fleet_delta.h"
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -25,7 +25,7 @@
   std::uint64_t digest = 0;
   /// Membership revision whose handovers are complete; 0 while a handover is in progress.
   Revision settled_revision = 0;
-  /// False if the balancer does not subscribe to this replica and only wants the reply.
+  /// False if the balancer does not subscribe to this replica and needs only the reply.
   bool wants_update = true;
   /// Observations of targets since the last heartbeat.
   std::vector<TargetObservation> observations{};
@@ -45,11 +45,11 @@
 
 struct HeartbeatReply {
   std::uint64_t sequence = 0;
-  /// The balancer may run non-idempotent requests for this long after it sent the heartbeat.
+  /// The balancer may dispatch non-idempotent requests for this long after it sent the heartbeat.
   std::uint32_t lease_ms = 0;
   /// A leaving balancer may stop: all others have completed their handovers.
   bool may_stop = false;
-  /// The replica has applied everything that a live leader has committed, as of `revision`.
+  /// The replica has applied everything that an active leader has committed, as of `revision`.
   bool is_current = false;
   Revision revision = 0;
   /// Addresses of all replicas, for later connections.
--- a/src/core/control/node_registry.cc
+++ b/src/core/control/node_registry.cc
@@ -4,10 +4,10 @@
 
 namespace gorsevalve {
 
-void NodeRegistry::merge(const NodeStatus& status, Instant heard_at, bool is_local) {
+void NodeRegistry::merge(const NodeStatus& status, Instant seen_at, bool is_local) {
   NodeEntry& entry = nodes_[status.member.address];
-  if (heard_at >= entry.last_seen) {
-    entry = {status, heard_at, is_local};
+  if (seen_at >= entry.last_seen) {
+    entry = {status, seen_at, is_local};
   }
 }
 
--- a/src/core/control/node_registry.h
+++ b/src/core/control/node_registry.h
@@ -32,7 +32,7 @@
   void drop_older(Instant now, Duration age);
 
  private:
-  void merge(const NodeStatus& status, Instant heard_at, bool is_local);
+  void merge(const NodeStatus& status, Instant seen_at, bool is_local);
 
   std::map<Endpoint, NodeEntry> nodes_;
 };
--- a/src/core/control/replica.h
+++ b/src/core/control/replica.h
@@ -48,8 +48,8 @@
   virtual void restore(ByteView saved) = 0;
 };
 
-/// Injected faults, for the test that proves that the checkers detect violations. All off in
-/// production.
+/// Injected faults, for the tests that verify that the checkers detect violations. Programs leave
+/// all of them off.
 struct ReplicaFaults {
   bool vote_without_log_check = false;
   bool vote_despite_live_leader = false;
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -9,8 +9,8 @@
 namespace gorsevalve {
 namespace {
 
-/// Half-life of the decayed counters. Requests decay slowly, to include flows that rarely send one;
-/// failures decay quickly, to follow targets that fail and recover.
+/// Half-life of the decayed counters. Requests decay slowly, so that flows with rare requests still
+/// count; failures decay quickly, so that those from before a recovery soon stop counting.
 constexpr double kRequestHalfLifeUs = 10e6;
 constexpr double kFailureHalfLifeUs = 2e6;
 /// A target is unresponsive if this many recent flows, and this share of them, were unanswered.
--- a/src/core/control/target_incarnations.cc
+++ b/src/core/control/target_incarnations.cc
@@ -5,7 +5,7 @@
 
 bool is_same_registration(const RegisteredTarget& announced, const RegisteredTarget& known) {
   // The remaining warm-up time is ignored, which limits the log to two entries per warm-up. An
-  // increase means that the target is cold again.
+  // increase means that the target started to warm up again.
   const bool has_same_warm_up = (known.warm_up_ms == 0) == (announced.warm_up_ms == 0) &&
                                 announced.warm_up_ms <= known.warm_up_ms;
   const bool has_same_location = known.pool == announced.pool &&
--- a/src/core/control/timing.h
+++ b/src/core/control/timing.h
@@ -29,7 +29,7 @@
 constexpr Duration kHeartbeatInterval = milliseconds(1000);
 /// A balancer is removed from the members if no replica receives its heartbeat for this long.
 constexpr Duration kMemberTimeout = milliseconds(3500);
-/// Maximum time for which a balancer may process non-idempotent requests after a report that was
+/// Maximum time for which a balancer may dispatch non-idempotent requests after a report that was
 /// acknowledged by a leader with a majority.
 constexpr Duration kBalancerLease = timing::kLease;
 /// Membership changes within this time are batched into one.
--- a/src/core/control/update_publisher.cc
+++ b/src/core/control/update_publisher.cc
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-/// Cache size that exceeds the number of different revisions at connected balancers.
+/// The cache is cleared when it holds more updates than this. It has one per base revision.
 constexpr std::size_t kMaxCachedUpdates = 16;
 
 }  // namespace
@@ -30,8 +30,8 @@
     return;
   }
   if (!heartbeat.wants_update) {
-    // The balancer uses or searches for another replica. Later pushes would be dropped, but count
-    // as sent when it returns.
+    // The balancer uses or searches for another replica. Pushes sent meanwhile would be
+    // dropped, but would count as sent when it returns.
     if (!faults_.assume_sends_delivered) {
       subscribers_.erase(from);
     }
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -193,8 +193,8 @@
   }
 
   /// Delivers a target health update from the selected replica.
-  void receive_target_health(std::uint64_t edition) {
-    client_.on_message(*replica(), TargetHealthUpdate{edition, {}}, cluster_.now());
+  void receive_target_health(std::uint64_t health_version) {
+    client_.on_message(*replica(), TargetHealthUpdate{health_version, {}}, cluster_.now());
   }
 
   [[nodiscard]] Revision revision() const { return client_.fleet().revision; }
--- a/tests/unit/test_balancer.cc
+++ b/tests/unit/test_balancer.cc
@@ -148,7 +148,7 @@
     CHECK(parse(test.output.to_client[0].message)->code == coap_code::kGatewayTimeout);
   }
 
-  TEST_CASE("a request over the limit is refused at once, with a time to retry") {
+  TEST_CASE("a request over the limit is rejected at once, with a time to retry") {
     BalancerFixture test;
     FleetState next = test.fleet;
     next.settings.services[0].queue_limit = 3;
@@ -217,7 +217,7 @@
     CHECK(test.output.to_target.back().target == kFirstTarget);
   }
 
-  TEST_CASE("after a pause of the process datagrams are dropped until updates can arrive") {
+  TEST_CASE("after a pause of the process, datagrams are dropped until updates can arrive") {
     BalancerFixture test;
     test.advance_time(std::chrono::milliseconds(100));
     test.now += std::chrono::seconds(10);
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -147,7 +147,7 @@
     CHECK(test.client.fleet().revision == 2);
   }
 
-  TEST_CASE("a snapshot whose digest does not match is refused") {
+  TEST_CASE("a snapshot whose digest does not match is rejected") {
     Client test;
     FleetUpdate update = make_snapshot(next_members({}, {make_self()}));
     ++update.digest;
@@ -231,7 +231,8 @@
     CHECK(test.output.lease == kStart + std::chrono::seconds(10));
   }
 
-  TEST_CASE("a process that is admitted and removed before it gets an update rejoins as another") {
+  TEST_CASE(
+      "a process that is admitted and removed before it gets an update rejoins as another member") {
     // Guards against a process that waits forever because its incarnation was removed before it
     // received a state in which it was a member.
     Client test;
@@ -364,7 +365,7 @@
   }
 
   TEST_CASE("late replies confirm nothing: the observer searches for another replica") {
-    // A long queue on the return path: replies arrive all the time, but all of them are old.
+    // Models a long queue on the return path: replies keep arriving, but each is two seconds late.
     Observer test{{kReplica, kOther}};
     test.client.on_tick(0, kStart);
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -57,7 +57,7 @@
       cluster.run(milliseconds(20));
       balancer.exchange();
     }
-    // About one report per 1.5 s or more, within 10 s.
+    // At most about one report per 1.5 s, over 10 s.
     CHECK(balancer.behind_events >= 3);
     CHECK(balancer.behind_events <= 7);
     balancer.drops_updates = false;
@@ -254,10 +254,10 @@
     heartbeat.member.address = {102, 6000};
     heartbeat.member.zone = "zone-b";
     heartbeat.member.state = MemberState::kObserver;
-    TargetObservation seen;
-    seen.token = 7;
-    seen.refused_probes = 1;
-    heartbeat.observations.push_back(seen);
+    TargetObservation observation;
+    observation.token = 7;
+    observation.refused_probes = 1;
+    heartbeat.observations.push_back(observation);
     cluster.node(2).on_node_message({102, 6000}, heartbeat, cluster.now());
     cluster.run(milliseconds(60));
     for (std::uint32_t i = 1; i <= 3; ++i) {
--- a/tests/unit/test_following.cc
+++ b/tests/unit/test_following.cc
@@ -85,7 +85,6 @@
 
 TEST_SUITE("following") {
   TEST_CASE("updates sent while a balancer used another replica do not count as in flight") {
-    // Updates sent while the balancer used another replica were dropped and must not count as sent.
     RunningCluster cluster;
     ScriptedBalancer balancer(cluster, cluster.leader_number);
     balancer.catch_up();
--- a/tests/unit/test_replica.cc
+++ b/tests/unit/test_replica.cc
@@ -359,20 +359,20 @@
     test.output.sent.clear();
     REQUIRE(test.replica->propose(EntryType::kSettings, Bytes(1000, 1), start));
     const auto appends_with_entries = [&] {
-      int copies = 0;
+      int appends = 0;
       for (const auto& message : test.output.sent) {
         const auto* append = std::get_if<AppendRequest>(&message.body);
-        copies += append != nullptr && !append->entries.empty() ? 1 : 0;
+        appends += append != nullptr && !append->entries.empty() ? 1 : 0;
       }
-      return copies;
+      return appends;
     };
-    const int initial_copies = appends_with_entries();
-    CHECK(initial_copies <= 2);
+    const int initial_appends = appends_with_entries();
+    CHECK(initial_appends <= 2);
     test.replica->on_tick(start + std::chrono::milliseconds(150));
     test.replica->on_tick(start + std::chrono::milliseconds(300));
-    CHECK(appends_with_entries() == initial_copies);
+    CHECK(appends_with_entries() == initial_appends);
     test.replica->on_tick(start + std::chrono::milliseconds(650));
-    CHECK(appends_with_entries() > initial_copies);
+    CHECK(appends_with_entries() > initial_appends);
     // Each rejection triggers one append without entries, to find where the logs match.
     test.output.sent.clear();
     const Instant later = start + std::chrono::milliseconds(700);
@@ -413,7 +413,7 @@
     TestReplica test;
     const Instant start = kStart + std::chrono::seconds(2);
     elect(test, start);
-    const auto confirm = [&](ReplicaId id, LogIndex index, Instant now) {
+    const auto acknowledge = [&](ReplicaId id, LogIndex index, Instant now) {
       test.replica->on_message({id, 1, AppendReply{true, index, now.time_since_epoch().count()}},
                                now);
     };
@@ -421,9 +421,9 @@
     const auto run = [&](bool with_replica_4) {
       for (int i = 0; i < 200; ++i) {
         now += std::chrono::milliseconds(20);
-        confirm(2, test.replica->last_index(), now);
+        acknowledge(2, test.replica->last_index(), now);
         if (with_replica_4) {
-          confirm(4, test.replica->last_index(), now);
+          acknowledge(4, test.replica->last_index(), now);
         }
         test.replica->on_tick(now);
       }
--- a/tests/unit/test_steering_commands.cc
+++ b/tests/unit/test_steering_commands.cc
@@ -123,13 +123,13 @@
     CHECK(find_target(state, 5)->phase == TargetPhase::kSilent);
     CHECK(apply(state, announced(announce(5, 2))));
     CHECK(find_target(state, 5)->phase == TargetPhase::kReady);
-    RegistrationCommand forget;
-    forget.removed = {{5, 0}};
-    CHECK_FALSE(apply(state, forget));
+    RegistrationCommand removal;
+    removal.removed = {{5, 0}};
+    CHECK_FALSE(apply(state, removal));
     RegistrationCommand end;
     end.ended = {{5, 0}};
     apply(state, end);
-    CHECK(apply(state, forget));
+    CHECK(apply(state, removal));
     CHECK(find_target(state, 5) == nullptr);
   }
 
--- a/tests/unit/test_target_table.cc
+++ b/tests/unit/test_target_table.cc
@@ -13,37 +13,37 @@
 
 TEST_SUITE("target_table") {
   TEST_CASE("a target becomes unhealthy after three failed polls and healthy after one success") {
-    TargetTable board;
+    TargetTable table;
     const TargetReport failed{kTarget, false, 0, 0};
-    CHECK_FALSE(board.on_report(failed, kStart));
-    CHECK_FALSE(board.on_report(failed, kStart));
-    CHECK(board.at(kTarget).healthy);
-    CHECK(board.on_report(failed, kStart));
-    CHECK_FALSE(board.at(kTarget).healthy);
-    board.on_report({kTarget, true, 0, 0}, kStart);
-    CHECK(board.at(kTarget).healthy);
+    CHECK_FALSE(table.on_report(failed, kStart));
+    CHECK_FALSE(table.on_report(failed, kStart));
+    CHECK(table.at(kTarget).healthy);
+    CHECK(table.on_report(failed, kStart));
+    CHECK_FALSE(table.at(kTarget).healthy);
+    table.on_report({kTarget, true, 0, 0}, kStart);
+    CHECK(table.at(kTarget).healthy);
   }
 
   TEST_CASE("a burst of refusals halves the window once, other responses increase it") {
-    TargetTable board;
-    board.at(kTarget).window = 8;
-    board.on_response(kTarget, true, kStart);
-    board.on_response(kTarget, true, kStart + std::chrono::milliseconds(1));
-    CHECK(board.at(kTarget).window == doctest::Approx(4));
+    TargetTable table;
+    table.at(kTarget).window = 8;
+    table.on_response(kTarget, true, kStart);
+    table.on_response(kTarget, true, kStart + std::chrono::milliseconds(1));
+    CHECK(table.at(kTarget).window == doctest::Approx(4));
     for (int i = 0; i < 4; ++i) {
-      board.on_response(kTarget, false, kStart);
+      table.on_response(kTarget, false, kStart);
     }
-    CHECK(board.at(kTarget).window > 4.8);
-    CHECK(board.at(kTarget).window < 5.0);
+    CHECK(table.at(kTarget).window > 4.8);
+    CHECK(table.at(kTarget).window < 5.0);
   }
 
   TEST_CASE("the capacity is the window minus the outstanding requests") {
-    TargetTable board;
-    board.at(kTarget).window = 2.5;
-    board.at(kTarget).outstanding = 1;
-    CHECK(board.has_capacity(kTarget));
-    board.at(kTarget).outstanding = 2;
-    CHECK_FALSE(board.has_capacity(kTarget));
+    TargetTable table;
+    table.at(kTarget).window = 2.5;
+    table.at(kTarget).outstanding = 1;
+    CHECK(table.has_capacity(kTarget));
+    table.at(kTarget).outstanding = 2;
+    CHECK_FALSE(table.has_capacity(kTarget));
   }
 
   TEST_CASE("the retry budget is a fraction of the requests") {
