--- a/src/core/balancer/balancer.cc
+++ b/src/core/balancer/balancer.cc
@@ -303,7 +303,7 @@
   Duration lifetime = timing::kExchangeLifetime;
   if (record.kind == RequestKind::kObserve && record.state == RequestState::kAnswered) {
     lifetime = timing::kObservationIdleTimeout;
-  } else if (record.is_outstanding() || record.is_waiting()) {
+  } else if (record.is_outstanding() || record.is_unsent()) {
     const ServiceView* service = state_.view()->service(record.flow.service);
     lifetime = service == nullptr
                    ? Duration::zero()
@@ -323,7 +323,7 @@
   // resume here.
   std::vector<RequestRecord*> queued;
   for (const auto& [id, record] : partition.store.requests()) {
-    if (record->is_waiting()) {
+    if (record->is_unsent()) {
       queued.push_back(record);
     }
   }
--- a/src/core/balancer/balancer_state.h
+++ b/src/core/balancer/balancer_state.h
@@ -54,7 +54,7 @@
   bool skip_lease_check = false;
   bool skip_record_before_dispatch = false;
   bool skip_incomplete_check = false;
-  bool ignore_seal = false;
+  bool ignore_fence = false;
   bool drop_state_on_handover = false;
 };
 
--- a/src/core/balancer/control_client.cc
+++ b/src/core/balancer/control_client.cc
@@ -8,7 +8,7 @@
 namespace gorsevalve {
 namespace {
 
-constexpr std::size_t kHeartbeatsRemembered = 64;
+constexpr std::size_t kMaxPendingHeartbeats = 64;
 /// Interval between heartbeats to replicas whose zone is unknown, and to the preferred replica
 /// while another one is chosen.
 constexpr Duration kProbeInterval = std::chrono::seconds(5);
@@ -26,17 +26,17 @@
 constexpr Duration kNotCurrentBackoff = std::chrono::milliseconds(450);
 /// Minimum interval between update requests to replicas that are not current. It leaves time for a
 /// snapshot to arrive over a low-bandwidth link.
-constexpr Duration kUpdateTime = std::chrono::milliseconds(300);
+constexpr Duration kUpdateRequestInterval = std::chrono::milliseconds(300);
 
 }  // namespace
 
-std::string_view to_string(UpdateRefusal reason) {
+std::string_view to_string(UpdateRejection reason) {
   switch (reason) {
-    case UpdateRefusal::kGap:
+    case UpdateRejection::kGap:
       return "gap";
-    case UpdateRefusal::kDigest:
+    case UpdateRejection::kDigest:
       return "digest";
-    case UpdateRefusal::kOlder:
+    case UpdateRejection::kOlder:
       return "older";
   }
   return "unknown";
@@ -60,8 +60,8 @@
 
 void ControlClient::on_message(const Endpoint& from, const NodeMessage& message, Instant now) {
   if (faults_.trust_any_message && replica() == from) {
-    last_answer_ = now;
-    followed_since_ = now;
+    last_reply_at_ = now;
+    subscribed_since_ = now;
   }
   if (const auto* reply = std::get_if<HeartbeatReply>(&message)) {
     on_reply(from, *reply, now);
@@ -95,7 +95,7 @@
   check_confirmed(now);
   // Only the chosen replica counts; a late reply of another one must not extend the timeout.
   if (!selector_.is_searching() && from == selector_.chosen()) {
-    last_answer_ = now;
+    last_reply_at_ = now;
   }
   evaluate_replica(from, reply, now);
 }
@@ -124,13 +124,13 @@
     }
     // Its state is newer than the one applied here.
     if (was_searching && reply.revision > fleet_.revision) {
-      ask_for_update(from, now);
+      request_update(from, now);
     }
     return;
   }
   not_current_at_.clear();
   if (was_searching || from == selector_.preferred()) {
-    follow(from, reply.revision, now);
+    subscribe_to(from, reply.revision, now);
   }
   if (was_searching) {
     // Subscribes to the updates of this replica.
@@ -141,12 +141,12 @@
   }
 }
 
-void ControlClient::follow(const Endpoint& replica, Revision held_revision, Instant now) {
+void ControlClient::subscribe_to(const Endpoint& replica, Revision held_revision, Instant now) {
   const bool is_other = selector_.is_searching() || selector_.chosen() != replica;
   selector_.choose(replica);
-  last_answer_ = now;
+  last_reply_at_ = now;
   if (is_other) {
-    followed_since_ = now;
+    subscribed_since_ = now;
     output_.on_replica_chosen(replica, held_revision);
   }
 }
@@ -161,11 +161,11 @@
   return found != not_current_at_.end() && now - found->second < kNotCurrentBackoff;
 }
 
-void ControlClient::ask_for_update(const Endpoint& replica, Instant now) {
-  if (update_asked_at_ && now - *update_asked_at_ < kUpdateTime) {
+void ControlClient::request_update(const Endpoint& replica, Instant now) {
+  if (update_requested_at_ && now - *update_requested_at_ < kUpdateRequestInterval) {
     return;
   }
-  update_asked_at_ = now;
+  update_requested_at_ = now;
   send_heartbeat(replica, true, now);
 }
 
@@ -175,18 +175,18 @@
   });
 }
 
-void ControlClient::check_silence(Instant now) {
-  if (selector_.is_searching() || now - last_answer_ <= timing_.replica_timeout) {
+void ControlClient::check_reply_timeout(Instant now) {
+  if (selector_.is_searching() || now - last_reply_at_ <= timing_.replica_timeout) {
     return;
   }
-  output_.on_replica_silent(selector_.chosen());
+  output_.on_replica_timed_out(selector_.chosen());
   begin_search();
   next_heartbeat_ = now;
 }
 
 void ControlClient::check_freshness(Instant now) {
   const Instant confirmed =
-      std::max(freshness_.confirmed_at().value_or(Instant{}), followed_since_);
+      std::max(freshness_.confirmed_at().value_or(Instant{}), subscribed_since_);
   if (selector_.is_searching() || now - confirmed <= kFreshnessTimeout) {
     return;
   }
@@ -201,7 +201,7 @@
     return;
   }
   next_repair_ = now + kRepairInterval;
-  output_.on_update_refused({from, base, UpdateRefusal::kGap});
+  output_.on_update_rejected({from, base, UpdateRejection::kGap});
   send_heartbeat(from, true, now);
 }
 
@@ -230,11 +230,11 @@
       update.snapshot.revision < revision_floor_ && !faults_.ignore_revision_floor;
   const FleetDigest digest(update.snapshot);
   if (is_older) {
-    output_.on_update_refused({from, update.snapshot.revision, UpdateRefusal::kOlder});
+    output_.on_update_rejected({from, update.snapshot.revision, UpdateRejection::kOlder});
     return;
   }
   if (digest.value(update.snapshot) != update.digest) {
-    output_.on_update_refused({from, update.snapshot.revision, UpdateRefusal::kDigest});
+    output_.on_update_rejected({from, update.snapshot.revision, UpdateRejection::kDigest});
     return;
   }
   adopt(update.snapshot, digest, now);
@@ -252,7 +252,7 @@
   }
   if (digest_.value(fleet_) != update.digest) {
     // The state that was applied remains in effect; a snapshot is requested.
-    output_.on_update_refused({from, update.deltas.front().base, UpdateRefusal::kDigest});
+    output_.on_update_rejected({from, update.deltas.front().base, UpdateRejection::kDigest});
     fleet_ = {};
     digest_ = FleetDigest(fleet_);
     has_gap_ = true;
@@ -280,7 +280,7 @@
     return;
   }
   if (digest.value(next) != update.digest) {
-    output_.on_update_refused({from, update.deltas.front().base, UpdateRefusal::kDigest});
+    output_.on_update_rejected({from, update.deltas.front().base, UpdateRejection::kDigest});
     return;
   }
   if (!steps.empty() && steps.back().first.revision == next.revision) {
@@ -309,7 +309,7 @@
 
 void ControlClient::on_adopted(Instant now) {
   has_gap_ = false;
-  update_asked_at_.reset();
+  update_requested_at_.reset();
   check_confirmed(now);
   const bool is_new_member = is_member(fleet_) && lease_until_ <= now;
   if (is_new_member || (is_observer() && !has_been_current_)) {
@@ -342,7 +342,7 @@
     heartbeat.observations = output_.take_observations();
   }
   heartbeats_sent_[heartbeat.sequence] = now;
-  if (heartbeats_sent_.size() > kHeartbeatsRemembered) {
+  if (heartbeats_sent_.size() > kMaxPendingHeartbeats) {
     heartbeats_sent_.erase(heartbeats_sent_.begin());
   }
   output_.send_control(replica, heartbeat);
@@ -398,7 +398,7 @@
     return;
   }
   check_admission(now);
-  check_silence(now);
+  check_reply_timeout(now);
   check_freshness(now);
   // Progress is reported at once, since a pending membership change may wait for it.
   const bool progress = settled_revision != reported_settled_ && settled_revision != 0;
--- a/src/core/balancer/control_client.h
+++ b/src/core/balancer/control_client.h
@@ -19,7 +19,7 @@
 namespace gorsevalve {
 
 /// Why a balancer did not apply an update.
-enum class UpdateRefusal : std::uint8_t {
+enum class UpdateRejection : std::uint8_t {
   /// It follows a revision that is not applied here: an earlier update was lost.
   kGap = 0,
   /// The digest of the resulting state differs from that of the replica's state.
@@ -28,14 +28,14 @@
   kOlder = 2,
 };
 
-std::string_view to_string(UpdateRefusal reason);
+std::string_view to_string(UpdateRejection reason);
 
 /// An update that was not applied.
-struct RefusedUpdate {
+struct RejectedUpdate {
   Endpoint replica;
   /// Revision that the update follows; for a snapshot, the revision of the snapshot.
   Revision base = 0;
-  UpdateRefusal reason = UpdateRefusal::kGap;
+  UpdateRejection reason = UpdateRejection::kGap;
 };
 
 /// Effects of the control client, implemented by its environment.
@@ -59,7 +59,7 @@
   /// True when there are observations to report without delay.
   virtual bool has_urgent_observations() { return false; }
   /// Returns the target observations since the last call, for the next heartbeat.
-  virtual std::vector<TargetObservation> take_observations() { return {}; }
+  virtual std::vector<TargetStatistics> take_observations() { return {}; }
   /// Target health aggregated over all balancers; replaces what was reported before.
   virtual void on_target_health(const std::vector<TargetHealth>& /*health*/) {}
   /// These targets recently refused probes of balancers.
@@ -69,11 +69,11 @@
   /// The client subscribes to a current replica, which holds this revision.
   virtual void on_replica_chosen(const Endpoint& /*replica*/, Revision /*held_revision*/) {}
   /// The chosen replica does not reply; connections to it should be closed.
-  virtual void on_replica_silent(const Endpoint& /*replica*/) {}
+  virtual void on_replica_timed_out(const Endpoint& /*replica*/) {}
   /// The chosen replica replies, but its updates are overdue. The client searches again.
   virtual void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) {}
   /// An update was not applied; the missing updates are requested.
-  virtual void on_update_refused(const RefusedUpdate& /*refused*/) {}
+  virtual void on_update_rejected(const RejectedUpdate& /*refused*/) {}
 };
 
 /// Intervals between heartbeats, and the timeout of a replica.
@@ -140,12 +140,12 @@
   /// most once per kRepairInterval.
   void on_gap(const Endpoint& from, Revision base, Instant now);
   /// Subscribes to a replica.
-  void follow(const Endpoint& replica, Revision held_revision, Instant now);
+  void subscribe_to(const Endpoint& replica, Revision held_revision, Instant now);
   /// Searches for another replica when the chosen one replies but does not confirm the applied
   /// state, because its updates are missing or its replies are late.
   void check_freshness(Instant now);
   /// Searches for another replica when the chosen one does not reply.
-  void check_silence(Instant now);
+  void check_reply_timeout(Instant now);
   /// Drops the chosen replica; the next heartbeats go to all candidates.
   void begin_search();
   void apply_snapshot(const Endpoint& from, const FleetUpdate& update, Instant now);
@@ -171,7 +171,7 @@
   /// True when a replica that is not current will send a reply as soon as it is.
   [[nodiscard]] bool will_notify(const Endpoint& replica, Instant now) const;
   /// Requests an update from a replica, unless another update was requested recently.
-  void ask_for_update(const Endpoint& replica, Instant now);
+  void request_update(const Endpoint& replica, Instant now);
   /// Sends heartbeats to replicas that may be preferable to the chosen one.
   void probe(Instant now);
   [[nodiscard]] bool is_observer() const { return self_.state == MemberState::kObserver; }
@@ -193,15 +193,15 @@
   Instant next_heartbeat_;
   /// Time of the last reply from the chosen replica. Updates and target health do not count: a
   /// replica sends them even when it receives no heartbeats.
-  Instant last_answer_;
-  Instant followed_since_;
+  Instant last_reply_at_;
+  Instant subscribed_since_;
   /// See NodeHeartbeat::session.
   std::uint32_t session_ = 0;
   Instant next_probe_;
   /// When each replica last reported that it is not current. It sends another reply once it is.
   std::map<Endpoint, Instant> not_current_at_;
   /// Time of the last update request to a replica that is not current.
-  std::optional<Instant> update_asked_at_;
+  std::optional<Instant> update_requested_at_;
   /// An update was lost and the missing updates have not arrived yet.
   bool has_gap_ = false;
   Instant next_repair_;
--- a/src/core/balancer/flow_binding.cc
+++ b/src/core/balancer/flow_binding.cc
@@ -35,7 +35,7 @@
   record->last_active_s = to_seconds(now);
   ++state_.target_table().at(target).flows;
   if (needs_replication(flow, *record)) {
-    partition.unconfirmed.changed_flows.insert(flow);
+    partition.unacknowledged.changed_flows.insert(flow);
   }
   return *record;
 }
@@ -54,7 +54,7 @@
     return;
   }
   --state_.target_table().at(record->target).flows;
-  partition.unconfirmed.changed_flows.erase(flow);
+  partition.unacknowledged.changed_flows.erase(flow);
   partition.store.erase_flow(flow);
 }
 
@@ -88,7 +88,7 @@
     }
     partition.store.erase_request(record);
   }
-  partition.unconfirmed = UnconfirmedChanges{};
+  partition.unacknowledged = UnacknowledgedChanges{};
   partition.in_flight.reset();
   partition.copy_pending = false;
 }
@@ -105,7 +105,7 @@
 void FlowBinding::mark_for_replication(Partition& partition) {
   for (const auto& [flow, record] : partition.store.flows()) {
     if (needs_replication(flow, record)) {
-      partition.unconfirmed.changed_flows.insert(flow);
+      partition.unacknowledged.changed_flows.insert(flow);
     }
   }
 }
--- a/src/core/balancer/handover.cc
+++ b/src/core/balancer/handover.cc
@@ -74,7 +74,7 @@
       backup == nullptr ? std::nullopt : std::optional(backup->address);
   if (address != partition.backup) {
     set_backup(partition, state_.view()->members_revision());
-    replicator_.record_again(partition, now);
+    replicator_.resend_unacknowledged_records(partition, now);
   }
 }
 
@@ -110,7 +110,7 @@
   const Member* previous = state_.view()->previous_owner(partition.id);
   acquisition.previous_owner = previous == nullptr ? 0 : previous->incarnation;
   acquisition.sources = find_sources(partition.id);
-  acquisition.last_heard = now;
+  acquisition.last_reply_at = now;
   acquisition.waits_until = now + timing::kLeaseWait;
   partition.acquisition = std::move(acquisition);
   if (state_.view()->is_first_membership()) {
@@ -146,7 +146,7 @@
     finish(partition, complete, now);
     return;
   }
-  acquisition.last_sent = now;
+  acquisition.last_request_at = now;
   const TakeoverRequest request{acquisition.revision, partition.id, acquisition.next_chunk,
                                 acquisition.previous_owner};
   state_.output().send_peer(acquisition.sources[acquisition.source].address, request);
@@ -156,7 +156,7 @@
   Acquisition& acquisition = *partition.acquisition;
   ++acquisition.source;
   acquisition.next_chunk = 0;
-  acquisition.last_heard = now;
+  acquisition.last_reply_at = now;
   request_chunk(partition, now);
 }
 
@@ -170,13 +170,13 @@
     return;
   }
   if (chunk.source_state == SourceState::kBusy) {
-    acquisition.last_heard = now;
+    acquisition.last_reply_at = now;
     return;
   }
   if (chunk.chunk != acquisition.next_chunk) {
     return;
   }
-  acquisition.last_heard = now;
+  acquisition.last_reply_at = now;
   ++acquisition.next_chunk;
   apply_chunk(partition, chunk, now);
   if (!chunk.last) {
@@ -248,17 +248,18 @@
     }
     abandon_unclaimed(*partition, now);
     retry_superseded(*partition, now);
-    if (partition->outgoing && now - partition->outgoing->last_asked > timing::kOutgoingLifetime) {
+    if (partition->outgoing &&
+        now - partition->outgoing->last_requested_at > timing::kOutgoingLifetime) {
       partition->outgoing.reset();
     }
   }
   for (Partition* partition : acquiring) {
     Acquisition& acquisition = *partition->acquisition;
     if (waits_for_lease(acquisition, now)) {
-      acquisition.last_heard = now;
-    } else if (now - acquisition.last_heard >= timing::kTakeoverSourceTimeout) {
+      acquisition.last_reply_at = now;
+    } else if (now - acquisition.last_reply_at >= timing::kTakeoverSourceTimeout) {
       next_source(*partition, now);
-    } else if (now - acquisition.last_sent >= timing::kTakeoverRetry) {
+    } else if (now - acquisition.last_request_at >= timing::kTakeoverRetry) {
       request_chunk(*partition, now);
     }
   }
--- a/src/core/balancer/handover_release.cc
+++ b/src/core/balancer/handover_release.cc
@@ -129,7 +129,7 @@
   prepare_outgoing(partition, request, from);
   partition.fenced_revision = request.members_revision;
   OutgoingTransfer& outgoing = *partition.outgoing;
-  outgoing.last_asked = now;
+  outgoing.last_requested_at = now;
   if (request.chunk >= outgoing.chunks.size()) {
     return;
   }
@@ -182,7 +182,8 @@
   return std::all_of(partitions.begin(), partitions.end(), [&](const Partition* used) {
     const Partition& partition = *used;
     const bool recently_requested =
-        partition.outgoing && now - partition.outgoing->last_asked < timing::kTakeoverSourceTimeout;
+        partition.outgoing &&
+        now - partition.outgoing->last_requested_at < timing::kTakeoverSourceTimeout;
     return partition.role == PartitionRole::kNone && !recently_requested;
   });
 }
--- a/src/core/balancer/partition.h
+++ b/src/core/balancer/partition.h
@@ -49,8 +49,8 @@
   std::vector<TakeoverSource> sources;
   std::size_t source = 0;
   std::uint32_t next_chunk = 0;
-  Instant last_sent;
-  Instant last_heard;
+  Instant last_request_at;
+  Instant last_reply_at;
   /// Requests to the sources are delayed until this process has a lease, at most until this time.
   Instant waits_until;
   /// This process owned the partition before the previous owner, and still has its state.
@@ -68,11 +68,11 @@
   std::vector<StateBatch> chunks;
   SourceState source_state = SourceState::kComplete;
   Instant incomplete_until;
-  Instant last_asked;
+  Instant last_requested_at;
 };
 
 /// Changes that the backup has not acknowledged and that are not in flight.
-struct UnconfirmedChanges {
+struct UnacknowledgedChanges {
   absl::btree_set<FlowKey> changed_flows;
   absl::btree_set<RequestId> requests;
   std::vector<RequestId> deleted_requests;
@@ -134,7 +134,7 @@
   std::optional<Endpoint> backup;
   /// Non-idempotent requests are rejected before this time, since records may be missing.
   Instant incomplete_until;
-  UnconfirmedChanges unconfirmed;
+  UnacknowledgedChanges unacknowledged;
   bool copy_pending = false;
   std::optional<BatchInFlight> in_flight;
 
--- a/src/core/balancer/records.h
+++ b/src/core/balancer/records.h
@@ -102,7 +102,7 @@
 
   /// True while the request counts towards its target's limit.
   [[nodiscard]] bool is_outstanding() const { return state == RequestState::kDispatched; }
-  [[nodiscard]] bool is_waiting() const {
+  [[nodiscard]] bool is_unsent() const {
     return state == RequestState::kRecording || state == RequestState::kQueued;
   }
 
--- a/src/core/balancer/replication.cc
+++ b/src/core/balancer/replication.cc
@@ -14,7 +14,7 @@
 
 RequestRecord to_backup_record(const RequestRecord& record) {
   RequestRecord copy = record;
-  if (copy.is_waiting()) {
+  if (copy.is_unsent()) {
     copy.state = RequestState::kDispatched;
   }
   if (copy.kind != RequestKind::kObserve) {
@@ -43,12 +43,12 @@
 }
 
 void Replicator::mark_changed(Partition& partition, const RequestRecord& record) {
-  partition.unconfirmed.requests.insert(record.id);
+  partition.unacknowledged.requests.insert(record.id);
 }
 
 void Replicator::mark_deleted(Partition& partition, const RequestRecord& record) {
-  partition.unconfirmed.requests.erase(record.id);
-  partition.unconfirmed.deleted_requests.push_back(record.id);
+  partition.unacknowledged.requests.erase(record.id);
+  partition.unacknowledged.deleted_requests.push_back(record.id);
 }
 
 void Replicator::start_copy(Partition& partition) {
@@ -56,12 +56,12 @@
   partition.copy_pending = partition.backup.has_value();
   for (const auto& [id, record] : partition.store.requests()) {
     if (record->kind != RequestKind::kIdempotent) {
-      partition.unconfirmed.requests.insert(id);
+      partition.unacknowledged.requests.insert(id);
     }
   }
 }
 
-void Replicator::record_again(Partition& partition, Instant now) {
+void Replicator::resend_unacknowledged_records(Partition& partition, Instant now) {
   std::vector<RequestId> recording;
   for (const auto& [id, record] : partition.store.requests()) {
     if (record->state == RequestState::kRecording) {
@@ -85,7 +85,7 @@
 StateBatch Replicator::take_batch(Partition& partition) const {
   StateBatch batch;
   std::size_t size = 0;
-  auto& changes = partition.unconfirmed;
+  auto& changes = partition.unacknowledged;
   while (!changes.changed_flows.empty() && size < kBatchSize) {
     const FlowKey flow = *changes.changed_flows.begin();
     changes.changed_flows.erase(changes.changed_flows.begin());
@@ -112,7 +112,7 @@
 
 void Replicator::send_next_batch(Partition& partition, Instant now) {
   if (!partition.backup) {
-    partition.unconfirmed = UnconfirmedChanges{};
+    partition.unacknowledged = UnacknowledgedChanges{};
     return;
   }
   BatchInFlight batch;
@@ -121,7 +121,7 @@
   batch.message.owner = state_.config().self.incarnation;
   batch.message.batch = ++last_batch_;
   batch.message.changes = take_batch(partition);
-  batch.message.ends_copy = partition.copy_pending && partition.unconfirmed.empty();
+  batch.message.ends_copy = partition.copy_pending && partition.unacknowledged.empty();
   batch.message.incomplete_for_ms = milliseconds_until(partition.incomplete_until, now);
   batch.interval = timing::kBatchRetry;
   batch.next_send = now + batch.interval;
@@ -129,7 +129,7 @@
   partition.in_flight = std::move(batch);
 }
 
-void Replicator::repeat_records(Instant now) {
+void Replicator::retransmit_records(Instant now) {
   for (auto entry = pending_.begin(); entry != pending_.end();) {
     Partition& partition = state_.partitions().at(entry->second.message.partition);
     const RequestRecord* record = partition.store.find_request(entry->second.id);
@@ -145,7 +145,7 @@
 }
 
 void Replicator::on_tick(Instant now) {
-  repeat_records(now);
+  retransmit_records(now);
   for (Partition* partition : state_.partitions().used()) {
     if (partition->role != PartitionRole::kOwner) {
       continue;
@@ -157,18 +157,18 @@
         batch.next_send = now + batch.interval;
         state_.output().send_peer(*partition->backup, batch.message);
       }
-    } else if (!partition->unconfirmed.empty() || partition->copy_pending) {
+    } else if (!partition->unacknowledged.empty() || partition->copy_pending) {
       send_next_batch(*partition, now);
     }
   }
 }
 
-void Replicator::on_batch_confirmed(Partition& partition, Instant now) {
+void Replicator::on_batch_acknowledged(Partition& partition, Instant now) {
   if (partition.in_flight->message.ends_copy) {
     partition.copy_pending = false;
   }
   partition.in_flight.reset();
-  if (!partition.unconfirmed.empty() || partition.copy_pending) {
+  if (!partition.unacknowledged.empty() || partition.copy_pending) {
     send_next_batch(partition, now);
   }
 }
@@ -184,7 +184,7 @@
     return;
   }
   if (partition.in_flight && partition.in_flight->message.batch == reply.batch) {
-    on_batch_confirmed(partition, now);
+    on_batch_acknowledged(partition, now);
     return;
   }
   const auto found = pending_.find(reply.batch);
@@ -199,7 +199,7 @@
   Partition& partition = state_.partitions().at(request.partition);
   ReplicateReply reply{request.members_revision, request.partition, request.batch, false};
   const bool fenced =
-      request.members_revision < partition.fenced_revision && !state_.faults().ignore_seal;
+      request.members_revision < partition.fenced_revision && !state_.faults().ignore_fence;
   const bool outdated =
       partition.copy != nullptr && request.members_revision < partition.copy->revision;
   if (!fenced && !outdated) {
--- a/src/core/balancer/replication.h
+++ b/src/core/balancer/replication.h
@@ -33,7 +33,7 @@
   /// Starts a full copy to the partition's backup.
   void start_copy(Partition& partition);
   /// Sends the unacknowledged records of the partition to its new backup.
-  void record_again(Partition& partition, Instant now);
+  void resend_unacknowledged_records(Partition& partition, Instant now);
 
   void on_reply(const ReplicateReply& reply, Instant now);
   void on_tick(Instant now);
@@ -49,8 +49,8 @@
 
   void send_next_batch(Partition& partition, Instant now);
   [[nodiscard]] StateBatch take_batch(Partition& partition) const;
-  void repeat_records(Instant now);
-  void on_batch_confirmed(Partition& partition, Instant now);
+  void retransmit_records(Instant now);
+  void on_batch_acknowledged(Partition& partition, Instant now);
 
   BalancerState& state_;
   ReplicationListener& listener_;
--- a/src/core/balancer/request_actions.cc
+++ b/src/core/balancer/request_actions.cc
@@ -10,7 +10,7 @@
 
 /// Factor by which the load of the second choice is multiplied before it is compared with that of
 /// the first choice. Equal loads select the first choice, whose flows need no replication.
-constexpr double kSecondChoiceGain = 1.0;
+constexpr double kSecondChoiceLoadFactor = 1.0;
 
 Duration request_timeout(const ServiceView* service) {
   constexpr Duration kDefault = std::chrono::seconds(4);
@@ -52,7 +52,7 @@
   ProxyHeader header;
   header.flow = record.flow;
   header.request_id = record.id;
-  if (record.is_waiting() || record.is_outstanding()) {
+  if (record.is_unsent() || record.is_outstanding()) {
     header.time_left_ms = milliseconds_until(record.give_up_at, now);
   }
   state_.output().send_to_target(record.target, header, message);
@@ -118,10 +118,10 @@
   state_.set_deadline(
       partition.id, record,
       now + (is_non_idempotent ? timing::kExchangeLifetime : timing::kGivenUpLifetime));
-  repeat_verdict(record);
+  resend_verdict(record);
 }
 
-void RequestActions::repeat_verdict(const RequestRecord& record) {
+void RequestActions::resend_verdict(const RequestRecord& record) {
   Verdict verdict;
   verdict.execution = record.execution;
   verdict.retry_after = std::chrono::seconds(record.retry_after_s);
@@ -167,7 +167,7 @@
   partition.store.erase_request(&record);
 }
 
-bool RequestActions::takes_new_flow(const Target& target) const {
+bool RequestActions::accepts_new_flow(const Target& target) const {
   if (target.draining) {
     return false;
   }
@@ -186,7 +186,7 @@
   const Target* best = nullptr;
   double best_load = 0;
   for (const auto& target : service.service->targets) {
-    if (!takes_new_flow(target) || target.address == avoid) {
+    if (!accepts_new_flow(target) || target.address == avoid) {
       continue;
     }
     const double load = state_.target_table().load(target, state_.owned_share(), now);
@@ -203,7 +203,7 @@
   const Target* first = state_.view()->first_choice(service, flow);
   const Target* second = state_.view()->second_choice(service, flow);
   const auto usable = [&](const Target* target) {
-    return target != nullptr && takes_new_flow(*target) && target->address != avoid;
+    return target != nullptr && accepts_new_flow(*target) && target->address != avoid;
   };
   if (!usable(first) && !usable(second)) {
     return least_loaded(service, now, avoid);
@@ -213,7 +213,7 @@
   }
   const double first_load = state_.target_table().load(*first, state_.owned_share(), now);
   const double second_load = state_.target_table().load(*second, state_.owned_share(), now);
-  return second_load * kSecondChoiceGain < first_load ? second : first;
+  return second_load * kSecondChoiceLoadFactor < first_load ? second : first;
 }
 
 }  // namespace gorsevalve
--- a/src/core/balancer/request_actions.h
+++ b/src/core/balancer/request_actions.h
@@ -39,7 +39,7 @@
                FailureReason reason, Instant now);
 
   /// Sends the stored verdict of a request again.
-  void repeat_verdict(const RequestRecord& record);
+  void resend_verdict(const RequestRecord& record);
 
   /// Moves an observation to another target: registers it there under a new request id.
   void migrate_observation(Partition& partition, RequestRecord& record, const Endpoint& target,
@@ -65,7 +65,7 @@
   Replicator& replicator() { return replicator_; }
 
  private:
-  [[nodiscard]] bool takes_new_flow(const Target& target) const;
+  [[nodiscard]] bool accepts_new_flow(const Target& target) const;
   [[nodiscard]] const Target* least_loaded(const ServiceView& service, Instant now,
                                            std::optional<Endpoint> avoid) const;
 
--- a/src/core/balancer/request_filters.cc
+++ b/src/core/balancer/request_filters.cc
@@ -56,7 +56,7 @@
     case RequestState::kQueued:
       return;
     case RequestState::kGivenUp:
-      actions_.repeat_verdict(record);
+      actions_.resend_verdict(record);
       return;
     case RequestState::kAnswered:
       if (is_non_idempotent) {
--- a/src/core/balancer/response_handler.cc
+++ b/src/core/balancer/response_handler.cc
@@ -22,7 +22,7 @@
   const bool matches = record->flow == target_message.header.flow &&
                        record->target == target_message.target &&
                        (empty || record->token == target_message.summary.token);
-  if (!matches || record->is_waiting() || record->state == RequestState::kGivenUp) {
+  if (!matches || record->is_unsent() || record->state == RequestState::kGivenUp) {
     ++state_.counters().answers_unmatched;
     return;
   }
@@ -87,7 +87,7 @@
   ++record.version;
   if (FlowRecord* flow = partition.store.find_flow(record.flow)) {
     ++flow->observations;
-    partition.unconfirmed.changed_flows.insert(record.flow);
+    partition.unacknowledged.changed_flows.insert(record.flow);
   }
   actions_.replicator().mark_changed(partition, record);
   state_.target_table().on_response(record.target, false, now);
--- a/src/core/control/control_node.cc
+++ b/src/core/control/control_node.cc
@@ -51,10 +51,11 @@
   if (replica_->is_leader()) {
     return replica_->has_lease(now) ? control_timing::kBalancerLease : Duration::zero();
   }
-  if (!confirmed_report_) {
+  if (!last_acknowledged_report_) {
     return Duration::zero();
   }
-  return std::max(*confirmed_report_ + control_timing::kBalancerLease - now, Duration::zero());
+  return std::max(*last_acknowledged_report_ + control_timing::kBalancerLease - now,
+                  Duration::zero());
 }
 
 HeartbeatReply ControlNode::reply_to(const NodeHeartbeat& heartbeat, Instant now) const {
@@ -204,7 +205,7 @@
   if (sent == reports_sent_.end()) {
     return;
   }
-  confirmed_report_ = std::max(confirmed_report_.value_or(Instant{}), sent->second);
+  last_acknowledged_report_ = std::max(last_acknowledged_report_.value_or(Instant{}), sent->second);
   may_stop_ = std::set<Endpoint>(reply.may_stop.begin(), reply.may_stop.end());
   if (reply.health) {
     apply_target_health(*reply.health);
@@ -323,7 +324,8 @@
 }
 
 bool ControlNode::reaches_leader(Instant now) const {
-  const bool is_acknowledged = confirmed_report_ && now - *confirmed_report_ < kReportTimeout;
+  const bool is_acknowledged =
+      last_acknowledged_report_ && now - *last_acknowledged_report_ < kReportTimeout;
   return replica_->is_leader() || is_acknowledged;
 }
 
--- a/src/core/control/control_node.h
+++ b/src/core/control/control_node.h
@@ -211,7 +211,7 @@
   std::uint64_t report_sequence_;
   std::map<std::uint64_t, Instant> reports_sent_;
   /// Send time of the latest report that a leader with a lease acknowledged.
-  std::optional<Instant> confirmed_report_;
+  std::optional<Instant> last_acknowledged_report_;
   std::set<Endpoint> may_stop_;
   /// Index of the last proposed membership change, until it is committed; 0 if there is none.
   LogIndex pending_members_ = 0;
--- a/src/core/control/control_output.h
+++ b/src/core/control/control_output.h
@@ -15,7 +15,7 @@
 struct UpdateRetransmission {
   Endpoint balancer;
   /// Revision that the balancer has applied, and the last one sent to it.
-  Revision confirmed = 0;
+  Revision acknowledged = 0;
   Revision sent = 0;
   /// The balancer reported a gap: an update before the received ones is missing.
   bool has_gap = false;
--- a/src/core/control/node_messages.h
+++ b/src/core/control/node_messages.h
@@ -28,7 +28,7 @@
   /// False if the balancer does not subscribe to this replica and needs only the reply.
   bool wants_update = true;
   /// Observations of targets since the last heartbeat.
-  std::vector<TargetObservation> observations{};
+  std::vector<TargetStatistics> observations{};
   /// Version of the target health that the balancer has; 0 for none.
   std::uint64_t health_version = 0;
   /// The balancer received an update that does not follow `revision`: an earlier one was lost.
@@ -116,7 +116,7 @@
   /// Targets that sent an announcement since the last report.
   std::vector<ReportedTarget> targets{};
   /// Target observations of the served balancers since the last report.
-  std::vector<TargetObservation> observations{};
+  std::vector<TargetStatistics> observations{};
   /// Version of the target health that the follower has; 0 for none.
   std::uint64_t health_version = 0;
   /// Served balancers, including observers.
--- a/src/core/control/refusal_relay.cc
+++ b/src/core/control/refusal_relay.cc
@@ -20,8 +20,7 @@
 }
 
 void RefusalRelay::on_observations(const Endpoint& balancer, const std::string& zone,
-                                   const std::vector<TargetObservation>& observations,
-                                   Instant now) {
+                                   const std::vector<TargetStatistics>& observations, Instant now) {
   for (const auto& observation : observations) {
     const bool is_reported = observation.refused_probes > 0 && allows_report(balancer, now);
     if (is_reported && mark_relayed(zone, observation.token, now)) {
--- a/src/core/control/refusal_relay.h
+++ b/src/core/control/refusal_relay.h
@@ -24,7 +24,7 @@
  public:
   /// Handles the observations of a balancer that this replica serves.
   void on_observations(const Endpoint& balancer, const std::string& zone,
-                       const std::vector<TargetObservation>& observations, Instant now);
+                       const std::vector<TargetStatistics>& observations, Instant now);
   /// Handles targets relayed by another replica.
   void on_relayed(const RefusingTargets& relayed, Instant now);
 
--- a/src/core/control/registration_monitor.cc
+++ b/src/core/control/registration_monitor.cc
@@ -53,7 +53,7 @@
     const Duration silence = now - last_seen(target);
     if (silence > timing_.ended_after) {
       command.ended.push_back(target.incarnation());
-    } else if (silence > timing_.silent_after && target.phase == TargetPhase::kReady) {
+    } else if (silence > timing_.heartbeat_timeout && target.phase == TargetPhase::kReady) {
       command.silent.push_back(target.incarnation());
     }
   }
--- a/src/core/control/registration_monitor.h
+++ b/src/core/control/registration_monitor.h
@@ -12,7 +12,7 @@
 
 struct RegistrationTiming {
   /// A target without an announcement for this long becomes silent.
-  Duration silent_after = std::chrono::milliseconds(4000);
+  Duration heartbeat_timeout = std::chrono::milliseconds(4000);
   /// A silent target without an announcement for this long is considered ended.
   Duration ended_after = std::chrono::seconds(40);
   /// An ended target is kept for this long, because its open flows may still need it.
--- a/src/core/control/target_health_aggregator.cc
+++ b/src/core/control/target_health_aggregator.cc
@@ -68,44 +68,44 @@
   return now - *counters.refusals_since >= kMinRefusalDuration;
 }
 
-void TargetHealthAggregator::add(const std::vector<TargetObservation>& observations, Instant now) {
+void TargetHealthAggregator::add(const std::vector<TargetStatistics>& observations, Instant now) {
   for (const auto& observed : observations) {
     DecayedCounters& counters = counters_[observed.token];
     decay(counters, now);
     counters.requests += observed.requests;
     counters.stalled_requests += observed.stalled_requests;
     counters.new_flows += observed.new_flows;
-    counters.unanswered_flows += observed.unanswered_flows;
+    counters.unanswered_flows += observed.retransmitted_flows;
     // One reset is sufficient evidence, but unanswered packets may have been lost in the network.
     const bool is_unresponsive = counters.unanswered_flows >= kUnansweredThreshold &&
                                  counters.unanswered_flows >= kUnansweredRatio * counters.new_flows;
     const bool keeps_refusing = observed.refused_probes > 0 && record_refused_probes(counters, now);
     if (observed.refused_flows > 0 || keeps_refusing ||
-        (observed.unanswered_flows > 0 && is_unresponsive)) {
+        (observed.retransmitted_flows > 0 && is_unresponsive)) {
       counters.unhealthy_until = now + kUnhealthyDuration;
     }
     if (observed.unreachable > 0) {
       counters.unhealthy_until = now + kUnhealthyDuration;
       counters.unreachable_until = now + kUnhealthyDuration;
     }
-    const std::uint32_t failures = observed.refused_flows + observed.unanswered_flows +
+    const std::uint32_t failures = observed.refused_flows + observed.retransmitted_flows +
                                    observed.stalled_requests + observed.unreachable +
                                    observed.refused_probes;
     has_failures_ = has_failures_ || failures > 0;
-    TargetObservation& unreported = unreported_[observed.token];
+    TargetStatistics& unreported = unreported_[observed.token];
     unreported.token = observed.token;
     unreported.requests += observed.requests;
     unreported.stalled_requests += observed.stalled_requests;
     unreported.new_flows += observed.new_flows;
     unreported.refused_flows += observed.refused_flows;
-    unreported.unanswered_flows += observed.unanswered_flows;
+    unreported.retransmitted_flows += observed.retransmitted_flows;
     unreported.unreachable += observed.unreachable;
     unreported.refused_probes += observed.refused_probes;
   }
 }
 
-std::vector<TargetObservation> TargetHealthAggregator::take_observations(Instant now) {
-  std::vector<TargetObservation> result;
+std::vector<TargetStatistics> TargetHealthAggregator::take_observations(Instant now) {
+  std::vector<TargetStatistics> result;
   result.reserve(unreported_.size());
   for (const auto& [token, observed] : unreported_) {
     result.push_back(observed);
--- a/src/core/control/target_health_aggregator.h
+++ b/src/core/control/target_health_aggregator.h
@@ -18,8 +18,8 @@
   static constexpr std::size_t kMaxTargets = 128;
 
   /// Returns and clears the observations collected since the last call, for a report to the leader.
-  [[nodiscard]] std::vector<TargetObservation> take_observations(Instant now);
-  void add(const std::vector<TargetObservation>& observations, Instant now);
+  [[nodiscard]] std::vector<TargetStatistics> take_observations(Instant now);
+  void add(const std::vector<TargetStatistics>& observations, Instant now);
   /// Returns true if a failure was observed since the last call of `take_observations` or
   /// `evaluate`.
   [[nodiscard]] bool has_failures() const { return has_failures_; }
@@ -56,7 +56,7 @@
 
   absl::flat_hash_map<FlowToken, DecayedCounters> counters_;
   /// Observations since the last call of `take_observations`.
-  absl::flat_hash_map<FlowToken, TargetObservation> unreported_;
+  absl::flat_hash_map<FlowToken, TargetStatistics> unreported_;
   bool has_failures_ = false;
 };
 
--- a/src/core/routing/bounded_rendezvous.cc
+++ b/src/core/routing/bounded_rendezvous.cc
@@ -47,14 +47,14 @@
 }
 
 /// Proposal of a slot to a candidate, ordered by score.
-struct Claim {
+struct Proposal {
   std::uint64_t score = 0;
   std::uint32_t slot = 0;
 
-  friend auto operator<=>(const Claim&, const Claim&) = default;
+  friend auto operator<=>(const Proposal&, const Proposal&) = default;
 };
 
-using WeakestFirst = std::priority_queue<Claim, std::vector<Claim>, std::greater<>>;
+using LowestScoreFirst = std::priority_queue<Proposal, std::vector<Proposal>, std::greater<>>;
 
 /// Deferred acceptance (Gale and Shapley, 1962): each slot proposes to its candidates from the best
 /// score down, and a full candidate keeps the proposals with the highest scores. Both sides rank by
@@ -79,7 +79,7 @@
  private:
   /// Places a slot, and then each slot that is displaced in turn.
   void place(std::uint32_t slot) {
-    std::optional<Claim> unplaced = Claim{kNoBound, slot};
+    std::optional<Proposal> unplaced = Proposal{kNoBound, slot};
     while (unplaced) {
       unplaced = propose(unplaced->slot, unplaced->score);
     }
@@ -87,17 +87,17 @@
 
   /// Proposes to candidates whose score is below `bound`, best first, until one accepts. Returns
   /// the proposal that this displaces; its score is the bound for the next proposals of its slot.
-  std::optional<Claim> propose(std::uint32_t slot, std::uint64_t bound) {
+  std::optional<Proposal> propose(std::uint32_t slot, std::uint64_t bound) {
     while (true) {
       const std::uint32_t best = best_below(slot, bound);
-      const Claim claim{rendezvous_score(candidates_[best].key, slot, salt_), slot};
-      WeakestFirst& held = held_[best];
+      const Proposal claim{rendezvous_score(candidates_[best].key, slot, salt_), slot};
+      LowestScoreFirst& held = held_[best];
       if (held.size() < quota_[best]) {
         accept(best, claim);
         return std::nullopt;
       }
       if (claim > held.top()) {
-        const Claim displaced = held.top();
+        const Proposal displaced = held.top();
         held.pop();
         accept(best, claim);
         return displaced;
@@ -106,7 +106,7 @@
     }
   }
 
-  void accept(std::uint32_t candidate, const Claim& claim) {
+  void accept(std::uint32_t candidate, const Proposal& claim) {
     held_[candidate].push(claim);
     assignment_[claim.slot] = candidate;
   }
@@ -131,7 +131,7 @@
 
   const std::vector<RendezvousCandidate>& candidates_;
   std::vector<std::uint32_t> quota_;
-  std::vector<WeakestFirst> held_;
+  std::vector<LowestScoreFirst> held_;
   std::vector<std::uint32_t> assignment_;
   std::uint64_t salt_;
 };
--- a/src/core/steering/buffered_packets.cc
+++ b/src/core/steering/buffered_packets.cc
@@ -18,7 +18,7 @@
 BufferedPackets::BufferedPackets(const SteeringPolicy& policy)
     : max_wait_(static_cast<std::int64_t>(policy.hold_ms * kMicrosecondsPerMillisecond)) {}
 
-void BufferedPackets::hold(const ClientPacket& packet, ByteView bytes, Instant now) {
+void BufferedPackets::add(const ClientPacket& packet, ByteView bytes, Instant now) {
   if (max_wait_ <= Duration::zero()) {
     return;
   }
--- a/src/core/steering/buffered_packets.h
+++ b/src/core/steering/buffered_packets.h
@@ -30,7 +30,7 @@
 
   /// Buffers a packet. A retransmitted opening packet replaces the buffered one: replaying both
   /// would count against a target that never received the first.
-  void hold(const ClientPacket& packet, ByteView bytes, Instant now);
+  void add(const ClientPacket& packet, ByteView bytes, Instant now);
   /// Drops expired packets and passes the others to `take` in order of arrival.
   void release(const FlowSteering& steering, Instant now, const Visitor& take);
   [[nodiscard]] std::size_t size() const { return packets_.size(); }
--- a/src/core/steering/flow_observation.cc
+++ b/src/core/steering/flow_observation.cc
@@ -50,7 +50,7 @@
     }
   }
   if (entry.request_started_at && answered) {
-    on_answer(entry.target, now - *entry.request_started_at, now);
+    on_response(entry.target, now - *entry.request_started_at, now);
     end_request(entry);
   }
   if (packet.data_size > 0 && entry.request_started_at) {
@@ -91,11 +91,11 @@
     return;
   }
   const TargetScore& score = scores_.at(entry.target);
-  const bool has_newer_response = score.answer_at > *entry.request_started_at;
+  const bool has_newer_response = score.responded_at > *entry.request_started_at;
   // With queueing, a first retransmission does not indicate a failed target: targets delay the
   // acknowledgement of a single packet until its response or retransmission.
   const bool has_low_latency =
-      score.answer_us > 0 && score.answer_us < ResponseTimes::kLowLatencyUs;
+      score.response_us > 0 && score.response_us < ResponseTimes::kLowLatencyUs;
   if (entry.retransmissions > 1 || (has_low_latency && !has_newer_response)) {
     suspect_target(entry.target, now);
   }
--- a/src/core/steering/flow_placement.cc
+++ b/src/core/steering/flow_placement.cc
@@ -195,12 +195,12 @@
     // Falls back to the avoided target.
     return place(inputs, frontend, packet, 0, now);
   }
-  count_refusal(inputs, frontend, now);
+  count_rejection(inputs, frontend, now);
   return nullptr;
 }
 
-void FlowPlacement::count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
-                                  Instant now) {
+void FlowPlacement::count_rejection(const PlacementInputs& inputs, const FrontendView& frontend,
+                                    Instant now) {
   const auto lacks_time_slot = [&](const RegisteredTarget* target) {
     return inputs.warm_up.admission(target->id, now) == WarmUpAdmission::kOtherSlot;
   };
@@ -210,14 +210,14 @@
         return share.weight > 0 && std::any_of(targets.begin(), targets.end(), lacks_time_slot);
       });
   if (has_cold) {
-    inputs.warm_up.on_refused();
+    inputs.warm_up.on_rejected();
   }
 }
 
-double FlowPlacement::typical_answer_us(const PlacementInputs& inputs, std::uint32_t pool,
-                                        Instant now) {
+double FlowPlacement::typical_response_us(const PlacementInputs& inputs, std::uint32_t pool,
+                                          Instant now) {
   std::vector<double> samples;
-  inputs.scores.visit_answered(now, [&](TargetId id, double answer_us) {
+  inputs.scores.visit_responsive(now, [&](TargetId id, double answer_us) {
     if (inputs.view.is_in_pool(id, pool)) {
       samples.push_back(answer_us);
     }
@@ -235,7 +235,7 @@
                                                    std::uint32_t pool, const ClientPacket& packet,
                                                    TargetId avoided, Instant now) {
   const std::vector<const RegisteredTarget*>& targets = inputs.view.pool_targets(pool);
-  const CandidateScan scan(inputs, policy_, typical_answer_us(inputs, pool, now),
+  const CandidateScan scan(inputs, policy_, typical_response_us(inputs, pool, now),
                            packed(packet.flow.client) ^ seed_, avoided, now);
   const auto sample = static_cast<std::size_t>(policy_.sample);
   const bool is_sampled = sample > 0 && targets.size() > sample;
@@ -266,7 +266,7 @@
   if (choice.best == nullptr || choice.rank.impairment == Impairment::kUnreachable) {
     return nullptr;
   }
-  inputs.warm_up.on_passed_over();
+  inputs.warm_up.on_skipped();
   return choice.best;
 }
 
--- a/src/core/steering/flow_placement.h
+++ b/src/core/steering/flow_placement.h
@@ -53,11 +53,11 @@
 
  private:
   /// Median response time of a pool, in microseconds; 0 when unknown.
-  [[nodiscard]] static double typical_answer_us(const PlacementInputs& inputs, std::uint32_t pool,
-                                                Instant now);
+  [[nodiscard]] static double typical_response_us(const PlacementInputs& inputs, std::uint32_t pool,
+                                                  Instant now);
   /// Counts a rejected flow when targets of the frontend wait for their time slot.
-  static void count_refusal(const PlacementInputs& inputs, const FrontendView& frontend,
-                            Instant now);
+  static void count_rejection(const PlacementInputs& inputs, const FrontendView& frontend,
+                              Instant now);
   /// The next pool by smooth weighted round robin.
   std::uint32_t next_pool(const FrontendView& frontend);
   /// The best target of a pool. Large pools are sampled, and scanned as a whole only if the sample
--- a/src/core/steering/flow_steering.cc
+++ b/src/core/steering/flow_steering.cc
@@ -50,7 +50,7 @@
   view_.reset(state);
   for (const auto& [id, target] : state.targets) {
     if (scores_.is_other_incarnation(target)) {
-      forget_incarnation(target.id);
+      remove_incarnation(target.id);
     }
   }
   scores_.adopt(state.targets, now);
@@ -94,7 +94,7 @@
     const bool is_restarted = scores_.is_other_incarnation(target);
     const bool is_new = is_restarted || scores_.find(target.id) == nullptr;
     if (is_restarted) {
-      forget_incarnation(target.id);
+      remove_incarnation(target.id);
     }
     scores_.on_target(target, now);
     update_warm_up(target, true, now);
@@ -116,7 +116,7 @@
   }
 }
 
-void FlowSteering::forget_incarnation(TargetId target) {
+void FlowSteering::remove_incarnation(TargetId target) {
   flows_.visit_open(target, [this](const SteeredFlow& /*flow*/, FlowEntry& entry) {
     remove_load(entry);
     entry.request_started_at.reset();
@@ -289,7 +289,7 @@
       zone_paths_.is_cut(target)) {
     return;
   }
-  reachability_.suspect(target, scores_.latest_answered(kReferenceTargets, target, now), now);
+  reachability_.suspect(target, scores_.latest_responsive(kReferenceTargets, target, now), now);
 }
 
 void FlowSteering::set_target_health(const std::vector<TargetHealth>& health, Instant now) {
--- a/src/core/steering/flow_steering.h
+++ b/src/core/steering/flow_steering.h
@@ -115,11 +115,11 @@
   void set_link_congested(bool is_congested, Instant now);
 
   /// Statistics to exchange with other balancers.
-  [[nodiscard]] std::vector<TargetObservation> take_observations() {
+  [[nodiscard]] std::vector<TargetStatistics> take_observations() {
     return scores_.take_observations();
   }
   /// True when a target failed since the last call of `take_observations`.
-  [[nodiscard]] bool has_trouble() const { return scores_.has_failures(); }
+  [[nodiscard]] bool has_failures() const { return scores_.has_failures(); }
   /// True when a target refused a probe since the last call of `take_observations`. Refusals are
   /// reported immediately; unanswered opening packets and requests can wait, since full queues
   /// cause them too.
@@ -204,7 +204,7 @@
   void update_warm_up(const RegisteredTarget& target, bool is_age_known, Instant now);
   /// Removes statistics of a target's previous incarnation. Its open flows are not reset: some may
   /// already belong to the new incarnation, and the target itself rejects packets of the others.
-  void forget_incarnation(TargetId target);
+  void remove_incarnation(TargetId target);
   /// Adds time estimates for the target's pool and zone.
   void add_time_estimates(const RegisteredTarget& target);
   void update_cold_rates();
@@ -213,7 +213,7 @@
   /// target.
   void on_opened(const FlowEntry& entry, Instant sent_at, Instant now);
   /// Handles the response to a request.
-  void on_answer(TargetId target, Duration took, Instant now);
+  void on_response(TargetId target, Duration took, Instant now);
   void observe_request(FlowEntry& entry, const ClientPacket& packet, Instant now);
   /// Handles data that the client retransmits because the target did not acknowledge it.
   void observe_retransmission(FlowEntry& entry, const ClientPacket& packet, Instant now);
--- a/src/core/steering/flow_steering_refusals.cc
+++ b/src/core/steering/flow_steering_refusals.cc
@@ -40,8 +40,8 @@
   }
 }
 
-void FlowSteering::on_answer(TargetId target, Duration took, Instant now) {
-  scores_.on_answer(target, took, now);
+void FlowSteering::on_response(TargetId target, Duration took, Instant now) {
+  scores_.on_response(target, took, now);
   if (const RegisteredTarget* known = view_.target_by_id(target); known != nullptr) {
     response_times_.on_response(known->pool, took, now);
   }
--- a/src/core/steering/flow_steering_zones.cc
+++ b/src/core/steering/flow_steering_zones.cc
@@ -32,7 +32,7 @@
   // Checked last: selecting responsive targets scans all of them.
   if (may_probe && !may_be_local_congestion(sent_at) && zone_paths_.may_check(target, now)) {
     zone_paths_.suspect(target, sent_at,
-                        scores_.latest_answered(kMaxResponsiveTargets, target, now), now);
+                        scores_.latest_responsive(kMaxResponsiveTargets, target, now), now);
   }
 }
 
@@ -55,7 +55,7 @@
                            entry->target != request->target ||
                            entry->request_started_at != request->sent_at;
     if (!request->is_resolved &&
-        scores_.recent_answer_us(request->target, now) <= kMaxFastAnswerUs) {
+        scores_.recent_response_us(request->target, now) <= kMaxFastAnswerUs) {
       suspect_zone(request->target, request->sent_at, now);
     }
   }
--- a/src/core/steering/steering_view.cc
+++ b/src/core/steering/steering_view.cc
@@ -51,7 +51,7 @@
     }
   }
   for (const TargetId id : delta.removed_targets) {
-    forget_target(id);
+    remove_target(id);
   }
   for (const auto& target : delta.upserted_targets) {
     upsert_target(target);
@@ -185,7 +185,7 @@
   add_to_pool(entry);
 }
 
-void SteeringView::forget_target(TargetId id) {
+void SteeringView::remove_target(TargetId id) {
   const auto found = targets_.find(id);
   if (found != targets_.end()) {
     remove_from_indexes(found->second);
--- a/src/core/steering/steering_view.h
+++ b/src/core/steering/steering_view.h
@@ -98,7 +98,7 @@
   void upsert_frontend(const Frontend& frontend);
   void drop_frontend(const Endpoint& address);
   void upsert_target(const RegisteredTarget& target);
-  void forget_target(TargetId id);
+  void remove_target(TargetId id);
   /// Replaces the set of evacuated zones.
   void set_evacuated_zones(const std::vector<EvacuatedZone>& evacuated);
   /// Adds a target to its pool's list if it may get new flows.
--- a/src/core/steering/target_reachability.cc
+++ b/src/core/steering/target_reachability.cc
@@ -37,7 +37,7 @@
 /// The same after an inconclusive suspicion.
 constexpr Duration kInconclusiveCooldown = milliseconds(200);
 /// Interval between probes that check whether an unreachable target has recovered.
-constexpr Duration kProbeAgainAfter = seconds(1);
+constexpr Duration kProbeInterval = seconds(1);
 /// Consecutive accepted probes before an unreachable target counts as recovered: another target may
 /// already listen at the address and announce itself slightly later.
 constexpr std::uint32_t kRequiredAccepts = 3;
@@ -146,7 +146,7 @@
   out.push_back({number, target});
 }
 
-void TargetReachability::probe_cases(Instant now, std::vector<ProbeRequest>& out) {
+void TargetReachability::probe_suspicions(Instant now, std::vector<ProbeRequest>& out) {
   for (auto& [target, suspected] : suspicions_) {
     const bool is_probe_due = now - suspected.probed_at >= kStepInterval;
     if (!is_probe_due || suspected.probes >= kRequiredProbes) {
@@ -167,21 +167,21 @@
 void TargetReachability::probe_unreachable(Instant now, std::vector<ProbeRequest>& out) {
   for (auto& [target, unreachable] : unreachable_) {
     if (now >= unreachable.probe_next_at && !replaced_.contains(target)) {
-      unreachable.probe_next_at = now + kProbeAgainAfter;
+      unreachable.probe_next_at = now + kProbeInterval;
       send(target, 0, now, out);
     }
   }
 }
 
-void TargetReachability::drop_expired(Instant now) {
+void TargetReachability::remove_expired(Instant now) {
   absl::erase_if(sent_, [&](const auto& one) { return now - one.second.at > kProbeLifetime; });
   absl::erase_if(cleared_until_, [&](const auto& one) { return now >= one.second; });
 }
 
 std::vector<ProbeRequest> TargetReachability::take_probes(Instant now) {
   std::vector<ProbeRequest> probes;
-  drop_expired(now);
-  probe_cases(now, probes);
+  remove_expired(now);
+  probe_suspicions(now, probes);
   probe_unreachable(now, probes);
   return probes;
 }
@@ -302,7 +302,7 @@
   }
   for (const auto& one : detected) {
     suspicions_.erase(one.target);
-    unreachable_[one.target] = {now + kProbeAgainAfter, 0};
+    unreachable_[one.target] = {now + kProbeInterval, 0};
   }
   for (const TargetId target : inconclusive) {
     drop_inconclusive(target, now);
--- a/src/core/steering/target_reachability.h
+++ b/src/core/steering/target_reachability.h
@@ -149,9 +149,9 @@
   };
 
   void send(TargetId target, TargetId reference_for, Instant now, std::vector<ProbeRequest>& out);
-  void probe_cases(Instant now, std::vector<ProbeRequest>& out);
+  void probe_suspicions(Instant now, std::vector<ProbeRequest>& out);
   void probe_unreachable(Instant now, std::vector<ProbeRequest>& out);
-  void drop_expired(Instant now);
+  void remove_expired(Instant now);
   /// Restarts the probes of a suspicion after link congestion.
   static void restart(Suspicion& suspected, Instant now);
   /// True when the probes of a suspicion can no longer lead to a decision.
--- a/src/core/steering/target_refusals.cc
+++ b/src/core/steering/target_refusals.cc
@@ -10,7 +10,7 @@
 
 /// Interval until a refusing target is probed again: shorter than `kRefusalLifetime`, so that an
 /// ended target is avoided without a gap.
-constexpr Duration kProbeAgainAfter = milliseconds(250);
+constexpr Duration kProbeInterval = milliseconds(250);
 /// Consecutive refusals after which probing stops; a longer outage is covered by the reported
 /// target health.
 constexpr std::uint32_t kMaxRefusals = 3;
@@ -99,7 +99,7 @@
   }
   ProbedTarget& probed = found->second;
   probed.probe = 0;
-  probed.probe_at = now + kProbeAgainAfter;
+  probed.probe_at = now + kProbeInterval;
   ++probed.refusals;
   mark_refusing(target, now);
   refused_.push_back(target);
--- a/src/core/steering/target_scores.cc
+++ b/src/core/steering/target_scores.cc
@@ -29,8 +29,8 @@
 
 void TargetScores::adopt(const TargetMap& targets, Instant now) {
   by_token_.clear();
-  answered_.reserve(std::min(targets.size(), kExpectedActive));
-  to_report_.reserve(std::min(targets.size(), kExpectedActive));
+  answered_.reserve(std::min(targets.size(), kExpectedTargetsInUse));
+  to_report_.reserve(std::min(targets.size(), kExpectedTargetsInUse));
   absl::erase_if(scores_, [&](const auto& entry) { return !targets.contains(entry.first); });
   absl::erase_if(answered_, [&](TargetId id) { return !targets.contains(id); });
   absl::erase_if(to_report_, [&](TargetId id) { return !targets.contains(id); });
@@ -78,7 +78,7 @@
   return found == scores_.end() ? nullptr : &found->second;
 }
 
-TargetObservation& TargetScores::unreported(TargetId id) {
+TargetStatistics& TargetScores::unreported(TargetId id) {
   to_report_.insert(id);
   return at(id).unreported;
 }
@@ -90,11 +90,11 @@
   ++unreported(id).requests;
 }
 
-std::vector<TargetObservation> TargetScores::take_observations() {
-  std::vector<TargetObservation> result;
+std::vector<TargetStatistics> TargetScores::take_observations() {
+  std::vector<TargetStatistics> result;
   result.reserve(to_report_.size());
   for (const TargetId id : to_report_) {
-    TargetObservation& seen = at(id).unreported;
+    TargetStatistics& seen = at(id).unreported;
     const FlowToken token = seen.token;
     if (token != 0) {
       result.push_back(seen);
@@ -140,15 +140,15 @@
 }
 
 void TargetScores::on_tick(Instant now) {
-  absl::erase_if(answered_, [&](TargetId id) { return recent_answer_us(id, now) <= 0; });
+  absl::erase_if(answered_, [&](TargetId id) { return recent_response_us(id, now) <= 0; });
 }
 
-std::vector<TargetId> TargetScores::latest_answered(std::size_t count, TargetId except,
-                                                    Instant now) const {
+std::vector<TargetId> TargetScores::latest_responsive(std::size_t count, TargetId except,
+                                                      Instant now) const {
   std::vector<std::pair<Instant, TargetId>> answered;
-  visit_answered(now, [&](TargetId id, double /*answer_us*/) {
+  visit_responsive(now, [&](TargetId id, double /*answer_us*/) {
     if (id != except && !is_suspected(id, now)) {
-      answered.emplace_back(find(id)->answer_at, id);
+      answered.emplace_back(find(id)->responded_at, id);
     }
   });
   const std::size_t taken = std::min(count, answered.size());
@@ -169,19 +169,20 @@
 void TargetScores::on_unanswered_syn(TargetId id, Instant now) {
   TargetScore& score = at(id);
   ++score.unanswered;
-  ++unreported(id).unanswered_flows;
+  ++unreported(id).retransmitted_flows;
   if (policy_.suspect_after > 0 && score.unanswered >= policy_.suspect_after) {
     score.suspected_until = now + kSuspicionTime;
   }
 }
 
-void TargetScores::on_answer(TargetId id, Duration took, Instant now) {
+void TargetScores::on_response(TargetId id, Duration took, Instant now) {
   TargetScore& score = at(id);
   const auto sample = static_cast<double>(took.count());
-  const bool has_recent_sample = score.answer_us > 0 && now - score.answer_at < kAnswerLifetime;
-  score.answer_us =
-      has_recent_sample ? score.answer_us + kSmoothing * (sample - score.answer_us) : sample;
-  score.answer_at = now;
+  const bool has_recent_sample =
+      score.response_us > 0 && now - score.responded_at < kAnswerLifetime;
+  score.response_us =
+      has_recent_sample ? score.response_us + kSmoothing * (sample - score.response_us) : sample;
+  score.responded_at = now;
   answered_.insert(id);
 }
 
@@ -233,10 +234,10 @@
   return score != nullptr && (now < score->suspected_until || score->health.is_unhealthy);
 }
 
-double TargetScores::recent_answer_us(TargetId id, Instant now) const {
+double TargetScores::recent_response_us(TargetId id, Instant now) const {
   const TargetScore* score = find(id);
-  const bool is_recent = score != nullptr && now - score->answer_at < kAnswerLifetime;
-  return is_recent ? score->answer_us : 0;
+  const bool is_recent = score != nullptr && now - score->responded_at < kAnswerLifetime;
+  return is_recent ? score->response_us : 0;
 }
 
 double TargetScores::load(const RegisteredTarget& target, double typical_us, Instant now) const {
@@ -245,7 +246,7 @@
     return 0;
   }
   double penalty = now < score->warm_at ? policy_.cold_penalty : 1;
-  const double answer_us = recent_answer_us(target.id, now);
+  const double answer_us = recent_response_us(target.id, now);
   if (policy_.slow_factor > 0 && typical_us > 0 && answer_us > policy_.slow_factor * typical_us) {
     penalty *= std::min(answer_us / typical_us, kMaxPenalty);
   }
--- a/src/core/steering/target_scores.h
+++ b/src/core/steering/target_scores.h
@@ -29,8 +29,8 @@
   Instant suspected_until;
   /// Smoothed time from a request to the first client acknowledgement after it, in microseconds; 0
   /// without a sample.
-  double answer_us = 0;
-  Instant answer_at;
+  double response_us = 0;
+  Instant responded_at;
   /// End of the warm-up that the target announced.
   Instant warm_at;
   /// Sequence number of the announcement that set `warm_at`.
@@ -38,7 +38,7 @@
   /// The incarnation of the target that this entry describes.
   TargetStart started_at_ms = 0;
   /// Observations of this balancer since its last report.
-  TargetObservation unreported;
+  TargetStatistics unreported;
   /// Health aggregated over the reports of all balancers.
   TargetHealth health;
 };
@@ -74,10 +74,10 @@
   void on_request(TargetId id);
   /// A request got no response within the expected response time.
   void on_stalled_request(TargetId id);
-  void on_answer(TargetId id, Duration took, Instant now);
+  void on_response(TargetId id, Duration took, Instant now);
 
   /// Observations since the last call, ordered by token.
-  [[nodiscard]] std::vector<TargetObservation> take_observations();
+  [[nodiscard]] std::vector<TargetStatistics> take_observations();
   [[nodiscard]] bool has_failures() const { return has_failures_; }
   /// True when a target refused a probe since the last call of `take_observations`.
   [[nodiscard]] bool has_refused_probe() const { return has_refused_probe_; }
@@ -92,17 +92,17 @@
   /// and its smoothed response time in microseconds. The cost depends on the targets in use here,
   /// not on the size of the fleet.
   template <typename Visitor>
-  void visit_answered(Instant now, const Visitor& visit) const {
+  void visit_responsive(Instant now, const Visitor& visit) const {
     for (const TargetId id : answered_) {
-      if (const double answer_us = recent_answer_us(id, now); answer_us > 0) {
+      if (const double answer_us = recent_response_us(id, now); answer_us > 0) {
         visit(id, answer_us);
       }
     }
   }
   /// Healthy targets that responded to requests recently, the latest first; at most `count`,
   /// never `except`.
-  [[nodiscard]] std::vector<TargetId> latest_answered(std::size_t count, TargetId except,
-                                                      Instant now) const;
+  [[nodiscard]] std::vector<TargetId> latest_responsive(std::size_t count, TargetId except,
+                                                        Instant now) const;
   /// True when this balancer suspects the target or its aggregated health is bad.
   [[nodiscard]] bool is_suspected(TargetId id, Instant now) const;
   /// Load for comparison within a pool; lower is better. `typical_us` is the pool's usual response
@@ -111,18 +111,18 @@
   /// Relative weight of the target among targets of the same load.
   [[nodiscard]] double preference(const RegisteredTarget& target) const;
   /// Smoothed response time in microseconds, or 0 when there is no recent sample.
-  [[nodiscard]] double recent_answer_us(TargetId id, Instant now) const;
+  [[nodiscard]] double recent_response_us(TargetId id, Instant now) const;
 
  private:
   /// The observations of the target for the next report; marks the target as to be reported.
-  TargetObservation& unreported(TargetId id);
+  TargetStatistics& unreported(TargetId id);
 
   std::string zone_;
   SteeringPolicy policy_;
   absl::flat_hash_map<TargetId, TargetScore> scores_;
   /// Expected number of targets in use at a time. Memory for them is reserved, so that processing
   /// packets allocates nothing (9 bytes per target).
-  static constexpr std::size_t kExpectedActive = 1024;
+  static constexpr std::size_t kExpectedTargetsInUse = 1024;
 
   /// Targets whose latest response time has not expired, or expired after the last tick.
   absl::flat_hash_set<TargetId> answered_;
--- a/src/core/steering/warm_up_budget.h
+++ b/src/core/steering/warm_up_budget.h
@@ -55,10 +55,10 @@
   /// Flows placed at targets that are warming up.
   std::uint64_t placed = 0;
   /// Flows for which a target that is warming up was skipped.
-  std::uint64_t passed_over = 0;
+  std::uint64_t skipped = 0;
   /// Flows that were rejected because all remaining targets were warming up and it was not this
   /// balancer's time slot.
-  std::uint64_t refused = 0;
+  std::uint64_t rejected = 0;
   /// Ranks that were rejected as invalid, or whose count dropped too far to be applied in full.
   std::uint64_t implausible_ranks = 0;
 };
@@ -94,8 +94,8 @@
   /// Records that a new flow, or a retransmission that first went to another target, was placed at
   /// the target.
   void on_placed(TargetId id, Instant now);
-  void on_passed_over() { ++counters_.passed_over; }
-  void on_refused() { ++counters_.refused; }
+  void on_skipped() { ++counters_.skipped; }
+  void on_rejected() { ++counters_.rejected; }
 
   /// Removes and returns the targets whose warm-up ended, ordered by id.
   [[nodiscard]] std::vector<WarmedTarget> take_warmed(Instant now);
--- a/src/core/steering/zone_paths.cc
+++ b/src/core/steering/zone_paths.cc
@@ -92,7 +92,7 @@
   return found == by_target_.end() ? nullptr : &zones_[found->second];
 }
 
-bool ZonePaths::is_beyond_cut(TargetId target) const {
+bool ZonePaths::is_behind_cut_path(TargetId target) const {
   const Zone* zone = zone_of(target);
   return zone != nullptr && zone->cut_since.has_value();
 }
@@ -252,8 +252,8 @@
     chosen.push_back(zone.previous_responders.front());
   }
   for (std::size_t i = 0; i < zone.targets.size() && chosen.size() < kRecoveryProbes; ++i) {
-    zone.next_member = (zone.next_member + 1) % zone.targets.size();
-    add_once(chosen, zone.targets[zone.next_member]);
+    zone.next_target = (zone.next_target + 1) % zone.targets.size();
+    add_once(chosen, zone.targets[zone.next_target]);
   }
   return chosen;
 }
@@ -321,7 +321,7 @@
   }
 }
 
-void ZonePaths::conclude_check(Zone& zone, bool is_link_congested, Instant now,
+void ZonePaths::evaluate_check(Zone& zone, bool is_link_congested, Instant now,
                                std::vector<ZonePathChange>& out) {
   const ZonePathCheck& path_check = *zone.check;
   // A target that was removed during the check is silent for another reason.
@@ -332,13 +332,13 @@
     out.push_back({zone.name, true, now - path_check.sent_at(),
                    static_cast<std::uint32_t>(path_check.samples().size()), path_check.probes(),
                    path_check.refusals(), path_check.samples().front()});
-    begin_cut(zone, now);
+    mark_cut(zone, now);
   } else if (!may_evaluate || path_check.is_inconclusive(now)) {
     end_check(zone, false, now);
   }
 }
 
-void ZonePaths::begin_cut(Zone& zone, Instant now) {
+void ZonePaths::mark_cut(Zone& zone, Instant now) {
   zone.check.reset();
   --active_checks_;
   zone.cut_since = now;
@@ -369,7 +369,7 @@
   return several || zone.answered_rounds >= kRecoveryRounds;
 }
 
-void ZonePaths::conclude_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out) {
+void ZonePaths::evaluate_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out) {
   if (!zone.targets.empty() && !is_recovered(zone)) {
     return;
   }
@@ -388,9 +388,9 @@
   }
   for (auto& zone : zones_) {
     if (zone.cut_since) {
-      conclude_recovery(zone, now, changes);
+      evaluate_recovery(zone, now, changes);
     } else if (zone.check) {
-      conclude_check(zone, is_link_congested, now, changes);
+      evaluate_check(zone, is_link_congested, now, changes);
     }
     if (zone.restored_at && now - *zone.restored_at >= kRampUpTime) {
       zone.restored_at.reset();
--- a/src/core/steering/zone_paths.h
+++ b/src/core/steering/zone_paths.h
@@ -82,7 +82,7 @@
 
   [[nodiscard]] bool is_cut(TargetId target) const {
     // Fast path: this is called for each candidate target, and usually no path is cut.
-    return cut_count_ > 0 && is_beyond_cut(target);
+    return cut_count_ > 0 && is_behind_cut_path(target);
   }
   [[nodiscard]] bool is_cut(std::string_view zone) const;
   /// False while the path is recovering and the new flow with this hash is not in the growing share
@@ -113,7 +113,7 @@
     Duration check_backoff{0};
     std::optional<Instant> cut_since;
     Instant probe_next_at;
-    std::size_t next_member = 0;
+    std::size_t next_target = 0;
     /// Targets that answered in the current and in the previous recovery round.
     std::vector<TargetId> responders;
     std::vector<TargetId> previous_responders;
@@ -132,7 +132,7 @@
     std::optional<std::uint32_t> attempt;
   };
 
-  [[nodiscard]] bool is_beyond_cut(TargetId target) const;
+  [[nodiscard]] bool is_behind_cut_path(TargetId target) const;
   [[nodiscard]] bool is_admitted(TargetId target, std::uint64_t flow_hash, Instant now) const;
   [[nodiscard]] const Zone* zone_of(TargetId target) const;
   [[nodiscard]] std::vector<TargetId> choose_recovery_probes(Zone& zone) const;
@@ -148,13 +148,13 @@
   /// True when an answer of the target ends the check: always, except with an injected fault.
   [[nodiscard]] bool ends_check(const ZonePathCheck& path_check, TargetId target) const;
   void on_check_answer(Zone& zone, const SentProbe& probe, ProbeAnswer answer, Instant now);
-  void conclude_check(Zone& zone, bool is_link_congested, Instant now,
+  void evaluate_check(Zone& zone, bool is_link_congested, Instant now,
                       std::vector<ZonePathChange>& out);
-  void begin_cut(Zone& zone, Instant now);
+  void mark_cut(Zone& zone, Instant now);
   /// Targets that answered in the last two recovery rounds.
   [[nodiscard]] static std::vector<TargetId> recent_responders(const Zone& zone);
   [[nodiscard]] static bool is_recovered(const Zone& zone);
-  void conclude_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out);
+  void evaluate_recovery(Zone& zone, Instant now, std::vector<ZonePathChange>& out);
 
   std::string own_zone_;
   ZonePathFaults faults_;
--- a/src/model/target_health.h
+++ b/src/model/target_health.h
@@ -11,7 +11,7 @@
 namespace gorsevalve {
 
 /// Observations of one target by one balancer since its last report.
-struct TargetObservation {
+struct TargetStatistics {
   FlowToken token = 0;
   /// Requests sent to the target.
   std::uint32_t requests = 0;
@@ -22,17 +22,17 @@
   /// New flows without any later packet, not even a retransmission; the target reset them.
   std::uint32_t refused_flows = 0;
   /// New flows whose opening packet was retransmitted.
-  std::uint32_t unanswered_flows = 0;
+  std::uint32_t retransmitted_flows = 0;
   /// Number of times that the balancer's probes found the target unreachable.
   std::uint32_t unreachable = 0;
   /// Probes that the target refused because it accepts no flows at the moment.
   std::uint32_t refused_probes = 0;
 
-  friend bool operator==(const TargetObservation&, const TargetObservation&) = default;
+  friend bool operator==(const TargetStatistics&, const TargetStatistics&) = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& token& requests& stalled_requests& new_flows& refused_flows& unanswered_flows&
+    archive& token& requests& stalled_requests& new_flows& refused_flows& retransmitted_flows&
         unreachable& refused_probes;
   }
 };
--- a/src/programs/control_admin.cc
+++ b/src/programs/control_admin.cc
@@ -54,16 +54,16 @@
 }
 
 /// HTTP response for the result of an evacuation command.
-HttpResponse to_response(const EvacuationCommand& command, const SteeringReply& reply) {
+HttpResponse to_response(const EvacuationCommand& command, const CommandReply& reply) {
   switch (reply.status) {
-    case SteeringStatus::kAcknowledged:
+    case CommandStatus::kAcknowledged:
       return {200, "application/json",
               json{{"zone", command.zone}, {"order", to_string(command.action)}}.dump()};
-    case SteeringStatus::kNotLeader:
+    case CommandStatus::kNotLeader:
       return {421, "application/json", not_leader_body(reply.leader)};
-    case SteeringStatus::kUnknown:
+    case CommandStatus::kUnknown:
       return {202, "application/json", error_body("not decided yet; ask again")};
-    case SteeringStatus::kUnknownZone:
+    case CommandStatus::kUnknownZone:
       return {404, "application/json",
               to_text({{"error", unknown_zone_error(command.zone, reply.known_zones)},
                        {"known_zones", reply.known_zones}})};
@@ -303,7 +303,7 @@
       request.path.substr(kEvacuationPrefix.size()),
       request.method == "PUT" ? EvacuationAction::kEvacuate : EvacuationAction::kRestore};
   main_loop_.post([this, number, command] {
-    control_.submit_evacuation(command, [this, number, command](const SteeringReply& reply) {
+    control_.submit_evacuation(command, [this, number, command](const CommandReply& reply) {
       const HttpResponse response = to_response(command, reply);
       respond(number, response.status, response.body);
     });
--- a/src/programs/operator_main.cc
+++ b/src/programs/operator_main.cc
@@ -93,7 +93,7 @@
   const auto settings = parse_settings(read_file(path), path);
   if (!settings) {
     print_errors(settings.error());
-    return kExitRefused;
+    return kExitRejected;
   }
   std::size_t targets = 0;
   for (const auto& service : settings->services) {
@@ -140,14 +140,14 @@
   if (!body.contains("errors")) {
     std::fprintf(stderr, "rejected: %s\n", response.body.c_str());
   }
-  return kExitRefused;
+  return kExitRejected;
 }
 
 int apply(const std::string& path) {
   const std::string text = read_file(path);
   if (const auto settings = parse_settings(text, path); !settings) {
     print_errors(settings.error());
-    return kExitRefused;
+    return kExitRejected;
   }
   ApiClient api;
   std::int64_t base = absl::GetFlag(FLAGS_base);
@@ -325,7 +325,7 @@
   }
   const std::vector<ExplainedLine> explained = explain(id, lines);
   std::printf("%s", render_explanation(explained).c_str());
-  return explained.empty() ? kExitRefused : kExitOk;
+  return explained.empty() ? kExitRejected : kExitOk;
 }
 
 int run(const std::vector<char*>& words) {
--- a/src/programs/program.h
+++ b/src/programs/program.h
@@ -16,7 +16,7 @@
 enum ExitCode : int {
   kExitOk = 0,
   kExitUsage = 1,
-  kExitRefused = 2,
+  kExitRejected = 2,
   kExitConflict = 3,
   kExitUnreachable = 4,
   kExitTimeout = 5,
--- a/src/sim/injected_faults.cc
+++ b/src/sim/injected_faults.cc
@@ -15,7 +15,7 @@
        [](SimFaults& faults) { faults.balancer.skip_incomplete_check = true; },
        {"two_balancers_killed", "balancers_killed_often", "everything"}},
       {"ignore_seal",
-       [](SimFaults& faults) { faults.balancer.ignore_seal = true; },
+       [](SimFaults& faults) { faults.balancer.ignore_fence = true; },
        {"isolated_and_lossy"}},
       {"ignore_revision_floor",
        [](SimFaults& faults) {
--- a/src/standins/fabric_main.cc
+++ b/src/standins/fabric_main.cc
@@ -170,7 +170,7 @@
   text << file.rdbuf();
   const auto settings = parse_settings(text.str(), path);
   if (!settings) {
-    return fail(to_string(settings.error().front()), kExitRefused);
+    return fail(to_string(settings.error().front()), kExitRejected);
   }
   EventLoop loop;
   Fabric fabric(loop);
--- a/src/tasks/balancer_task.cc
+++ b/src/tasks/balancer_task.cc
@@ -187,7 +187,7 @@
   log_replica_chosen(replica, replica_revision, control_.fleet().revision);
 }
 
-void BalancerTask::on_replica_silent(const Endpoint& replica) {
+void BalancerTask::on_replica_timed_out(const Endpoint& replica) {
   log_replica_silent(replica);
   network_.disconnect(replica);
 }
@@ -196,8 +196,8 @@
   log_updates_overdue(replica, revisions, control_.fleet().revision);
 }
 
-void BalancerTask::on_update_refused(const RefusedUpdate& refused) {
-  log_update_refused(refused, control_.fleet().revision);
+void BalancerTask::on_update_rejected(const RejectedUpdate& refused) {
+  log_update_rejected(refused, control_.fleet().revision);
 }
 
 void BalancerTask::on_lease(Instant until) { balancer_->on_lease(until); }
--- a/src/tasks/balancer_task.h
+++ b/src/tasks/balancer_task.h
@@ -73,9 +73,9 @@
   void on_fleet(const FleetState& fleet, Instant now) override;
   void on_lease(Instant until) override;
   void on_replica_chosen(const Endpoint& replica, Revision replica_revision) override;
-  void on_replica_silent(const Endpoint& replica) override;
+  void on_replica_timed_out(const Endpoint& replica) override;
   void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
-  void on_update_refused(const RefusedUpdate& refused) override;
+  void on_update_rejected(const RejectedUpdate& refused) override;
   void on_removed(Instant now) override;
 
   EventLoop& loop_;
--- a/src/tasks/control_task.cc
+++ b/src/tasks/control_task.cc
@@ -226,11 +226,11 @@
   return node_->outcome(id, monotonic_now());
 }
 
-SteeringReply ControlTask::not_leader() const {
-  return {SteeringStatus::kNotLeader, node_->other_leader(monotonic_now())};
+CommandReply ControlTask::not_leader() const {
+  return {CommandStatus::kNotLeader, node_->other_leader(monotonic_now())};
 }
 
-void ControlTask::submit_steering(const SteeringCommand& command, SteeringCallback callback) {
+void ControlTask::submit_steering(const SteeringCommand& command, CommandCallback callback) {
   const Instant now = monotonic_now();
   if (stopping_ || !node_->replica().has_lease(now)) {
     callback(not_leader());
@@ -241,15 +241,15 @@
   log_event(LogEvent::kSteeringSubmitted,
             {{"version", version}, {"held_version", committed_version}});
   if (version <= committed_version) {
-    callback({SteeringStatus::kAcknowledged, std::nullopt});
+    callback({CommandStatus::kAcknowledged, std::nullopt});
     return;
   }
-  std::vector<SteeringCallback> callbacks;
+  std::vector<CommandCallback> callbacks;
   callbacks.push_back(std::move(callback));
   await_proposal(node_->propose(command, now), std::move(callbacks), version);
 }
 
-void ControlTask::submit_evacuation(const EvacuationCommand& command, SteeringCallback callback) {
+void ControlTask::submit_evacuation(const EvacuationCommand& command, CommandCallback callback) {
   const Instant now = monotonic_now();
   if (stopping_ || !node_->replica().has_lease(now)) {
     callback(not_leader());
@@ -258,7 +258,7 @@
   const std::vector<std::string> known = known_zones(config_.zones, node_->state().fleet());
   if (!std::binary_search(known.begin(), known.end(), command.zone)) {
     log_event(LogEvent::kEvacuationRefused, {{"zone", command.zone}, {"known_zones", known}});
-    callback({SteeringStatus::kUnknownZone, std::nullopt, known});
+    callback({CommandStatus::kUnknownZone, std::nullopt, known});
     return;
   }
   const bool already_committed = node_->is_committed(command, now);
@@ -266,16 +266,16 @@
       LogEvent::kEvacuationOrdered,
       {{"zone", command.zone}, {"order", to_string(command.action)}, {"held", already_committed}});
   if (already_committed) {
-    callback({SteeringStatus::kAcknowledged, std::nullopt});
+    callback({CommandStatus::kAcknowledged, std::nullopt});
     return;
   }
-  std::vector<SteeringCallback> callbacks;
+  std::vector<CommandCallback> callbacks;
   callbacks.push_back(std::move(callback));
   await_proposal(node_->propose(command, now), std::move(callbacks), command);
 }
 
 void ControlTask::await_proposal(const std::optional<Proposal>& proposal,
-                                 std::vector<SteeringCallback> callbacks,
+                                 std::vector<CommandCallback> callbacks,
                                  PendingProposals::Subject subject) {
   const Instant now = monotonic_now();
   if (!proposal) {
@@ -289,7 +289,7 @@
   proposals_.complete(*node_, now);
 }
 
-tl::expected<std::string, SteeringReply> ControlTask::read_steering() const {
+tl::expected<std::string, CommandReply> ControlTask::read_steering() const {
   if (stopping_ || !node_->replica().has_lease(monotonic_now())) {
     return tl::unexpected(not_leader());
   }
@@ -325,7 +325,7 @@
 void ControlTask::on_update_retransmitted(const UpdateRetransmission& retransmission) {
   ++updates_retransmitted_;
   log_event(LogEvent::kUpdateRepeated, {{"balancer", to_string(retransmission.balancer)},
-                                        {"confirmed", retransmission.confirmed},
+                                        {"confirmed", retransmission.acknowledged},
                                         {"sent", retransmission.sent},
                                         {"has_gap", retransmission.has_gap}});
 }
--- a/src/tasks/control_task.h
+++ b/src/tasks/control_task.h
@@ -62,17 +62,17 @@
   [[nodiscard]] SubmissionResult outcome(const SubmissionId& id) const;
 
   /// Submits a complete steering file; the highest version wins.
-  void submit_steering(const SteeringCommand& command, SteeringCallback callback);
+  void submit_steering(const SteeringCommand& command, CommandCallback callback);
   /// Evacuates or restores a zone. Acknowledged once the command is committed, or if the committed
   /// state already includes it.
-  void submit_evacuation(const EvacuationCommand& command, SteeringCallback callback);
+  void submit_evacuation(const EvacuationCommand& command, CommandCallback callback);
   /// Handles the announcement of a target.
-  void announce(RegisteredTarget announced, SteeringCallback callback);
+  void announce(RegisteredTarget announced, CommandCallback callback);
   /// Handles the end of a target. `started_at_ms` selects the incarnation that ended.
-  void end_target(TargetId id, std::optional<TargetStart> started_at_ms, SteeringCallback callback);
+  void end_target(TargetId id, std::optional<TargetStart> started_at_ms, CommandCallback callback);
   /// The committed steering file, if this replica holds the lease; otherwise a reply that names the
   /// leader.
-  [[nodiscard]] tl::expected<std::string, SteeringReply> read_steering() const;
+  [[nodiscard]] tl::expected<std::string, CommandReply> read_steering() const;
   /// Sets the replicas to ask for admission.
   void set_seeds(const std::vector<Endpoint>& seeds) { node_->set_seeds(seeds); }
   /// Transfers leadership before a graceful shutdown and rejects all further requests.
@@ -98,20 +98,20 @@
   void on_tick();
   void log_unhealthy_targets();
   void complete_submissions(Instant now);
-  [[nodiscard]] SteeringReply not_leader() const;
+  [[nodiscard]] CommandReply not_leader() const;
   void await_proposal(const std::optional<Proposal>& proposal,
-                      std::vector<SteeringCallback> callbacks, PendingProposals::Subject subject);
+                      std::vector<CommandCallback> callbacks, PendingProposals::Subject subject);
   /// Completes, proposes, forwards or buffers the request of a target, depending on `status`.
   /// `make_retry` creates a closure that handles the request again; it is called only when one is
   /// needed.
   template <typename Change, typename MakeRetry>
   void handle_target_request(AnnouncementStatus status, const Change& change,
-                             const SteeringCallback& callback, Instant now,
+                             const CommandCallback& callback, Instant now,
                              const MakeRetry& make_retry);
   void queue_registration(const ForwardedRequests::ForwardedChange& change,
-                          SteeringCallback callback);
+                          CommandCallback callback);
   /// Forwards a change to the leader; `retry` handles the request again.
-  void forward(ForwardedRequests::ForwardedChange change, SteeringCallback callback,
+  void forward(ForwardedRequests::ForwardedChange change, CommandCallback callback,
                std::function<void()> retry);
   void send_forwarded();
   void complete_forwarded(Instant now);
@@ -152,7 +152,7 @@
   PendingProposals proposals_;
   /// Registrations received in this iteration of the event loop; they form one log entry.
   RegistrationCommand registrations_;
-  std::vector<SteeringCallback> registration_callbacks_;
+  std::vector<CommandCallback> registration_callbacks_;
   /// Requests of targets that were forwarded to the leader.
   ForwardedRequests forwarded_requests_;
   bool forward_scheduled_ = false;
--- a/src/tasks/control_task_targets.cc
+++ b/src/tasks/control_task_targets.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void ControlTask::announce(RegisteredTarget announced, SteeringCallback callback) {
+void ControlTask::announce(RegisteredTarget announced, CommandCallback callback) {
   const Instant now = monotonic_now();
   const AnnouncementStatus status =
       stopping_ ? AnnouncementStatus::kNotLeader : node_->on_announcement(announced, now);
@@ -28,7 +28,7 @@
 }
 
 void ControlTask::end_target(TargetId id, std::optional<TargetStart> started_at_ms,
-                             SteeringCallback callback) {
+                             CommandCallback callback) {
   const Instant now = monotonic_now();
   const TargetIncarnation incarnation = node_->incarnation_to_end(id, started_at_ms, unix_now_ms());
   const AnnouncementStatus status =
@@ -40,10 +40,10 @@
 
 template <typename Change, typename MakeRetry>
 void ControlTask::handle_target_request(AnnouncementStatus status, const Change& change,
-                                        const SteeringCallback& callback, Instant now,
+                                        const CommandCallback& callback, Instant now,
                                         const MakeRetry& make_retry) {
   if (status == AnnouncementStatus::kCommitted) {
-    callback({SteeringStatus::kAcknowledged, std::nullopt});
+    callback({CommandStatus::kAcknowledged, std::nullopt});
   } else if (status == AnnouncementStatus::kPropose) {
     queue_registration(change, callback);
   } else if (status == AnnouncementStatus::kForward && !forwarded_requests_.is_full()) {
@@ -73,7 +73,7 @@
   }
 }
 
-void ControlTask::forward(ForwardedRequests::ForwardedChange change, SteeringCallback callback,
+void ControlTask::forward(ForwardedRequests::ForwardedChange change, CommandCallback callback,
                           std::function<void()> retry) {
   forwarded_requests_.add(std::move(change), std::move(callback), std::move(retry),
                           monotonic_now() + config_.steering_timeout);
@@ -97,7 +97,7 @@
 }
 
 void ControlTask::queue_registration(const ForwardedRequests::ForwardedChange& change,
-                                     SteeringCallback callback) {
+                                     CommandCallback callback) {
   if (const auto* announced = std::get_if<RegisteredTarget>(&change)) {
     registrations_.announced.push_back(*announced);
   } else {
--- a/src/tasks/forwarded_requests.cc
+++ b/src/tasks/forwarded_requests.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-void ForwardedRequests::add(ForwardedChange change, SteeringCallback callback,
+void ForwardedRequests::add(ForwardedChange change, CommandCallback callback,
                             std::function<void()> retry, Instant deadline) {
   if (const auto* announced = std::get_if<RegisteredTarget>(&change)) {
     unsent_.announced.push_back(*announced);
@@ -41,7 +41,7 @@
     const bool is_done = is_committed(node, request.change);
     if (is_done || now >= request.deadline) {
       timed_out += is_done ? 0 : 1;
-      request.callback({is_done ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
+      request.callback({is_done ? CommandStatus::kAcknowledged : CommandStatus::kUnknown, {}});
       continue;
     }
     next_deadline_ = std::min(next_deadline_, request.deadline);
--- a/src/tasks/forwarded_requests.h
+++ b/src/tasks/forwarded_requests.h
@@ -22,7 +22,7 @@
 
   [[nodiscard]] bool is_full() const { return pending_.size() >= kMaxPending; }
   /// Adds a request. `retry` handles it again if the leader changes.
-  void add(ForwardedChange change, SteeringCallback callback, std::function<void()> retry,
+  void add(ForwardedChange change, CommandCallback callback, std::function<void()> retry,
            Instant deadline);
   /// Changes added since the last call, to be sent to the leader.
   [[nodiscard]] ForwardedRegistrations take_unsent();
@@ -35,7 +35,7 @@
  private:
   struct PendingRequest {
     ForwardedChange change;
-    SteeringCallback callback;
+    CommandCallback callback;
     std::function<void()> retry;
     Instant deadline;
   };
--- a/src/tasks/pending_proposals.cc
+++ b/src/tasks/pending_proposals.cc
@@ -41,7 +41,7 @@
     const bool committed = status == ProposalStatus::kCommitted;
     log_decision(pending, node, committed, now);
     for (const auto& callback : pending.callbacks) {
-      callback({committed ? SteeringStatus::kAcknowledged : SteeringStatus::kUnknown, {}});
+      callback({committed ? CommandStatus::kAcknowledged : CommandStatus::kUnknown, {}});
     }
   }
   // Callbacks may have added proposals.
--- a/src/tasks/pending_proposals.h
+++ b/src/tasks/pending_proposals.h
@@ -13,7 +13,7 @@
 namespace gorsevalve {
 
 /// Outcome of a steering command, an evacuation command or a registration.
-enum class SteeringStatus : std::uint8_t {
+enum class CommandStatus : std::uint8_t {
   /// Committed, or already part of the committed state.
   kAcknowledged = 0,
   /// Not processed; `leader` names the leader, if known.
@@ -24,13 +24,13 @@
   kUnknownZone = 3,
 };
 
-struct SteeringReply {
-  SteeringStatus status = SteeringStatus::kNotLeader;
+struct CommandReply {
+  CommandStatus status = CommandStatus::kNotLeader;
   std::optional<Endpoint> leader;
   std::vector<std::string> known_zones{};
 };
 
-using SteeringCallback = std::function<void(const SteeringReply&)>;
+using CommandCallback = std::function<void(const CommandReply&)>;
 
 class PendingProposals {
  public:
@@ -39,7 +39,7 @@
 
   struct PendingProposal {
     Proposal proposal;
-    std::vector<SteeringCallback> callbacks;
+    std::vector<CommandCallback> callbacks;
     Subject subject;
     Instant proposed_at;
     Instant deadline;
--- a/src/tasks/steering_task.cc
+++ b/src/tasks/steering_task.cc
@@ -103,7 +103,7 @@
     return;
   }
   if (!decide(*packet, datagram, now)) {
-    buffered_.hold(*packet, datagram, now);
+    buffered_.add(*packet, datagram, now);
   }
   if (steering_.is_probing() && !probe_step_scheduled_) {
     check_reachability(now);
@@ -337,7 +337,7 @@
   network_.send(replica, envelope_.seal(message), true);
 }
 
-void SteeringTask::on_replica_silent(const Endpoint& replica) {
+void SteeringTask::on_replica_timed_out(const Endpoint& replica) {
   log_replica_silent(replica);
   network_.disconnect(replica);
 }
@@ -350,9 +350,9 @@
   log_replica_chosen(replica, replica_revision, control_.fleet().revision);
 }
 
-void SteeringTask::on_update_refused(const RefusedUpdate& refused) {
-  ++counters_.updates_refused;
-  log_update_refused(refused, control_.fleet().revision);
+void SteeringTask::on_update_rejected(const RejectedUpdate& refused) {
+  ++counters_.updates_rejected;
+  log_update_rejected(refused, control_.fleet().revision);
 }
 
 Duration SteeringTask::state_age(Instant now) const {
--- a/src/tasks/steering_task.h
+++ b/src/tasks/steering_task.h
@@ -59,7 +59,7 @@
   std::array<std::uint64_t, kSteeringReasons> packets{};
   std::uint64_t resets = 0;
   std::uint64_t messages_rejected = 0;
-  std::uint64_t updates_refused = 0;
+  std::uint64_t updates_rejected = 0;
 };
 
 class SteeringTask : private ControlClientOutput {
@@ -135,8 +135,8 @@
   /// Logs evacuations that became effective and those that ended.
   void log_evacuations(const FleetState& fleet);
   void on_confirmed(Instant now) override;
-  bool has_urgent_observations() override { return steering_.has_trouble(); }
-  std::vector<TargetObservation> take_observations() override {
+  bool has_urgent_observations() override { return steering_.has_failures(); }
+  std::vector<TargetStatistics> take_observations() override {
     return steering_.take_observations();
   }
   void on_target_health(const std::vector<TargetHealth>& health) override;
@@ -146,10 +146,10 @@
   }
   void on_lease(Instant /*until*/) override {}
   void on_removed(Instant /*now*/) override {}
-  void on_replica_silent(const Endpoint& replica) override;
+  void on_replica_timed_out(const Endpoint& replica) override;
   void on_updates_overdue(const Endpoint& replica, Revision revisions) override;
   void on_replica_chosen(const Endpoint& replica, Revision replica_revision) override;
-  void on_update_refused(const RefusedUpdate& refused) override;
+  void on_update_rejected(const RejectedUpdate& refused) override;
   /// Logs targets that started to warm up, and the flows placed at those that are warm now.
   void log_warm_up(Instant now);
   /// Logs when the applied state has been unconfirmed for long, and when it is confirmed again.
--- a/src/tasks/subscription_log.cc
+++ b/src/tasks/subscription_log.cc
@@ -18,7 +18,7 @@
             {{"replica", to_string(replica)}, {"revision", applied}, {"behind", behind}});
 }
 
-void log_update_refused(const RefusedUpdate& refused, Revision applied) {
+void log_update_rejected(const RejectedUpdate& refused, Revision applied) {
   log_event(LogEvent::kUpdateRefused, {{"revision", applied},
                                        {"base", refused.base},
                                        {"replica", to_string(refused.replica)},
--- a/src/tasks/subscription_log.h
+++ b/src/tasks/subscription_log.h
@@ -11,6 +11,6 @@
 void log_replica_chosen(const Endpoint& replica, Revision replica_revision, Revision applied);
 void log_replica_silent(const Endpoint& replica);
 void log_updates_overdue(const Endpoint& replica, Revision behind, Revision applied);
-void log_update_refused(const RefusedUpdate& refused, Revision applied);
+void log_update_rejected(const RejectedUpdate& refused, Revision applied);
 
 }  // namespace gorsevalve
--- a/tests/sim/test_following_workload.cc
+++ b/tests/sim/test_following_workload.cc
@@ -66,8 +66,8 @@
   void on_fleet(const FleetState& /*fleet*/, Instant /*now*/) override {}
   void on_lease(Instant /*until*/) override {}
   void on_removed(Instant /*now*/) override {}
-  void on_replica_silent(const Endpoint& replica) override { links[replica.address] = {}; }
-  std::vector<TargetObservation> take_observations() override;
+  void on_replica_timed_out(const Endpoint& replica) override { links[replica.address] = {}; }
+  std::vector<TargetStatistics> take_observations() override;
 
   [[nodiscard]] Revision revision() const { return client_.fleet().revision; }
 
@@ -278,7 +278,7 @@
   }
 }
 
-std::vector<TargetObservation> SimulatedBalancer::take_observations() {
+std::vector<TargetStatistics> SimulatedBalancer::take_observations() {
   const auto& targets = client_.fleet().steering.targets;
   if (targets.empty() || workload_.below(2) == 0) {
     return {};
--- a/tests/sim/test_link_workload.cc
+++ b/tests/sim/test_link_workload.cc
@@ -98,7 +98,7 @@
     std::shared_ptr<Upload> upload;
     Instant began;
     bool is_open = false;
-    bool is_refused = false;
+    bool is_rejected = false;
     std::uint32_t sent = 0;
     /// `received` holds all packets at the target, `acknowledged` the number of contiguous ones.
     std::uint32_t acknowledged = 0;
@@ -147,14 +147,14 @@
       schedule_after(milliseconds(after), [this, flow, after] { send_opening(flow, after); });
     }
     schedule_after(milliseconds(1400), [this, flow] {
-      if (!flow->is_open && !flow->is_refused) {
+      if (!flow->is_open && !flow->is_rejected) {
         start_attempt(flow->upload);
       }
     });
   }
 
   void send_opening(const FlowPointer& flow, int after) {
-    if (flow->is_open || flow->is_refused) {
+    if (flow->is_open || flow->is_rejected) {
       return;
     }
     ClientPacket packet = flow->packet_template;
@@ -169,7 +169,7 @@
       });
     });
     if (!is_accepted) {
-      flow->is_refused = true;
+      flow->is_rejected = true;
       schedule_after(kHopDelay, [this, flow] { start_attempt(flow->upload); });
     }
   }
--- a/tests/sim/test_reachability_workload.cc
+++ b/tests/sim/test_reachability_workload.cc
@@ -120,9 +120,9 @@
   }
 
   int flows_reset = 0;
-  int conclusions = 0;
+  int detections = 0;
   /// Sum of the times from suspicion to detection.
-  Duration took{0};
+  Duration total_detection_time{0};
 
  private:
   static FlowToken token(TargetId id) { return static_cast<FlowToken>(100 + id); }
@@ -331,8 +331,8 @@
   }
 
   void check_conclusion(std::size_t i, const UnreachableTarget& detected) {
-    ++conclusions;
-    took += detected.detection_time;
+    ++detections;
+    total_detection_time += detected.detection_time;
     const SimTarget& target = targets_[detected.target];
     const bool is_settled = now_ - target.changed_at > kSettled;
     if (is_settled && lives(target) && !target.cut_from.contains(i) && is_isolated(i)) {
@@ -387,8 +387,8 @@
       const std::string violation = workload.run();
       CHECK_MESSAGE(violation.empty(), "seed " << seed << ": " << violation);
       resets += workload.flows_reset;
-      conclusions += workload.conclusions;
-      took += workload.took;
+      conclusions += workload.detections;
+      took += workload.total_detection_time;
     }
     CHECK(resets > 1000);
     REQUIRE(conclusions > 0);
--- a/tests/sim/test_refusal_workload.cc
+++ b/tests/sim/test_refusal_workload.cc
@@ -148,7 +148,7 @@
     return outcome_;
   }
 
-  void forget_placed() { placed_.clear(); }
+  void clear_placed() { placed_.clear(); }
   /// Number of flows that the balancers of one zone placed at targets of another since the last
   /// call.
   int take_placed(std::size_t from, std::size_t to) {
@@ -291,7 +291,7 @@
     if (steps) {
       probe(i);
     }
-    if (balancer.has_trouble()) {
+    if (balancer.has_failures()) {
       report(i);
     }
   }
@@ -314,11 +314,11 @@
 
   void report(std::size_t i) {
     const std::size_t zone = zone_of_balancer(i);
-    const std::vector<TargetObservation> seen = balancers_[i].take_observations();
+    const std::vector<TargetStatistics> seen = balancers_[i].take_observations();
     later(one_way(zone, zone), [this, i, zone, seen] {
       relays_[zone].on_observations({static_cast<std::uint32_t>(i), 6000}, zone_name(zone), seen,
                                     now_);
-      later(one_way(zone, 0), [this, seen] { board_.add(seen, now_); });
+      later(one_way(zone, 0), [this, seen] { aggregator_.add(seen, now_); });
     });
   }
 
@@ -351,9 +351,9 @@
         }
       }
     }
-    if (board_.has_failures() && now_ - health_sent_at_ >= kHealthInterval) {
+    if (aggregator_.has_failures() && now_ - health_sent_at_ >= kHealthInterval) {
       health_sent_at_ = now_;
-      send_target_health(board_.evaluate(state_, now_));
+      send_target_health(aggregator_.evaluate(state_, now_));
     }
   }
 
@@ -369,7 +369,7 @@
   SteeringState state_;
   std::vector<FlowSteering> balancers_;
   std::array<RefusalRelay, kZones> relays_;
-  TargetHealthAggregator board_;
+  TargetHealthAggregator aggregator_;
   Instant health_sent_at_ = kStart;
   std::vector<Event> events_;
   std::vector<Client> clients_;
@@ -447,7 +447,7 @@
     for (Workload* workload : {&without_probes, &with_probes}) {
       workload->cut_with_refusals(0, 1);
       workload->run(seconds(4));
-      workload->forget_placed();
+      workload->clear_placed();
       workload->run(seconds(6));
     }
     // Target health from unanswered opening packets (SYN) reaches all zones in both cases.
@@ -464,7 +464,7 @@
     for (Workload* workload : {&faulty, &fault_free}) {
       workload->cut_with_refusals(0, 1);
       workload->run(seconds(4));
-      workload->forget_placed();
+      workload->clear_placed();
       workload->run(seconds(6));
     }
     CHECK(faulty.take_placed(2, 1) * 20 < fault_free.take_placed(2, 1) * 19);
--- a/tests/unit/control_cluster.h
+++ b/tests/unit/control_cluster.h
@@ -161,9 +161,9 @@
   void on_lease(Instant /*until*/) override {}
   void on_removed(Instant /*now*/) override {}
   void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) override {
-    ++behind_events;
+    ++overdue_events;
   }
-  void on_update_refused(const RefusedUpdate& /*update*/) override { ++refused_updates; }
+  void on_update_rejected(const RejectedUpdate& /*update*/) override { ++rejected_updates; }
 
   /// Advances time in steps of 20 ms and delivers messages after each step.
   void run(Duration time) {
@@ -204,8 +204,8 @@
   bool drops_updates = false;
   /// Messages from the balancer to this replica are dropped.
   std::optional<Endpoint> drops_heartbeats_to;
-  int behind_events = 0;
-  int refused_updates = 0;
+  int overdue_events = 0;
+  int rejected_updates = 0;
 
  private:
   static constexpr Endpoint kAddress{99, 6000};
--- a/tests/unit/test_control_client.cc
+++ b/tests/unit/test_control_client.cc
@@ -29,29 +29,29 @@
   }
   void on_confirmed(Instant /*now*/) override { ++confirmed; }
   bool has_urgent_observations() override { return urgent; }
-  std::vector<TargetObservation> take_observations() override { return seen; }
+  std::vector<TargetStatistics> take_observations() override { return observations; }
   void on_target_health(const std::vector<TargetHealth>& target_health) override {
-    figures = target_health;
+    reported_health = target_health;
   }
   void on_lease(Instant until) override { lease = until; }
   void on_removed(Instant /*now*/) override { ++removed; }
-  void on_replica_silent(const Endpoint& /*replica*/) override { ++silent; }
+  void on_replica_timed_out(const Endpoint& /*replica*/) override { ++silent; }
   void on_updates_overdue(const Endpoint& /*replica*/, Revision /*revisions*/) override {
-    ++lagging;
+    ++overdue_updates;
   }
 
   std::vector<NodeHeartbeat> heartbeats;
   /// Destination of each heartbeat.
   std::vector<Endpoint> recipients;
   std::vector<Revision> revisions;
-  std::vector<TargetObservation> seen;
-  std::vector<TargetHealth> figures;
+  std::vector<TargetStatistics> observations;
+  std::vector<TargetHealth> reported_health;
   bool urgent = false;
   Instant lease;
   int confirmed = 0;
   int removed = 0;
   int silent = 0;
-  int lagging = 0;
+  int overdue_updates = 0;
 };
 
 Member make_self() { return {"b", "z", {0x0A00C901, 6000}, 42, MemberState::kActive}; }
@@ -114,7 +114,7 @@
 
 /// Runs an observer for about three seconds among replicas that are all current and report their
 /// zones; the first one replies first. Returns the replica of its last heartbeat.
-Endpoint run_until_settled(Observer& test, const std::map<Endpoint, std::string>& zones) {
+Endpoint run_until_replica_chosen(Observer& test, const std::map<Endpoint, std::string>& zones) {
   std::size_t replied = 0;
   Instant now = kStart;
   for (int step = 0; step < 6; ++step) {
@@ -372,7 +372,7 @@
     constexpr Duration kQueue = std::chrono::seconds(2);
     std::size_t replied = test.output.heartbeats.size();
     std::vector<Instant> sent_at(replied, kStart);
-    for (int step = 1; step <= 100 && test.output.lagging == 0; ++step) {
+    for (int step = 1; step <= 100 && test.output.overdue_updates == 0; ++step) {
       const Instant now = kStart + milliseconds(20) * step;
       for (; replied < sent_at.size() && sent_at[replied] + kQueue <= now; ++replied) {
         test.client.on_message(kReplica, current_reply(test.output.heartbeats[replied], 0), now);
@@ -382,7 +382,7 @@
       test.client.on_tick(0, now);
       sent_at.resize(test.output.heartbeats.size(), now);
     }
-    CHECK(test.output.lagging == 1);
+    CHECK(test.output.overdue_updates == 1);
     CHECK(test.output.silent == 0);
     CHECK_FALSE(test.client.replica());
   }
@@ -420,7 +420,7 @@
     std::map<Endpoint, int> chosen;
     for (std::uint16_t port = 1; port <= 90; ++port) {
       Observer test{{kReplica, kOther, kThird}, port};
-      ++chosen[run_until_settled(test, {{kReplica, ""}, {kOther, ""}, {kThird, ""}})];
+      ++chosen[run_until_replica_chosen(test, {{kReplica, ""}, {kOther, ""}, {kThird, ""}})];
     }
     for (const Endpoint& replica : {kReplica, kOther, kThird}) {
       CHECK(chosen[replica] >= 20);
@@ -431,7 +431,7 @@
     std::map<Endpoint, int> chosen;
     for (std::uint16_t port = 1; port <= 90; ++port) {
       Observer test{{kReplica, kOther, kThird}, port};
-      ++chosen[run_until_settled(test, {{kReplica, "y"}, {kOther, "z"}, {kThird, "z"}})];
+      ++chosen[run_until_replica_chosen(test, {{kReplica, "y"}, {kOther, "z"}, {kThird, "z"}})];
     }
     CHECK(chosen[kReplica] == 0);
     CHECK(chosen[kOther] >= 30);
@@ -442,12 +442,12 @@
       "heartbeats report target observations, urgent ones at once; replies carry target health") {
     Observer test{{kReplica}};
     test.client.on_tick(0, kStart);
-    test.output.seen = {{7, 3}};
+    test.output.observations = {{7, 3}};
     test.client.on_message(kReplica, current_reply(test.output.heartbeats[0], 0), kStart);
     // Nothing is reported during a search.
     CHECK(test.output.heartbeats[0].observations.empty());
     REQUIRE(test.output.heartbeats.size() == 2);
-    CHECK(test.output.heartbeats[1].observations == test.output.seen);
+    CHECK(test.output.heartbeats[1].observations == test.output.observations);
     test.client.on_tick(0, kStart + milliseconds(510));
     const std::size_t before = test.output.heartbeats.size();
     test.client.on_tick(0, kStart + milliseconds(600));
@@ -458,17 +458,17 @@
     HeartbeatReply reply = current_reply(test.output.heartbeats.back(), 0);
     reply.health = TargetHealthUpdate{9, {{7, 130, true}}};
     test.client.on_message(kReplica, reply, kStart + milliseconds(705));
-    CHECK(test.output.figures == reply.health->targets);
+    CHECK(test.output.reported_health == reply.health->targets);
     // Pushed updates count too, and heartbeats carry the version of the last one.
     test.client.on_message(kReplica, TargetHealthUpdate{10, {}}, kStart + milliseconds(710));
-    CHECK(test.output.figures.empty());
+    CHECK(test.output.reported_health.empty());
     test.client.on_tick(0, kStart + milliseconds(1300));
     CHECK(test.output.heartbeats.back().health_version == 10);
   }
 
   TEST_CASE("a replica that does not reply does not keep an observer from its preferred one") {
     Observer test{{kReplica, kOther, kThird}};
-    CHECK(run_until_settled(test, {{kReplica, "y"}, {kOther, "z"}}) == kOther);
+    CHECK(run_until_replica_chosen(test, {{kReplica, "y"}, {kOther, "z"}}) == kOther);
   }
 
   TEST_CASE("an observer uses the replicas that a current replica names, and new seeds") {
--- a/tests/unit/test_control_node.cc
+++ b/tests/unit/test_control_node.cc
@@ -38,7 +38,7 @@
       longest_behind = step < 100 ? Duration{0} : std::max(longest_behind, behind);
     }
     CHECK(longest_behind <= milliseconds(1000));
-    CHECK(balancer.refused_updates > 0);
+    CHECK(balancer.rejected_updates > 0);
   }
 
   TEST_CASE("a balancer that loses all updates reports the gap and retries at a bounded rate") {
@@ -58,8 +58,8 @@
       balancer.exchange();
     }
     // At most about one report per 1.5 s, over 10 s.
-    CHECK(balancer.behind_events >= 3);
-    CHECK(balancer.behind_events <= 7);
+    CHECK(balancer.overdue_events >= 3);
+    CHECK(balancer.overdue_events <= 7);
     balancer.drops_updates = false;
     for (int step = 0; step < 60; ++step) {
       cluster.run(milliseconds(20));
@@ -254,7 +254,7 @@
     heartbeat.member.address = {102, 6000};
     heartbeat.member.zone = "zone-b";
     heartbeat.member.state = MemberState::kObserver;
-    TargetObservation observation;
+    TargetStatistics observation;
     observation.token = 7;
     observation.refused_probes = 1;
     heartbeat.observations.push_back(observation);
--- a/tests/unit/test_flow_steering.cc
+++ b/tests/unit/test_flow_steering.cc
@@ -166,7 +166,7 @@
     const TargetScore* score = test.steering().scores().find(test.failing);
     REQUIRE(score != nullptr);
     CHECK(score->open_flows == 0);
-    CHECK(score->answer_us == 0);
+    CHECK(score->response_us == 0);
     CHECK_FALSE(test.steering().scores().is_suspected(test.failing, test.now));
     // The target itself rejects packets of its previous incarnation's flows.
     const SteeringDecision decision = test.send_request(1, test.failing);
@@ -332,16 +332,16 @@
     test.steering.on_packet(opening(2, 1), now + milliseconds(200));
     now += milliseconds(310);
     test.steering.on_tick(now);
-    CHECK(test.steering.has_trouble());
+    CHECK(test.steering.has_failures());
     for (std::uint16_t port = 10; port < 30; ++port) {
       CHECK(test.steering.on_packet(opening(port), now).target->id != down);
     }
     for (const auto& observation : test.steering.take_observations()) {
       const bool is_down = observation.token == 100 + down;
       CHECK(observation.refused_flows == (is_down ? 1 : 0));
-      CHECK(observation.unanswered_flows == (is_down ? 0 : 1));
+      CHECK(observation.retransmitted_flows == (is_down ? 0 : 1));
     }
-    CHECK_FALSE(test.steering.has_trouble());
+    CHECK_FALSE(test.steering.has_failures());
   }
 
   TEST_CASE(
@@ -358,7 +358,7 @@
     REQUIRE(probes.size() == 1);
     CHECK(probes[0].address == target(down, "alpha").address);
     test.steering.on_probe_answer(probes[0].number, ProbeAnswer::kRefused, now + milliseconds(2));
-    CHECK(test.steering.has_trouble());
+    CHECK(test.steering.has_failures());
     for (std::uint16_t port = 10; port < 30; ++port) {
       CHECK(test.steering.on_packet(opening(port), now + milliseconds(3)).target->id != down);
     }
@@ -609,8 +609,8 @@
       return false;
     };
     // Clients of the frontend time out after one second.
-    buffer.hold(opening(1), bytes, kStart);
-    buffer.hold(opening(2), bytes, kStart + milliseconds(900));
+    buffer.add(opening(1), bytes, kStart);
+    buffer.add(opening(2), bytes, kStart + milliseconds(900));
     buffer.release(test.steering, kStart + milliseconds(1100), take);
     CHECK(taken == std::vector<std::uint16_t>{2});
     // A packet that is not taken stays buffered and keeps its age.
@@ -620,10 +620,10 @@
     // A retransmission carries the age of its flow; an unknown frontend gets the policy's limit.
     ClientPacket retransmission = opening(3, 2);
     retransmission.age = milliseconds(600);
-    buffer.hold(retransmission, bytes, kStart);
+    buffer.add(retransmission, bytes, kStart);
     ClientPacket unknown = opening(4);
     unknown.flow.frontend = {5, 5};
-    buffer.hold(unknown, bytes, kStart);
+    buffer.add(unknown, bytes, kStart);
     buffer.release(test.steering, kStart + milliseconds(500), take);
     CHECK(buffer.size() == 1);
     buffer.release(test.steering, kStart + milliseconds(1199), take);
@@ -631,12 +631,12 @@
     buffer.release(test.steering, kStart + milliseconds(1201), take);
     CHECK(buffer.size() == 0);
     for (std::size_t i = 0; i < BufferedPackets::kMaxPackets + 5; ++i) {
-      buffer.hold(opening(static_cast<std::uint16_t>(i)), bytes, kStart);
+      buffer.add(opening(static_cast<std::uint16_t>(i)), bytes, kStart);
     }
     CHECK(buffer.size() == BufferedPackets::kMaxPackets);
     policy.hold_ms = 0;
     BufferedPackets none(policy);
-    none.hold(opening(1), bytes, kStart);
+    none.add(opening(1), bytes, kStart);
     CHECK(none.size() == 0);
   }
 
@@ -644,7 +644,7 @@
     SteeringBalancer test(make_state({{"alpha", 1}}, {target(1, "alpha")}));
     BufferedPackets buffer(SteeringPolicy{});
     for (const std::uint16_t port : {3, 1, 2}) {
-      buffer.hold(opening(port), {}, kStart + milliseconds(port));
+      buffer.add(opening(port), {}, kStart + milliseconds(port));
     }
     std::vector<std::uint16_t> order;
     buffer.release(test.steering, kStart + milliseconds(10), [&](const BufferedPacket& packet) {
@@ -661,8 +661,8 @@
     BufferedPackets buffer(SteeringPolicy{});
     const Bytes first = {1};
     const Bytes retransmission = {2};
-    buffer.hold(opening(1), first, kStart);
-    buffer.hold(opening(1, 1), retransmission, kStart + milliseconds(200));
+    buffer.add(opening(1), first, kStart);
+    buffer.add(opening(1, 1), retransmission, kStart + milliseconds(200));
     CHECK(buffer.size() == 1);
     buffer.release(test.steering, kStart + milliseconds(210), [&](const BufferedPacket& packet) {
       CHECK(packet.bytes == retransmission);
@@ -704,7 +704,7 @@
     }
     // The failure is reported to all balancers.
     const auto observation = test.steering().take_observations();
-    CHECK(std::any_of(observation.begin(), observation.end(), [&](const TargetObservation& one) {
+    CHECK(std::any_of(observation.begin(), observation.end(), [&](const TargetStatistics& one) {
       return one.token == test.token(test.failing) && one.unreachable == 1;
     }));
   }
@@ -767,7 +767,7 @@
     steering.adopt(test.state, kStart);
     REQUIRE(steering.on_packet(opening(1), kStart).reason == SteeringReason::kNoState);
     const Bytes bytes(32);
-    buffer.hold(opening(1), bytes, kStart);
+    buffer.add(opening(1), bytes, kStart);
     steering.apply(test.change({{"zone-a", 2}}), kStart);
     steering.confirm(kStart);
     std::vector<std::string> zones;
@@ -937,8 +937,8 @@
       test.steering.check_reply_timeouts(now + milliseconds(500));
       std::uint32_t failures = 0;
       for (const auto& observation : test.steering.take_observations()) {
-        failures +=
-            observation.unanswered_flows + observation.refused_flows + observation.stalled_requests;
+        failures += observation.retransmitted_flows + observation.refused_flows +
+                    observation.stalled_requests;
       }
       CHECK(failures == (is_congested ? 0 : 3));
     }
--- a/tests/unit/test_fuzz.cc
+++ b/tests/unit/test_fuzz.cc
@@ -57,7 +57,7 @@
   }
 }
 
-CoapMessage rich_request() {
+CoapMessage request_with_options() {
   CoapMessage message = make_request(coap_code::kGet, 77, 3);
   message.observe = 0;
   message.queries = {"id=abc"};
@@ -73,7 +73,7 @@
     BalancerFixture test;
     ProxyHeader header;
     header.flow = {kClient, kFirstService};
-    const Bytes valid = encode_proxy_datagram(header, encode_coap(rich_request()));
+    const Bytes valid = encode_proxy_datagram(header, encode_coap(request_with_options()));
     fuzz(valid, [&](const Bytes& datagram) {
       test.balancer.on_datagram(datagram, test.now);
       for (const auto& sent : test.output.to_target) {
@@ -87,7 +87,7 @@
 
   TEST_CASE("mutated datagrams from targets are processed without failure") {
     BalancerFixture test;
-    const CoapMessage request = rich_request();
+    const CoapMessage request = request_with_options();
     test.request(kFirstService, request);
     const SentToTarget sent = test.output.to_target.front();
     ProxyHeader header = sent.header;
--- a/tests/unit/test_refusal_relay.cc
+++ b/tests/unit/test_refusal_relay.cc
@@ -14,10 +14,10 @@
 constexpr Endpoint kBalancer{0x0A010001, 6000};
 const std::string kZone = "zone-a";
 
-std::vector<TargetObservation> refused_probes(FlowToken first, FlowToken last) {
-  std::vector<TargetObservation> observed;
+std::vector<TargetStatistics> refused_probes(FlowToken first, FlowToken last) {
+  std::vector<TargetStatistics> observed;
   for (FlowToken token = first; token <= last; ++token) {
-    TargetObservation observation;
+    TargetStatistics observation;
     observation.token = token;
     observation.refused_probes = 1;
     observed.push_back(observation);
@@ -63,7 +63,7 @@
 
   TEST_CASE("observations without a refused probe are not relayed") {
     RefusalRelay relay;
-    TargetObservation observed;
+    TargetStatistics observed;
     observed.token = 1;
     observed.refused_flows = 4;
     observed.unreachable = 1;
--- a/tests/unit/test_steering_random.cc
+++ b/tests/unit/test_steering_random.cc
@@ -36,7 +36,7 @@
       } else if (choice < 15) {
         steering_.confirm(now_);
       } else if (choice < 20) {
-        send_figures();
+        send_target_health();
       } else if (choice < 35) {
         step_probes();
       } else if (choice < 38) {
@@ -115,7 +115,7 @@
     return delta;
   }
 
-  void send_figures() {
+  void send_target_health() {
     std::vector<TargetHealth> health;
     for (std::uint64_t count = random_below(6); count > 0; --count) {
       const auto token = static_cast<FlowToken>(100 + random_below(kTargets + 2));
@@ -158,12 +158,12 @@
     const SteeringDecision decision = steering_.on_packet(packet, now_);
     check(decision);
     if (decision.reason == SteeringReason::kNoState) {
-      held_.hold(packet, Bytes{1, 2, 3}, now_);
+      buffered_.add(packet, Bytes{1, 2, 3}, now_);
     }
   }
 
   void release() {
-    held_.release(steering_, now_, [&](const BufferedPacket& buffered) {
+    buffered_.release(steering_, now_, [&](const BufferedPacket& buffered) {
       const SteeringDecision decision = steering_.on_packet(buffered.packet, now_);
       check(decision);
       return decision.reason != SteeringReason::kNoState;
@@ -177,7 +177,7 @@
 
   std::mt19937_64 random_;
   FlowSteering steering_;
-  BufferedPackets held_{SteeringPolicy{}};
+  BufferedPackets buffered_{SteeringPolicy{}};
   Instant now_{seconds(1000)};
   OperatorVersion version_ = 0;
   std::uint64_t sequence_ = 0;
--- a/tests/unit/test_target_health_aggregator.cc
+++ b/tests/unit/test_target_health_aggregator.cc
@@ -23,14 +23,14 @@
   return state;
 }
 
-TargetObservation requests(FlowToken token, std::uint32_t count) { return {token, count}; }
+TargetStatistics requests(FlowToken token, std::uint32_t count) { return {token, count}; }
 
-TargetObservation stalled_requests(FlowToken token, std::uint32_t count) {
+TargetStatistics stalled_requests(FlowToken token, std::uint32_t count) {
   return {token, count, count};
 }
 
-TargetObservation new_flows(FlowToken token, std::uint32_t count, std::uint32_t refused,
-                            std::uint32_t unanswered) {
+TargetStatistics new_flows(FlowToken token, std::uint32_t count, std::uint32_t refused,
+                           std::uint32_t unanswered) {
   return {token, 0, 0, count, refused, unanswered};
 }
 
@@ -64,7 +64,7 @@
     const auto unhealthy_after = [&](const std::vector<int>& refused_at_ms) {
       TargetHealthAggregator aggregator;
       for (const int at : refused_at_ms) {
-        TargetObservation observed;
+        TargetStatistics observed;
         observed.token = 2;
         observed.refused_probes = 1;
         aggregator.add({observed}, kStart + milliseconds(at));
@@ -81,11 +81,11 @@
   TEST_CASE("a target that one balancer cannot reach is reported first") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(400);
-    std::vector<TargetObservation> observed;
+    std::vector<TargetStatistics> observed;
     for (FlowToken token = 1; token <= 300; ++token) {
       observed.push_back(new_flows(token, 1, 1, 0));
     }
-    TargetObservation unreachable;
+    TargetStatistics unreachable;
     unreachable.token = 350;
     unreachable.unreachable = 1;
     observed.push_back(unreachable);
@@ -154,7 +154,7 @@
   TEST_CASE("unhealthy targets and the largest load deviations take precedence at the size limit") {
     TargetHealthAggregator aggregator;
     const SteeringState state = pool_of(300);
-    std::vector<TargetObservation> observed;
+    std::vector<TargetStatistics> observed;
     for (FlowToken token = 1; token <= 300; ++token) {
       observed.push_back(requests(token, token % 2 == 0 ? 20 : 40));
     }
--- a/tests/unit/test_warm_up_budget.cc
+++ b/tests/unit/test_warm_up_budget.cc
@@ -201,8 +201,8 @@
     CHECK(flows[3] >= 6);
     CHECK(flows[3] <= 8);
     CHECK(test.steering.warm_up().counters().placed == static_cast<std::uint64_t>(flows[3]));
-    CHECK(test.steering.warm_up().counters().passed_over > 300);
-    CHECK(test.steering.warm_up().counters().refused == 0);
+    CHECK(test.steering.warm_up().counters().skipped > 300);
+    CHECK(test.steering.warm_up().counters().rejected == 0);
     test.steering.on_tick(test.now);
     REQUIRE(test.steering.take_warmed(test.now).size() == 1);
     flows = test.open_for(seconds(4));
@@ -223,7 +223,7 @@
     auto flows = test.open_for(seconds(2));
     CHECK(flows[1] >= 15);
     CHECK(flows[1] <= 16);
-    CHECK(test.steering.warm_up().counters().refused == static_cast<std::uint64_t>(flows[0]));
+    CHECK(test.steering.warm_up().counters().rejected == static_cast<std::uint64_t>(flows[0]));
     CHECK(test.open().action == SteeringAction::kReset);
     // After the warm-up no flow is rejected.
     test.now += seconds(3);
@@ -245,7 +245,7 @@
     auto flows = test.open_for(seconds(2));
     CHECK(flows[0] == 0);
     CHECK(flows[1] >= 197);
-    CHECK(test.steering.warm_up().counters().refused == 0);
+    CHECK(test.steering.warm_up().counters().rejected == 0);
   }
 
   TEST_CASE("a starting balancer prefers warm targets to targets of unknown age") {
