--- a/src/core/steering/steering_policy.h
+++ b/src/core/steering/steering_policy.h
@@ -60,7 +60,7 @@
   std::string_view description;
 };
 
-/// All fields, in the order of docs/POLICY.md.
+/// All fields, in the order of their declaration in SteeringPolicy.
 std::span<const PolicyField> policy_fields();
 
 /// Parses "name=value,name=value" over the defaults; an error names the field.
