--- a/scripts/ablation.py
+++ b/scripts/ablation.py
@@ -1,10 +1,12 @@
 #!/usr/bin/env python3
-"""Switches off each mechanism of the steering policy alone, plays days in pairs, and writes a table.
+"""Ablation study: disables one mechanism of the steering policy at a time, runs the same days with and without
+it, and prints a table of the differences.
 
-Usage: scripts/ablation.py --bench PATH --work FOLDER [--days NAME,...] [--seeds N] [--jobs N] [--only NAME,...] SITE...
+Usage: scripts/ablation.py --bench PATH --work FOLDER [--days NAME,...] [--seeds N] [--jobs N]
+                           [--only NAME,...] SITE...
 
-The tree is copied to FOLDER, where deploy/system.toml gets --steering_policy; the journal entries of all plays stay in
-FOLDER/journal. Days are played without a charge for processor time, so that pairs differ by the policy only.
+Copies the tree to FOLDER and sets --steering_policy in its deploy/system.toml; the journal entries of all runs
+stay in FOLDER/journal. CPU time is not charged, so the runs of a pair differ only in the policy.
 """
 import argparse
 import concurrent.futures
@@ -18,7 +20,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 
-# What each row switches off, as fields of the policy.
+# Rows of the table: the name for --only, and the policy fields that disable the mechanism.
 MECHANISMS = {
     "all on": "",
     "holding packets": "hold_ms=0",
@@ -39,7 +41,7 @@
 
 
 def set_policy(tree: pathlib.Path, policy: str) -> None:
-    """Writes the policy into the command of the balancer's role."""
+    """Sets the policy in the command line of the balancer role."""
     path = tree / "deploy/system.toml"
     command = "target/gorsevalve-platform-balancer" + (f" --steering_policy={policy}" if policy else "")
     text = re.sub(r'^run = "target/gorsevalve-platform-balancer.*$', f'run = "{command}"',
@@ -48,7 +50,7 @@
 
 
 def run_day(bench: str, tree: pathlib.Path, site: str, day: str, seed: int, name: str):
-    """Worth and share served of one day; nothing when it could not be played."""
+    """Runs one day. Returns its worth, the share served, and whether a rule was violated; None without a result."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         subprocess.run([bench, "run", site, day, "--seed", str(seed), "--no-cpu", "--report", report.name, "--why",
                         f"ablation: without {name}" if name != "all on" else "ablation: all on"],
@@ -75,7 +77,7 @@
         (arguments.work / "journal").mkdir()
     names = [name for name in MECHANISMS if not arguments.only or name in arguments.only.split(",")]
     pairs = [(day, seed) for day in arguments.days.split(",") for seed in range(1, arguments.seeds + 1)]
-    print("| Site | Without | Change of worth: mean, least, greatest | Change of share served | Broken |")
+    print("| Site | Without | Change of worth: mean, min, max | Change of share served | Runs with violations |")
     print("|---|---|---|---|---|")
     for site in arguments.sites:
         baseline = {}
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
 """Runs each example deployment as real processes under a mixed load, drains a target and restarts a
-balancer meanwhile, and prints what callers saw. Exits non-zero when anything that must be zero is not.
+balancer, and prints the results of the clients. Exits non-zero when a value that must be 0 is not.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 def run_load(fleet, first, second, drained, seconds):
-    """Gives the callers' results, the targets' records and the time to drain."""
+    """Returns the client results, the target records, and how long the drained target received new work."""
     load = {"seconds": seconds, "pause_ms": 100}
     mixed = fleet.start_clients("mixed", first, 21000, feeds=60, updates=40, lookups=40, **load)
     bulk = fleet.start_clients("bulk", second, 22000, downloads=20, **load)
@@ -57,18 +57,18 @@
     services = {s["name"]: s for s in fleet.settings["service"]}
     rows = [
         ("requests", total["requests"], False),
-        ("answers", total["answers"], False),
+        ("responses", total["answers"], False),
         ("feed notifications", total["notifications"], False),
-        ("wrong answers", total["wrong_answers"], True),
+        ("wrong responses", total["wrong_answers"], True),
         ("broken flows", total["broken_flows"], True),
-        ("feeds that changed their target", total["feed_moves"], True),
-        ("doubled or misreported updates", len(violations), True),
+        ("feeds that moved to another target", total["feed_moves"], True),
+        ("duplicate or misreported updates", len(violations), True),
         ("datagrams at another service's targets", sum(r["foreign"] for r in records.values()),
          True),
         ("verdicts: not run", total["verdicts_not_run"], False),
         ("verdicts: may have run", total["verdicts_may_have_run"], False),
-        ("verdicts without a time to come back", total["verdicts_without_time"], True),
-        ("requests without any answer", total["timeouts"], True),
+        ("verdicts without a retry time", total["verdicts_without_time"], True),
+        ("requests without a response", total["timeouts"], True),
         ("new work at the drained target after 3 s", int(drain_delay > 3), True),
         (f"imbalance of requests, {first}",
          f"{fleets.imbalance(services[first], records, {drained}, 'requests'):.2f}", False),
@@ -90,7 +90,7 @@
     arguments = parser.parse_args()
     passed = [demo(name, arguments.build, pathlib.Path(arguments.folder) / name, arguments.seconds)
             for name in arguments.deployments]
-    print("\nall zeros hold" if all(passed) else "\nNOT ALL ZEROS HOLD")
+    print("\nall checks passed" if all(passed) else "\nCHECKS FAILED: a value that must be 0 is not")
     return 0 if all(passed) else 1
 
 
--- a/scripts/endurance.py
+++ b/scripts/endurance.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Runs an example deployment as real processes for minutes under changes and failures, and writes a report
-with plots. The same promises must hold as in simulation; flows may break only when something failed.
+"""Runs an example deployment as real processes for some minutes under changes and failures, and writes a report
+with plots. The invariants of the simulation must hold; flows may break only after a failure.
 
     scripts/endurance.py --seconds=180 --seed=1 [--planned] mu-north
 """
@@ -23,7 +23,7 @@
 
 
 class EnduranceRun:
-    """Drives one fleet and notes what was done and seen."""
+    """Runs random actions on one fleet and records events and samples."""
 
     def __init__(self, fleet, proxy, seed):
         self.fleet = fleet
@@ -93,7 +93,7 @@
 
     def cut_zone(self):
         zone = self.random.choice(self.fleet.zones)
-        self.log_event(f"zone {zone} cut off for 5 s")
+        self.log_event(f"zone {zone} isolated for 5 s")
         inside, outside = [], []
         for i in self.fleet.control_numbers:
             side = inside if self.fleet.zones[i - 1] == zone else outside
@@ -122,7 +122,7 @@
 
 
 def imbalance_over_time(samples, service):
-    """Maximum over mean of the requests that each target ran between two samples."""
+    """Ratio of maximum to mean of the requests per target, for each interval between two samples."""
     names = [t["name"] for t in service["target"]]
     rows = []
     for (_, before), (at, after) in zip(samples, samples[1:]):
@@ -133,7 +133,7 @@
 
 
 def plot(directory, name, title, label, rows):
-    """Writes name.svg through gnuplot."""
+    """Plots rows into name.svg with gnuplot."""
     data = directory / f"{name}.dat"
     data.write_text("".join(f"{x:.2f} {y:.4f}\n" for x, y in rows))
     script = (f'set terminal svg size 800,300; set output "{directory}/{name}.svg"; set title "{title}"; '
@@ -144,8 +144,9 @@
 
 def report(directory, name, rows, run):
     lines = [f"# Endurance run of {name}", "", "| Measure | Value |", "|---|---|"]
-    lines += [f"| {label} | {value}{' (must be 0)' if must_be_zero else ''} |" for label, value, must_be_zero in rows]
-    lines += ["", "![imbalance](imbalance.svg)", "", "![time to force](force.svg)", "", "## Events", ""]
+    lines += [f"| {label} | {value}{' (must be 0)' if must_be_zero else ''} |"
+              for label, value, must_be_zero in rows]
+    lines += ["", "![imbalance](imbalance.svg)", "", "![apply time](force.svg)", "", "## Events", ""]
     lines += [f"- {at:.1f} s: {text}" for at, text in run.events]
     (directory / "report.md").write_text("\n".join(lines) + "\n")
 
@@ -183,15 +184,15 @@
     violations = fleets.check_updates(results, records)
     planned = arguments.planned
     max_apply_time = max((t for _, t in run.apply_times), default=0)
-    rows = [("requests", total["requests"], False), ("answers", total["answers"], False),
+    rows = [("requests", total["requests"], False), ("responses", total["answers"], False),
             ("feed notifications", total["notifications"], False),
-            ("wrong answers", total["wrong_answers"], True),
-            ("doubled or misreported updates", len(violations), True),
+            ("wrong responses", total["wrong_answers"], True),
+            ("duplicate or misreported updates", len(violations), True),
             ("datagrams at another service's targets", sum(r["foreign"] for r in records.values()), True),
-            ("verdicts without a time to come back", total["verdicts_without_time"], True),
+            ("verdicts without a retry time", total["verdicts_without_time"], True),
             ("broken flows", total["broken_flows"], planned),
-            ("feeds that changed their target", total["feed_moves"], planned),
-            ("requests without any answer", total["timeouts"], planned),
+            ("feeds that moved to another target", total["feed_moves"], planned),
+            ("requests without a response", total["timeouts"], planned),
             ("verdicts: may have run", total["verdicts_may_have_run"], planned),
             ("verdicts: not run", total["verdicts_not_run"], False),
             ("settings applied", len(run.apply_times), False),
--- a/scripts/fault_proxy.py
+++ b/scripts/fault_proxy.py
@@ -1,9 +1,9 @@
-"""Stands between the system's own processes and puts faults on the way.
+"""Proxy between the processes of the system that injects network faults.
 
-Every process binds a private address and is known by its public one; the proxy listens on the public
-addresses. TCP frames and UDP messages name their sender inside (see src/codec/envelope.h), so the proxy
-knows both ends of each message. A cut drops messages in silence, both ways or one way; connections stay
-open. TCP frames can be delayed, and connections reset.
+Each process binds a private address and is reached at its public one, where the proxy listens. TCP frames
+and UDP messages contain their sender (see src/codec/envelope.h), so the proxy knows both ends of each
+message. A cut silently drops messages in one or both directions while connections stay open. TCP frames
+can also be delayed, and connections reset.
 """
 
 import collections
@@ -27,7 +27,7 @@
 
 
 def sender_of(message):
-    """The sender that a sealed message names, as "ip:port"; None for other datagrams."""
+    """Returns the sender in an authenticated message as "ip:port"; None for other datagrams."""
     if len(message) < 36 or not message.startswith(b"GVM"):
         return None
     port = struct.unpack("!H", message[SENDER_OFFSET + 4:SENDER_OFFSET + 6])[0]
@@ -35,12 +35,12 @@
 
 
 class FaultProxy:
-    """One thread that forwards for all processes."""
+    """Forwards the traffic of all processes in one thread."""
 
     def __init__(self, seed=1):
         self.selector = selectors.DefaultSelector()
         self.random = random.Random(seed)
-        # How many cuts drop messages from a sender to a receiver. Replaced as a whole: two threads use it.
+        # Number of cuts per (sender, receiver). Replaced, never modified: two threads use it.
         self.cuts = collections.Counter()
         self.delay = 0.0
         self.delayed = []
@@ -77,30 +77,30 @@
             sock.close()
 
     def cut(self, group, others):
-        """Drops all messages between two groups of public addresses, both ways. Gives what `heal` takes."""
+        """Drops all messages between two groups of public addresses. Returns the cut for `heal`."""
         return self.cut_one_way(group, others) + self.cut_one_way(others, group)
 
     def cut_one_way(self, senders, receivers):
-        """Drops all messages from one group of public addresses to another. Gives what `heal` takes."""
+        """Drops all messages from one group of public addresses to another. Returns the cut for `heal`."""
         cut = collections.Counter((a, b) for a in senders for b in receivers)
         self.cuts = self.cuts + cut
         return cut
 
     def reset_connections(self, addresses):
-        """Resets the TCP connections that processes with these public addresses have or serve."""
+        """Resets all TCP connections to and from processes with these public addresses."""
         for connection in list(self.connections):
             if connection.public in addresses or connection.client_address in addresses:
                 connection.reset_requested = True
 
     def silence_connections(self, share, direction):
-        """From now on a share of the open connections carries nothing `up` (from the client), `down`, or `both`
-        ways, for good; they stay open."""
+        """Drops all further data of a random share of the open connections, which stay open. The direction is
+        `up` (from the client), `down` or `both`."""
         for connection in list(self.connections):
             if self.random.random() < share:
                 connection.silenced_directions = {"up", "down"} if direction == "both" else {direction}
 
     def heal(self, cut=None):
-        """Ends one cut, while others last; without it, all of them."""
+        """Ends one cut, or all of them."""
         self.cuts = self.cuts - cut if cut is not None else collections.Counter()
 
     def _watch(self, sock, action):
@@ -147,7 +147,7 @@
         sock.close()
 
     def schedule(self, action):
-        """Runs an action after the present delay, in order."""
+        """Runs an action after the current delay, in order."""
         heapq.heappush(self.delayed, (time.monotonic() + self.delay, next(self.delay_sequence), action))
 
     def _run_delayed(self):
@@ -165,7 +165,7 @@
 
 
 class ProxiedConnection:
-    """A connection from a client to one process, frame by frame."""
+    """A connection from a client to one process, forwarded frame by frame."""
 
     def __init__(self, proxy, client, server, public):
         self.proxy = proxy
@@ -217,7 +217,7 @@
         if self.closed:
             return False
         try:
-            # A peer that does not read for longer loses its connection, and nobody else waits.
+            # Closes the connection to a peer that does not read, so that others are not blocked.
             self.peer[sock].settimeout(SEND_TIMEOUT)
             self.peer[sock].sendall(frame)
             self.peer[sock].setblocking(False)
@@ -227,7 +227,7 @@
         return True
 
     def reset(self):
-        """Ends both connections with a reset."""
+        """Resets the connections to both sides."""
         for sock in self.peer:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.close()
--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -1,7 +1,7 @@
-"""Starts and drives a whole fleet of real processes on loopback, for the demo and the tests.
+"""Starts and controls a fleet of real processes on loopback, for the demo and the tests.
 
-The processes never start one another; this script does. Every process gets a loopback address of its
-own out of the deployment's network, so that no two fleets and no two processes can clash.
+Every process has its own loopback address in the network of its deployment, so several fleets can run at
+the same time.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 class FleetError(Exception):
-    """The fleet did not do what was asked within the time."""
+    """An operation on the fleet failed or timed out."""
 
 
 class Process:
@@ -32,12 +32,12 @@
         self.output = directory / f"{name}.out"
         self.log = directory / f"{name}.log"
         with open(self.output, "ab") as out, open(self.log, "ab") as log:
-            # The system's own programs log to their standard output, stand-ins print results there.
+            # Programs of the system log to standard output; test doubles print their results there.
             logs = "gorsevalve-" in str(command[0])
             self.popen = subprocess.Popen(command, stdout=log if logs else out, stderr=log)
 
     def stop(self, timeout=15):
-        """Asks the process to end; gives its exit code, or None when it had to be killed."""
+        """Sends SIGTERM. Returns the exit code, or None if the process had to be killed."""
         if self.popen.poll() is None:
             self.popen.send_signal(signal.SIGTERM)
         try:
@@ -95,7 +95,7 @@
         self.processes[name] = Process(name, command, self.directory)
         return self.processes[name]
 
-    # Addresses. Groups 200 and up are the system's own; lower ones are services and targets.
+    # Addresses. Groups from 200 on belong to the system, lower ones to services and targets.
     def control_address(self, i):
         return f"{self.ip(200, i)}:7000"
 
@@ -108,7 +108,7 @@
     def balancer_admin(self, i):
         return f"{self.ip(201, i)}:6080"
 
-    # Where a process binds when a forwarder stands at its address.
+    # Private addresses of processes behind the fault proxy.
     def control_listen(self, i):
         return f"{self.ip(220, i)}:7000"
 
@@ -170,7 +170,7 @@
         ])
 
     def announce(self, i, state):
-        """Tells the platform that a balancer is live, leaving or gone."""
+        """Reports to the platform that a balancer is live, leaving or gone."""
         self.http(self.platform_address, f"/{state}", self.balancer_address(i).encode())
 
     def start_targets(self):
@@ -185,7 +185,7 @@
                     f"--ingress={self.ingress}", *self.target_flags])
 
     def start(self):
-        """Starts everything and waits until the settings are in force on every balancer."""
+        """Starts all processes and waits until the settings are applied on every balancer."""
         self.spawn("platform", [self.program("standin-platform"),
                                 f"--address={self.platform_address}", "--lag_ms=500"])
         self.wait_until("platform", lambda: self.http(self.platform_address, "/machines"))
@@ -203,9 +203,9 @@
             self.announce(i, "live")
         code, output = self.apply(self.settings_path)
         if code != 0:
-            raise FleetError(f"first settings: exit {code}: {output}")
-        self.wait_until("handovers settled", self.handovers_complete)
-        time.sleep(1.5)  # the fabric's list lags
+            raise FleetError(f"applying the first settings failed with exit code {code}: {output}")
+        self.wait_until("handovers complete", self.handovers_complete)
+        time.sleep(1.5)  # the balancer list of the fabric is updated with a delay
 
     def all_joined(self):
         status = self.status()
@@ -256,10 +256,10 @@
             except (OSError, urllib.error.URLError):
                 pass
             time.sleep(0.1)
-        raise FleetError(f"not in time: {what}")
+        raise FleetError(f"timed out after {timeout} s, waiting for: {what}")
 
     def run_cli(self, *arguments):
-        """Runs the operator's command; gives exit code and output."""
+        """Runs the command-line client `gorsevalve`. Returns exit code and output."""
         servers = ",".join(self.control_admin(i) for i in self.control_numbers)
         done = subprocess.run([self.program("gorsevalve"), *arguments, f"--server={servers}",
                                f"--token_file={self.token_file}"],
@@ -281,7 +281,7 @@
         return json.loads(process.output.read_text().strip().splitlines()[-1])
 
     def target_records(self):
-        """What each target ran, by target name."""
+        """Returns the execution record of each target by name."""
         records = {}
         for service in self.settings["service"]:
             for target in service["target"]:
@@ -291,11 +291,11 @@
         return records
 
     def restart_balancer(self, i, timeout=30):
-        """A planned restart: announced, handed over, ended, started again."""
+        """Planned restart of a balancer: drain, stop, start."""
         self.announce(i, "leaving")
         code = self.processes[f"balancer-{i}"].stop(timeout)
         if code != 0:
-            raise FleetError(f"balancer-{i} did not stop by itself: {code}")
+            raise FleetError(f"balancer-{i} did not stop cleanly: exit code {code}")
         self.start_balancer(i)
         self.wait_until(f"balancer-{i} joined", self.all_joined)
         self.announce(i, "live")
@@ -306,34 +306,34 @@
 
 
 def check_updates(results, records):
-    """Compares what callers were told with what ran. Gives a list of violations."""
+    """Compares the outcomes reported to clients with the executions. Returns a list of violations."""
     done, not_run, may_have_run = 1, 2, 3
     executions = {}
     for record in records.values():
         for key, count in record["executions"].items():
             executions[key] = executions.get(key, 0) + count
-    violations = [f"{key} ran {count} times" for key, count in executions.items() if count > 1]
+    violations = [f"{key} was executed {count} times" for key, count in executions.items() if count > 1]
     for result in results:
         for key, reported in result["updates"].items():
             count = executions.get(key, 0)
             if reported == done and count != 1:
-                violations.append(f"{key} was said to be done and ran {count} times")
+                violations.append(f"{key} was reported as done and was executed {count} times")
             if reported == not_run and count != 0:
-                violations.append(f"{key} was said not to have run and ran {count} times")
+                violations.append(f"{key} was reported as not run and was executed {count} times")
     del may_have_run
     return violations
 
 
-def imbalance(service, records, draining, what):
-    """Maximum over mean of a target figure, weighted, over targets that take new work."""
-    values = [records[t["name"]][what] / t.get("weight", 100) for t in service["target"]
+def imbalance(service, records, draining, counter):
+    """Ratio of maximum to mean of a weighted counter, over the targets that accept new work."""
+    values = [records[t["name"]][counter] / t.get("weight", 100) for t in service["target"]
               if t["name"] in records and t["name"] not in draining]
     mean = sum(values) / len(values) if values else 0
     return max(values) / mean if mean else 0.0
 
 
 def run_with_fleet(fleet, action):
-    """Starts a fleet, runs an action, and stops everything whatever happens."""
+    """Starts a fleet, runs an action, and always stops the fleet."""
     try:
         fleet.start()
         return action()
--- a/scripts/install_packages.sh
+++ b/scripts/install_packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs the packages of packages.apt that are missing. Needs root only when some are.
+# Installs missing packages of packages.apt. Needs root only if a package is missing.
 set -eu
 cd "$(dirname "$0")/.."
 missing=""
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# clang-format over all files, clang-tidy over all sources of the build. Fails on any finding.
-# A source that was found clean is not checked again until it, a header, or the checks change.
+# Runs clang-format and clang-tidy over all sources. Fails on any finding.
+# clang-tidy skips sources that passed before, until they, a header or the configuration change.
 set -eu
 cd "$(dirname "$0")/.."
 build=$1
--- a/scripts/lint_platform_names.sh
+++ b/scripts/lint_platform_names.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Fails when a name of the users' platform stands anywhere but in platform/, deploy/, their tests,
-# journal/ and the platform's page.
+# Fails if a name of the platform is used outside of platform/, deploy/, their tests, journal/ and the
+# platform's page, or if the adapter exceeds its size limit.
 set -eu
 cd "$(dirname "$0")/.."
 names='/-/(ready|instances|config)|GORSEVALVE_NODE_FILE|heartbeat_url|warmup_left_ms|Server-Load'
@@ -8,13 +8,13 @@
 names="$names|bind_addrs|heartbeat_ms|health_check|idle_timeout_ms\"|max_conns|fleetbench"
 if git grep -nE "$names" -- src tests/unit tests/sim tests/integration scripts examples CMakeLists.txt \
     ':!scripts/lint_platform_names.sh' ':!scripts/play_days.py'; then
-  echo "lint: names of the platform outside platform/"
+  echo "lint: platform names used outside of platform/"
   exit 1
 fi
 product=$(git ls-files 'src/*.cc' 'src/*.h' | xargs cat | wc -l)
 adapter=$(git ls-files 'platform/*.cc' 'platform/*.h' | xargs cat | wc -l)
 echo "lint: adapter $adapter lines, product $product"
 if [ $((adapter * 12)) -gt "$product" ]; then
-  echo "lint: the adapter is more than a twelfth of the product"
+  echo "lint: the adapter exceeds 1/12 of the lines of the product"
   exit 1
 fi
--- a/scripts/make_examples.py
+++ b/scripts/make_examples.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Writes the example settings of the two deployments into examples/. Addresses are on loopback."""
+"""Generates the example settings of two deployments on loopback addresses in examples/."""
 
 import pathlib
 
--- a/scripts/play_days.py
+++ b/scripts/play_days.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Plays days of our own (tests/days) on one or more site files and prints one line for each.
+"""Runs the days in tests/days on one or more site files and prints one line for each.
 
 Usage: scripts/play_days.py --bench PATH [--why TEXT] [--days FOLDER] [--jobs N] SITE...
-With --vary N, N altered copies of each site are made in a temporary folder and played, too.
+With --vary N, also runs N randomly varied copies of each site.
 """
 import argparse
 import concurrent.futures
@@ -14,7 +14,7 @@
 
 
 def vary_site(text: str, seed: int) -> str:
-    """The site with other shares of processor, delays and numbers of targets."""
+    """Returns the site with random CPU shares, delays and numbers of targets."""
     rng = random.Random(seed)
     text = re.sub(r"cpu_share = ([0-9.]+)",
                   lambda m: f"cpu_share = {float(m[1]) * rng.uniform(0.6, 1.5):.3f}", text)
@@ -30,7 +30,7 @@
 
 
 def run_day(bench: str, site: pathlib.Path, day: pathlib.Path, why: str) -> str:
-    """One line: site, day, and what the bench printed of it."""
+    """Runs one day. Returns a line with the site, the result of the bench, and the first error."""
     done = subprocess.run([bench, "run", str(site), str(day), "--why", f"{why}: {day.stem}"],
                           capture_output=True, text=True, timeout=600, check=False)
     out = done.stdout + done.stderr
--- a/scripts/recovery.py
+++ b/scripts/recovery.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Plays one day with several seeds and prints, for each loss of all machines, when each step of the recovery came.
+"""Runs one day with several seeds and prints a timeline of the recovery after each loss of all machines.
 
 Usage: scripts/recovery.py --bench PATH --tree FOLDER [--seeds N] [--jobs N] SITE DAY
 
-Times are seconds after the loss: balancers and replicas that listen, elections won, and balancers whose state was
-confirmed, from when on new flows are placed. The journal entries stay in FOLDER/journal.
+Times are seconds after the loss: when balancers and replicas started, when a leader was elected, and when
+balancers had their state confirmed and could open flows. The journal entries stay in FOLDER/journal.
 """
 import argparse
 import concurrent.futures
@@ -15,12 +15,12 @@
 
 LOSS = re.compile(r"^\s+([\d.]+) s to .*(?:power_off_all|kill_all|closing)", re.M)
 LINE = re.compile(r"\s+([\d.]+) (\S+) (\{.*)")
-# A recovery is looked at for this long, in seconds.
+# Time after a loss in which events are counted, in seconds.
 WINDOW_S = 5
 
 
 def events_of(text: str):
-    """Time, node and fields of each line of the log."""
+    """Yields time, node and fields of each log line."""
     for line in text.splitlines():
         line_match = LINE.match(line)
         if not line_match:
@@ -38,7 +38,7 @@
 
 
 def recoveries(text: str):
-    """One line for each loss of all machines in what the bench printed."""
+    """Yields one line for each loss of all machines in the output of the bench."""
     events = list(events_of(text))
     for line_match in LOSS.finditer(text):
         loss = float(line_match[1])
--- a/scripts/recovery_bound.py
+++ b/scripts/recovery_bound.py
@@ -1,21 +1,22 @@
 #!/usr/bin/env python3
-"""Credit that no balancer could earn around a loss of all machines, worked out for one deployment.
+"""Computes a lower bound of the credit that any balancer loses when all machines fail at once.
 
 Usage: scripts/recovery_bound.py --listens S --decides S [--answer S] CLASS...
-CLASS is rate:aim:deadline:worth:worth_late, times in seconds, for each kind of request.
+CLASS is rate:aim:deadline:worth:worth_late of one kind of request, times in seconds.
 
-A caller sends its packet again after 0.2, 0.6 and 1.4 s. A packet is seen when a balancer listens (`--listens`, after the
-loss), and answered `--answer` after that or after the state is known (`--decides`). Targets have any capacity.
+Clients retransmit after 0.2, 0.6 and 1.4 s. A packet is received once a balancer listens (`--listens`, seconds
+after the loss) and gets its response `--answer` seconds later, but not before the state is known (`--decides`).
+The capacity of targets is unlimited.
 """
 import argparse
 
-# When a caller sends a packet, after its first, in seconds (docs/PLATFORM.md).
+# When a client sends its packet and the retransmissions, in seconds (docs/PLATFORM.md).
 SEND_TIMES_S = (0.0, 0.2, 0.6, 1.4)
 STEP_S = 0.001
 
 
 def credit(first_sent: float, arguments: argparse.Namespace, request_class: list[float]) -> float:
-    """What a request earns at most that its caller first sent at `sent`, in seconds after the loss."""
+    """Maximum credit of a request first sent at `first_sent`, in seconds after the loss."""
     _, aim, deadline, worth, worth_late = request_class
     best = 0.0
     for delay in SEND_TIMES_S:
@@ -43,7 +44,8 @@
     for text in arguments.classes:
         request_class = [float(part) for part in text.split(":")]
         steps = int((arguments.decides + 2 * arguments.answer) / STEP_S)
-        lost += sum((request_class[3] - credit(step * STEP_S - arguments.answer, arguments, request_class)) * STEP_S * request_class[0]
+        lost += sum((request_class[3] - credit(step * STEP_S - arguments.answer, arguments, request_class))
+                    * STEP_S * request_class[0]
                     for step in range(steps))
     print(f"credit lost at least: {lost:.0f}")
 
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Runs all scenarios of the simulator over many seeds and writes a table for docs/PROOF.md."""
+"""Runs all scenarios of the simulator with many seeds and writes a table for docs/PROOF.md."""
 
 import argparse
 import pathlib
@@ -27,7 +27,7 @@
     parser.add_argument("--build", default=str(ROOT / "build" / "release"))
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--skip", default="", help="regular expression of scenarios to leave out")
+    parser.add_argument("--skip", default="", help="regular expression of scenarios to skip")
     parser.add_argument("--output", default=str(ROOT / "run" / "soak.md"))
     arguments = parser.parse_args()
     program = f"{arguments.build}/gorsevalve-sim"
